--- a/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
@@ -63,22 +63,25 @@
 
 
 def fit(
-    late: list[Unanswered], site: sites.Site, held: dict[str, set[str]], accepted: int
+    late: list[Unanswered],
+    state: sites.EndpointState,
+    held: dict[str, set[str]],
+    accepted: int,
 ) -> bool:
     """Return whether late orders find room, in each sequence that may happen.
 
     :param late: the late orders.
-    :param site: the endpoint's site.
-    :param held: what the endpoint holds; see :meth:`sites.Site.taking`.
+    :param state: the endpoint's site.
+    :param held: what the endpoint holds; see :meth:`sites.EndpointState.taking`.
     :param accepted: how many orders it has accepted.
     """
     for order in late:
         if order.accepted != accepted or not order.changes(held):
             continue
-        if order.load and not site.fits(order.model, order.adapter, held):
+        if order.load and not state.fits(order.model, order.adapter, held):
             return False
         after = sites.carried_out(held, order.load, order.model, order.adapter)
-        if not fit(late, site, after, accepted + 1):
+        if not fit(late, state, after, accepted + 1):
             return False
     return True
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/offers.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/offers.py
@@ -68,14 +68,14 @@
 class Offer:
     """A site that could load a model.
 
-    :param site: the site.
+    :param state: the site.
     :param drops: models to drop there first.
     :param harm: requests harmed by dropping them.
     :param seconds: time until the model would be ready.
     :param forced: whether requests use what is dropped.
     """
 
-    site: sites.Site
+    state: sites.EndpointState
     drops: tuple[str, ...]
     harm: float
     seconds: float
@@ -114,9 +114,9 @@
         self.demand = node_kernel.get(demand.Demand)
         self.reading = node_kernel.get(reading.Reading)
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
-        self.holders_by_target: dict[asked.Target, list[sites.Site]] = {}
+        self.holders_by_target: dict[asked.Target, list[sites.EndpointState]] = {}
         #: By service and model, the sites that have to do with the model.
-        self.concerned_by_service: dict[str, dict[str, list[sites.Site]]] = {}
+        self.concerned_by_service: dict[str, dict[str, list[sites.EndpointState]]] = {}
         self.unmet_models_by_service: dict[str, set[str]] = {}
 
     def needed(self, target: asked.Target) -> float:
@@ -127,18 +127,18 @@
         per_s = self.reading.tokens_per_s(target.service) * READING_SHARE
         return self.demand.tokens(target) / per_s
 
-    def room(self, held_by: list[sites.Site]) -> float:
+    def room(self, held_by: list[sites.EndpointState]) -> float:
         """Return what some sites can run, in endpoints without a limit.
 
         :param held_by: the sites.
         """
         return sum(map(self._room, held_by))
 
-    def _room(self, site: sites.Site) -> float:
-        per_s = self.limits.per_s(site.endpoint.id)
+    def _room(self, state: sites.EndpointState) -> float:
+        per_s = self.limits.per_s(state.endpoint.id)
         if per_s is None:
             return 1.0
-        return min(1.0, per_s * RUN_S / site.accelerator.batch)
+        return min(1.0, per_s * RUN_S / state.accelerator.batch)
 
     def worth(self, target: asked.Target, replicas: float) -> float:
         """Return the requests that a model's last replica serves in time.
@@ -150,7 +150,7 @@
         share = min(1.0, replicas / needed) - min(1.0, (replicas - 1) / needed)
         return self.demand.rate(target) * share * HORIZON_S
 
-    def holders(self, target: asked.Target) -> list[sites.Site]:
+    def holders(self, target: asked.Target) -> list[sites.EndpointState]:
         """Return the open sites that hold, or will hold, a model or adapter.
 
         What was found is kept until :meth:`look_anew`: weighing what each of 30
@@ -163,9 +163,9 @@
         known = self.holders_by_target.get(target)
         if known is None:
             known = [
-                site
-                for site in self._concerned(target)
-                if site.open and site.will_hold(target.model, target.adapter)
+                state
+                for state in self._concerned(target)
+                if state.open and state.will_hold(target.model, target.adapter)
             ]
             self.holders_by_target[target] = known
         return known
@@ -176,24 +176,24 @@
         self.concerned_by_service.clear()
         self.unmet_models_by_service.clear()
 
-    def _concerned(self, target: asked.Target) -> list[sites.Site]:
+    def _concerned(self, target: asked.Target) -> list[sites.EndpointState]:
         """Return the sites that hold a model, load it, or are to load it."""
         by_model = self.concerned_by_service.get(target.service)
         if by_model is None:
             by_model = self.concerned_by_service[target.service] = {}
-            for site in self.ordering.of_service(target.service):
-                coming = {job.model for job in site.jobs}
-                for model in {*site.adapters_by_model, site.loading, *coming}:
-                    by_model.setdefault(model, []).append(site)
+            for state in self.ordering.of_service(target.service):
+                coming = {job.model for job in state.jobs}
+                for model in {*state.adapters_by_model, state.loading, *coming}:
+                    by_model.setdefault(model, []).append(state)
         return by_model.get(target.model, [])
 
-    def running(self, model: str, held_by: list[sites.Site]) -> int:
+    def running(self, model: str, held_by: list[sites.EndpointState]) -> int:
         """Return the requests for a model that run at some sites.
 
         :param model: the model.
         :param held_by: the sites.
         """
-        return sum(self.load.of_model(site.endpoint.id, model) for site in held_by)
+        return sum(self.load.of_model(state.endpoint.id, model) for state in held_by)
 
     def absence(self, target: asked.Target, model: declared.Model) -> float:
         """Return the requests that are harmed if nobody holds a model.
@@ -202,7 +202,7 @@
         :param model: how it is declared.
         """
         everywhere = self.ordering.of_service(target.service)
-        seconds = min((site.load_s(model) for site in everywhere), default=0.0)
+        seconds = min((state.load_s(model) for state in everywhere), default=0.0)
         rate = max(LEAST_RATE, self.demand.rate(target))
         return rate * (MISSED_S + seconds)
 
@@ -217,25 +217,29 @@
         """
         unmet_models = self._unmet_models(service)
         offers = []
-        for site in self._worth_loading(service):
-            if not site.known or site.will_hold(model.name, ""):
+        for state in self._worth_loading(service):
+            if not state.known or state.will_hold(model.name, ""):
                 continue
-            if self._may_queue(site, model):
-                drops = self._drops(site, unmet_models, droppable)
-                offer = self._offer(site, model, drops)
+            if self._may_queue(state, model):
+                drops = self._drops(state, unmet_models, droppable)
+                offer = self._offer(state, model, drops)
                 if offer is not None:
                     offers.append(offer)
         return offers
 
-    def _worth_loading(self, service: str) -> list[sites.Site]:
+    def _worth_loading(self, service: str) -> list[sites.EndpointState]:
         """Return the open sites of a service, without those that name a limit.
 
         What these take is less than what they hold already brings; where all name
         one, any of them is better than none.
         """
-        everywhere = [site for site in self.ordering.of_service(service) if site.open]
+        everywhere = [
+            state for state in self.ordering.of_service(service) if state.open
+        ]
         free = [
-            site for site in everywhere if self.limits.per_s(site.endpoint.id) is None
+            state
+            for state in everywhere
+            if self.limits.per_s(state.endpoint.id) is None
         ]
         return free or everywhere
 
@@ -250,81 +254,83 @@
             }
         return known
 
-    def _may_queue(self, site: sites.Site, model: declared.Model) -> bool:
+    def _may_queue(self, state: sites.EndpointState, model: declared.Model) -> bool:
         """Return whether a site may get one more model to load.
 
         One that is busy with another model, and has a copy of this one, is
         ready sooner than one that has to fetch it from the weight store.
         """
-        models = [job.model for job in site.jobs if not job.adapter]
-        return not site.jobs or (len(models) == 1 and model.name in site.at_hand())
+        models = [job.model for job in state.jobs if not job.adapter]
+        return not state.jobs or (len(models) == 1 and model.name in state.at_hand())
 
     def _offer(
-        self, site: sites.Site, model: declared.Model, possible: list[_Drop]
+        self, state: sites.EndpointState, model: declared.Model, possible: list[_Drop]
     ) -> Offer | None:
-        free = site.accelerator.memory_mb
-        free -= sum(map(site.memory_mb, site.after_jobs()))
-        drops = _make_room(site, possible, model.memory_mb - free)
+        free = state.accelerator.memory_mb
+        free -= sum(map(state.memory_mb, state.after_jobs()))
+        drops = _make_room(state, possible, model.memory_mb - free)
         if drops is None:
             return None
         harm = sum(drop.harm for drop in drops)
         names = tuple(drop.model for drop in drops)
-        running = sum(self.running(name, [site]) for name in names)
-        share = self.load.of_endpoint(site.endpoint.id) / site.accelerator.batch
-        seconds = site.load_s(model) + BUSY_S * share + sites.unload_s(running)
-        seconds += max(site.coming_s().values(), default=0.0)
-        return Offer(site, names, harm, seconds, running > 0)
+        running = sum(self.running(name, [state]) for name in names)
+        share = self.load.of_endpoint(state.endpoint.id) / state.accelerator.batch
+        seconds = state.load_s(model) + BUSY_S * share + sites.unload_s(running)
+        seconds += max(state.coming_s().values(), default=0.0)
+        return Offer(state, names, harm, seconds, running > 0)
 
-    def harm(self, site: sites.Site, name: str) -> float:
+    def harm(self, state: sites.EndpointState, name: str) -> float:
         """Return the requests that are harmed if a site drops a model.
 
-        :param site: the site.
+        :param state: the site.
         :param name: a model that it holds.
         """
-        target = asked.Target(site.endpoint.entry.service, name)
-        others = [item for item in self.holders(target) if item is not site]
+        target = asked.Target(state.endpoint.entry.service, name)
+        others = [item for item in self.holders(target) if item is not state]
         seen = self.demand.total() > SEEN_RATE
         least = LEAST_RATE * (1 if seen else (1 + len(others)) ** 2)
         rate = max(least, self.demand.rate(target))
-        model = site.accelerator.model_by_name.get(name)
+        model = state.accelerator.model_by_name.get(name)
         seconds = MISSED_S + (model.host_s if model else 0.0)
         if not others:
             return rate * seconds
         worth = self.worth(target, len(others) + 1)
         if worth > 0:
             return max(worth, rate * seconds * SPARE)
-        running = self.running(name, [site, *others])
-        if running <= ROOM * site.accelerator.batch * len(others):
+        running = self.running(name, [state, *others])
+        if running <= ROOM * state.accelerator.batch * len(others):
             return rate * seconds * SPARE
         return rate * seconds
 
     def _drops(
-        self, site: sites.Site, unmet_models: set[str], droppable: Droppable
+        self, state: sites.EndpointState, unmet_models: set[str], droppable: Droppable
     ) -> list[_Drop]:
         """Return what a site may drop, the least missed first."""
         names = [
             name
-            for name in site.after_jobs()
-            if name in site.adapters_by_model
+            for name in state.after_jobs()
+            if name in state.adapters_by_model
             and name not in unmet_models
-            and self._may_drop(site, name, droppable)
+            and self._may_drop(state, name, droppable)
         ]
-        drops = [_Drop(name, self.harm(site, name)) for name in names]
+        drops = [_Drop(name, self.harm(state, name)) for name in names]
         return sorted(drops, key=lambda drop: drop.harm)
 
-    def _may_drop(self, site: sites.Site, name: str, droppable: Droppable) -> bool:
+    def _may_drop(
+        self, state: sites.EndpointState, name: str, droppable: Droppable
+    ) -> bool:
         match droppable:
             case Droppable.ANY:
                 return True
             case Droppable.UNUSED:
-                return not self.running(name, [site])
-        target = asked.Target(site.endpoint.entry.service, name)
-        others = [item for item in self.holders(target) if item is not site]
-        return len(others) >= SPARE_BEYOND and not self.running(name, [site])
+                return not self.running(name, [state])
+        target = asked.Target(state.endpoint.entry.service, name)
+        others = [item for item in self.holders(target) if item is not state]
+        return len(others) >= SPARE_BEYOND and not self.running(name, [state])
 
 
 def _make_room(
-    site: sites.Site, possible: list[_Drop], needed_mb: float
+    state: sites.EndpointState, possible: list[_Drop], needed_mb: float
 ) -> list[_Drop] | None:
     """Return what to drop for some memory; None where it is not enough.
 
@@ -337,11 +343,11 @@
         if freed >= needed_mb:
             break
         drops.append(drop)
-        freed += site.memory_mb(drop.model)
+        freed += state.memory_mb(drop.model)
     if freed < needed_mb:
         return None
     for drop in reversed(drops[:]):
-        memory_mb = site.memory_mb(drop.model)
+        memory_mb = state.memory_mb(drop.model)
         if freed - memory_mb >= needed_mb:
             drops.remove(drop)
             freed -= memory_mb
--- a/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
@@ -49,26 +49,26 @@
         self.load = node_kernel.get(load.Load)
         self.demand = node_kernel.get(demand.Demand)
         self.orders = node_kernel.get(site_orders.SiteOrders)
-        self.site_by_id: dict[str, sites.Site] = {}
+        self.state_by_id: dict[str, sites.EndpointState] = {}
         #: Sites that are to be looked at, and how many tasks do so.
-        self._unknown: collections.deque[sites.Site] = collections.deque()
+        self._unknown: collections.deque[sites.EndpointState] = collections.deque()
         self._looking = 0
         node_kernel.get(residency.Residency).on_missed.append(self._distrust)
         self.registry.on_change.append(self._wake_all)
 
     def reset(self) -> None:
         """Forget everything, since another VM has ordered meanwhile."""
-        self.site_by_id.clear()
+        self.state_by_id.clear()
 
-    def of_service(self, service: str) -> list[sites.Site]:
+    def of_service(self, service: str) -> list[sites.EndpointState]:
         """Return the sites of a service.
 
         :param service: its name.
         """
         return [
-            site
-            for site in self.site_by_id.values()
-            if site.endpoint.entry.service == service
+            state
+            for state in self.state_by_id.values()
+            if state.endpoint.entry.service == service
         ]
 
     def follow(self, declaration: declared.Declaration) -> None:
@@ -76,49 +76,49 @@
 
         :param declaration: the declaration in force.
         """
-        for endpoint_id in self.site_by_id.keys() - self.registry.by_id.keys():
-            del self.site_by_id[endpoint_id]
+        for endpoint_id in self.state_by_id.keys() - self.registry.by_id.keys():
+            del self.state_by_id[endpoint_id]
         for endpoint in self.registry.by_id.values():
             service = declaration.service_by_name.get(endpoint.entry.service)
             if service is None or service.accelerator is None:
                 continue
-            site = self.site_by_id.get(endpoint.id)
-            if site is None:
-                site = sites.Site(endpoint, service.accelerator)
-                self.site_by_id[endpoint.id] = site
-            site.accelerator = service.accelerator
+            state = self.state_by_id.get(endpoint.id)
+            if state is None:
+                state = sites.EndpointState(endpoint, service.accelerator)
+                self.state_by_id[endpoint.id] = state
+            state.accelerator = service.accelerator
 
     def start_work(self) -> None:
         """Start what is to be done at sites on which no task works."""
         if not self.lease.held():
             return
-        for site in self.site_by_id.values():
-            if site.busy:
+        for state in self.state_by_id.values():
+            if state.busy:
                 continue
-            if site.known:
-                self._start_jobs(site)
+            if state.known:
+                self._start_jobs(state)
             else:
-                self._queue_look(site)
+                self._queue_look(state)
         self._start_looks()
 
     def _wake_all(self) -> None:
-        for site in self.site_by_id.values():
-            site.woken.set()
+        for state in self.state_by_id.values():
+            state.woken.set()
 
     def _distrust(self, endpoint_id: str) -> None:
         """Look again at an endpoint that lacked what it should hold."""
-        site = self.site_by_id.get(endpoint_id)
-        if site is not None:
-            site.accepted = None
-            site.woken.set()
-            if not site.busy:
-                self._queue_look(site)
+        state = self.state_by_id.get(endpoint_id)
+        if state is not None:
+            state.accepted = None
+            state.woken.set()
+            if not state.busy:
+                self._queue_look(state)
                 self._start_looks()
 
-    def _queue_look(self, site: sites.Site) -> None:
-        if site.endpoint.open and time.monotonic() >= site.look_at:
-            site.busy = True
-            self._unknown.append(site)
+    def _queue_look(self, state: sites.EndpointState) -> None:
+        if state.endpoint.open and time.monotonic() >= state.look_at:
+            state.busy = True
+            self._unknown.append(state)
 
     def _start_looks(self) -> None:
         for _ in range(min(LOOKS_AT_ONCE - self._looking, len(self._unknown))):
@@ -128,83 +128,83 @@
     def _look_at_unknown(self) -> None:
         """Ask endpoints what they hold, one after the other."""
         while self._unknown:
-            site = self._unknown.popleft()
-            if self._is_ours(site):
-                self._look(site)
-            site.busy = False
-            self._start_jobs(site)
+            state = self._unknown.popleft()
+            if self._is_ours(state):
+                self._look(state)
+            state.busy = False
+            self._start_jobs(state)
         self._looking -= 1
 
-    def _look(self, site: sites.Site) -> bool:
+    def _look(self, state: sites.EndpointState) -> bool:
         """Ask an endpoint what it holds; returns whether that is known now."""
-        if site.endpoint.open:
-            self.orders.look(site)
-        if not site.known:
-            site.look_at = time.monotonic() + site_orders.LOOK_S
-        return site.known
+        if state.endpoint.open:
+            self.orders.look(state)
+        if not state.known:
+            state.look_at = time.monotonic() + site_orders.LOOK_S
+        return state.known
 
-    def _is_ours(self, site: sites.Site) -> bool:
+    def _is_ours(self, state: sites.EndpointState) -> bool:
         """Return whether this VM may still order what a site holds."""
-        return self.lease.held() and self.site_by_id.get(site.endpoint.id) is site
+        return self.lease.held() and self.state_by_id.get(state.endpoint.id) is state
 
-    def _start_jobs(self, site: sites.Site) -> None:
-        if site.known and site.jobs and self._is_ours(site):
-            site.busy = True
-            self.tasks.spawn(self._work, site)
+    def _start_jobs(self, state: sites.EndpointState) -> None:
+        if state.known and state.jobs and self._is_ours(state):
+            state.busy = True
+            self.tasks.spawn(self._work, state)
 
-    def _work(self, site: sites.Site) -> None:
+    def _work(self, state: sites.EndpointState) -> None:
         """Carry out a site's jobs for as long as it is known what it holds."""
-        while self._is_ours(site):
+        while self._is_ours(state):
             # Also after the last job, whose end may not have been seen.
-            if not (site.known or self._look(site)):
+            if not (state.known or self._look(state)):
                 break
-            if not site.jobs:
+            if not state.jobs:
                 break
-            self._finish(site, site.next_job())
-        site.busy = False
+            self._finish(state, state.next_job())
+        state.busy = False
 
-    def _finish(self, site: sites.Site, job: sites.Job) -> None:
+    def _finish(self, state: sites.EndpointState, job: sites.Job) -> None:
         """Carry out a job and take it off the site's list."""
-        done = self._carry_out(site, job)
-        if job in site.jobs:
-            site.jobs.remove(job)
+        done = self._carry_out(state, job)
+        if job in state.jobs:
+            state.jobs.remove(job)
         if not done:
             logs.event(
                 log,
                 "job dropped",
-                endpoint=site.endpoint.id,
+                endpoint=state.endpoint.id,
                 model=job.model,
                 adapter=job.adapter,
                 outcome="decided anew",
             )
 
-    def _carry_out(self, site: sites.Site, job: sites.Job) -> bool:
+    def _carry_out(self, state: sites.EndpointState, job: sites.Job) -> bool:
         """Load what a job names; returns whether it is held now."""
-        model = site.accelerator.model_by_name.get(job.model)
+        model = state.accelerator.model_by_name.get(job.model)
         if model is None:
             return False
         if job.adapter:
-            return self._carry_out_adapter(site, job, model)
+            return self._carry_out_adapter(state, job, model)
         for name in job.drops:
-            if site.free_mb() >= model.memory_mb:
+            if state.free_mb() >= model.memory_mb:
                 break
-            if not self._may_drop(site, job, name):
+            if not self._may_drop(state, job, name):
                 return False
-            if not self._drop(site, name):
+            if not self._drop(state, name):
                 return False
-        return site.free_mb() >= model.memory_mb and self.orders.order(
-            site, True, job.model, ""
+        return state.free_mb() >= model.memory_mb and self.orders.order(
+            state, True, job.model, ""
         )
 
-    def _may_drop(self, site: sites.Site, job: sites.Job, name: str) -> bool:
+    def _may_drop(self, state: sites.EndpointState, job: sites.Job, name: str) -> bool:
         """Return whether a model is still to be dropped.
 
         Used again since that was decided, its unload would wait for its
         requests and keep the endpoint from all other orders.
         """
-        return job.forced or not self.load.of_model(site.endpoint.id, name)
+        return job.forced or not self.load.of_model(state.endpoint.id, name)
 
-    def _drop(self, site: sites.Site, name: str) -> bool:
+    def _drop(self, state: sites.EndpointState, name: str) -> bool:
         """Drop a model once nobody uses it; returns whether it is gone.
 
         An unload waits for the requests that run, and its endpoint takes no
@@ -212,69 +212,69 @@
         all VMs are told to send no more, and the order follows when those that
         run have ended.
         """
-        running = self.load.of_model(site.endpoint.id, name)
-        site.leaving = name
-        site.gone_at = time.monotonic() + sites.unload_s(running)
-        self.orders.publish(site)
+        running = self.load.of_model(state.endpoint.id, name)
+        state.leaving = name
+        state.gone_at = time.monotonic() + sites.unload_s(running)
+        self.orders.publish(state)
         until = time.monotonic() + sites.MOST_RUNNING_S
-        while self._in_use(site, name) and time.monotonic() < until:
-            job = site.next_adapter()
+        while self._in_use(state, name) and time.monotonic() < until:
+            job = state.next_adapter()
             if job is not None:
-                self._finish(site, job)
+                self._finish(state, job)
             else:
-                site.woken.clear()
-                site.woken.wait(LEAVING_LOOK_S)
-        gone = self.orders.order(site, False, name, "")
-        site.leaving = ""
+                state.woken.clear()
+                state.woken.wait(LEAVING_LOOK_S)
+        gone = self.orders.order(state, False, name, "")
+        state.leaving = ""
         if not gone:
             # VMs may send there again.
-            self.orders.publish(site)
+            self.orders.publish(state)
         return gone
 
-    def _in_use(self, site: sites.Site, name: str) -> bool:
+    def _in_use(self, state: sites.EndpointState, name: str) -> bool:
         """Return whether it is worth waiting until a model is not used."""
-        running = self.load.of_model(site.endpoint.id, name)
-        return bool(running) and site.open and self.lease.held()
+        running = self.load.of_model(state.endpoint.id, name)
+        return bool(running) and state.open and self.lease.held()
 
     def _carry_out_adapter(
-        self, site: sites.Site, job: sites.Job, model: declared.Model
+        self, state: sites.EndpointState, job: sites.Job, model: declared.Model
     ) -> bool:
-        if job.model not in site.adapters_by_model:
+        if job.model not in state.adapters_by_model:
             return False
         while (
-            site.adapters_held() >= site.accelerator.adapter_places
-            or site.free_mb() < model.adapter_mb
+            state.adapters_held() >= state.accelerator.adapter_places
+            or state.free_mb() < model.adapter_mb
         ):
-            victim = self._unused_adapter(site)
-            if victim is None or not self.orders.order(site, False, *victim):
+            victim = self._unused_adapter(state)
+            if victim is None or not self.orders.order(state, False, *victim):
                 return False
-        return self.orders.order(site, True, job.model, job.adapter)
+        return self.orders.order(state, True, job.model, job.adapter)
 
-    def has_adapter_place(self, site: sites.Site) -> bool:
+    def has_adapter_place(self, state: sites.EndpointState) -> bool:
         """Return whether one more adapter can be loaded at a site now.
 
-        :param site: the site.
+        :param state: the site.
         """
-        waiting = sum(1 for job in site.jobs if job.adapter)
-        free = site.accelerator.adapter_places - site.adapters_held() - waiting
-        return free > 0 or len(self._idle_adapters(site)) > -free
+        waiting = sum(1 for job in state.jobs if job.adapter)
+        free = state.accelerator.adapter_places - state.adapters_held() - waiting
+        return free > 0 or len(self._idle_adapters(state)) > -free
 
-    def _unused_adapter(self, site: sites.Site) -> tuple[str, str] | None:
+    def _unused_adapter(self, state: sites.EndpointState) -> tuple[str, str] | None:
         """Return the adapter that is least asked for, of those that nobody uses."""
 
         def missed(key: tuple[str, str]) -> tuple[float, float]:
-            target = asked.Target(site.endpoint.entry.service, *key)
-            return self.demand.rate(target), site.loaded_at_by_adapter.get(key, 0.0)
+            target = asked.Target(state.endpoint.entry.service, *key)
+            return self.demand.rate(target), state.loaded_at_by_adapter.get(key, 0.0)
 
-        return min(self._idle_adapters(site), key=missed, default=None)
+        return min(self._idle_adapters(state), key=missed, default=None)
 
-    def _idle_adapters(self, site: sites.Site) -> list[tuple[str, str]]:
+    def _idle_adapters(self, state: sites.EndpointState) -> list[tuple[str, str]]:
         """Return the adapters that may make way for another one."""
         oldest = time.monotonic() - KEEP_ADAPTER_S
         return [
             (name, adapter)
-            for name, held in site.adapters_by_model.items()
+            for name, held in state.adapters_by_model.items()
             for adapter in held
-            if not self.load.of_adapter(site.endpoint.id, name, adapter)
-            and site.loaded_at_by_adapter.get((name, adapter), 0.0) < oldest
+            if not self.load.of_adapter(state.endpoint.id, name, adapter)
+            and state.loaded_at_by_adapter.get((name, adapter), 0.0) < oldest
         ]
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -188,27 +188,27 @@
         self._place_model(target, model, WANTED, harm, count, anything)
 
     def _place_adapter(
-        self, unmet: demand.UnmetDemand, ready: list[sites.Site]
+        self, unmet: demand.UnmetDemand, ready: list[sites.EndpointState]
     ) -> None:
         if self.offers.holders(unmet.target):
             return
         held = [
-            site
-            for site in ready
-            if unmet.target.model in site.adapters_by_model
-            and self.ordering.has_adapter_place(site)
+            state
+            for state in ready
+            if unmet.target.model in state.adapters_by_model
+            and self.ordering.has_adapter_place(state)
         ]
         if held:
-            site = min(held, key=self._pressure)
-            self._add(site, sites.Job(unmet.target.model, unmet.target.adapter))
-            self._say(unmet.target, site, WANTED)
+            state = min(held, key=self._pressure)
+            self._add(state, sites.Job(unmet.target.model, unmet.target.adapter))
+            self._say(unmet.target, state, WANTED)
 
-    def _pressure(self, site: sites.Site) -> float:
-        running = self.load.of_endpoint(site.endpoint.id) / site.accelerator.batch
-        taken = site.adapters_held() / max(1, site.accelerator.adapter_places)
+    def _pressure(self, state: sites.EndpointState) -> float:
+        running = self.load.of_endpoint(state.endpoint.id) / state.accelerator.batch
+        taken = state.adapters_held() / max(1, state.accelerator.adapter_places)
         # Behind a model that is loaded or dropped an adapter waits for seconds.
-        busy = OCCUPIED if site.occupied else 0.0
-        return running + taken + busy + QUEUED * len(site.jobs)
+        busy = OCCUPIED if state.occupied else 0.0
+        return running + taken + busy + QUEUED * len(state.jobs)
 
     def _place_model(
         self,
@@ -225,20 +225,20 @@
             offer
             for offer in self.offers.make(target.service, model, droppable)
             if offer.harm <= most_harm
-            and self.site_orders.may_load(offer.site, model, share)
+            and self.site_orders.may_load(offer.state, model, share)
             # A site loads its own copy sooner than it fetches another's, but
             # that would add none.
-            and not (reason == COPY and model.name in offer.site.at_hand())
+            and not (reason == COPY and model.name in offer.state.at_hand())
         ]
         best = min(made, key=lambda offer: offer.cost(callers), default=None)
         if best is not None:
             job = sites.Job(model.name, "", best.drops, best.forced)
-            self._add(best.site, job)
-            self._say(target, best.site, reason, best)
+            self._add(best.state, job)
+            self._say(target, best.state, reason, best)
         return best
 
-    def _add(self, site: sites.Site, job: sites.Job) -> None:
-        site.add(job)
+    def _add(self, state: sites.EndpointState, job: sites.Job) -> None:
+        state.add(job)
         self.offers.look_anew()
 
     def _spread(self, service: str, accelerator: declared.Accelerator) -> None:
@@ -286,7 +286,7 @@
             return False
         running = self.offers.running(target.model, holders)
         places = accelerator.batch * self.offers.room(holders)
-        if any(target.model not in site.adapters_by_model for site in holders):
+        if any(target.model not in state.adapters_by_model for state in holders):
             # One more is on its way, which takes up to four seconds.
             return running > CROWDED * places
         full = running > FULL * places
@@ -316,10 +316,10 @@
         stays in the endpoint's host memory.
         """
         copies: collections.Counter[str] = collections.Counter()
-        for site in self.ordering.of_service(service):
-            if not site.known:
+        for state in self.ordering.of_service(service):
+            if not state.known:
                 return
-            copies.update(site.at_hand())
+            copies.update(state.at_hand())
         models = accelerator.model_by_name.values()
         for model in sorted(models, key=lambda item: copies[item.name]):
             quicker = model.disk_s < model.store_s
@@ -327,14 +327,14 @@
                 target = asked.Target(service, model.name)
                 offer = self._place_model(target, model, COPY, HARM_OF_COPY, 0)
                 if offer is not None:
-                    offer.site.copied.add(model.name)
+                    offer.state.copied.add(model.name)
                     for name in offer.drops:
-                        self._add(offer.site, sites.Job(name, "", (model.name,)))
+                        self._add(offer.state, sites.Job(name, "", (model.name,)))
 
     def _say(
         self,
         target: asked.Target,
-        site: sites.Site,
+        state: sites.EndpointState,
         reason: str,
         offer: offers.Offer | None = None,
     ) -> None:
@@ -343,7 +343,7 @@
             "load decided",
             model=target.model,
             adapter=target.adapter,
-            endpoint=site.endpoint.id,
+            endpoint=state.endpoint.id,
             reason=reason,
             rate=round(self.demand.rate(target), 2),
             needed=round(self.offers.needed(target.base), 2),
--- a/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
@@ -80,55 +80,57 @@
         )
 
     def may_load(
-        self, site: sites.Site, model: declared.Model, share: float = 1.0
+        self, state: sites.EndpointState, model: declared.Model, share: float = 1.0
     ) -> bool:
         """Return whether the weight store's rate allows one more load.
 
-        :param site: where to.
+        :param state: where to.
         :param model: what is loaded.
         :param share: the part of the rate that such loads may take.
         """
-        if site.load_s(model) < model.store_s:
+        if state.load_s(model) < model.store_s:
             return True
-        per_s = site.accelerator.store_loads_per_s * self.bounds.load_factor
+        per_s = state.accelerator.store_loads_per_s * self.bounds.load_factor
         most = max(1, int(per_s * self.bounds.load_window_s * share))
         return self.store_loads.count() < most
 
-    def look(self, site: sites.Site) -> None:
+    def look(self, state: sites.EndpointState) -> None:
         """Ask an endpoint what it holds and how many orders it accepted.
 
-        :param site: the endpoint's site, which takes the answer.
+        :param state: the endpoint's site, which takes the answer.
         """
-        seen = self._inventory(site)
+        seen = self._inventory(state)
         if seen is None:
-            site.accepted = None
+            state.accepted = None
             return
-        site.take(seen)
-        if site.known and site.adapters_by_model != site.endpoint.adapters_by_model:
+        state.take(seen)
+        if state.known and state.adapters_by_model != state.endpoint.adapters_by_model:
             # What agrees with the registry, all VMs know from there.
-            self.publish(site)
+            self.publish(state)
 
-    def _inventory(self, site: sites.Site) -> adapters.Inventory | None:
+    def _inventory(self, state: sites.EndpointState) -> adapters.Inventory | None:
         """Return an endpoint's report; None where this incarnation gives none."""
-        known_born = site.endpoint.entry.born
-        match self.protocol.inventory(site.endpoint):
+        known_born = state.endpoint.entry.born
+        match self.protocol.inventory(state.endpoint):
             case result.Ok(seen) if not (known_born and seen.born):
                 # One of the two does not tell, so they cannot differ.
                 return seen
             case result.Ok(seen) if seen.born == known_born:
                 return seen
             case result.Ok(seen):
-                self.registry.restarted(site.endpoint, seen.born)
+                self.registry.restarted(state.endpoint, seen.born)
                 reason = "another incarnation answers"
             case result.Err(reason):
                 pass
-        logs.event(log, "no report", endpoint=site.endpoint.id, reason=reason[:120])
+        logs.event(log, "no report", endpoint=state.endpoint.id, reason=reason[:120])
         return None
 
-    def order(self, site: sites.Site, loads: bool, model: str, adapter: str) -> bool:
+    def order(
+        self, state: sites.EndpointState, loads: bool, model: str, adapter: str
+    ) -> bool:
         """Order something until it is carried out; returns whether it is.
 
-        :param site: where to.
+        :param state: where to.
         :param loads: whether it is to be loaded, or else dropped.
         :param model: the model.
         :param adapter: its adapter; empty for the model itself.
@@ -137,35 +139,35 @@
         look_at = time.monotonic() + SUSPECT_S
         pause = CONFLICT_S
         refused = unanswered = False
-        self._let_unload_end(site)
-        while time.monotonic() < until and self.lease.held() and site.open:
-            if not site.known:
-                self.look(site)
+        self._let_unload_end(state)
+        while time.monotonic() < until and self.lease.held() and state.open:
+            if not state.known:
+                self.look(state)
                 look_at = time.monotonic() + SUSPECT_S
-                if not site.known:
+                if not state.known:
                     gevent.sleep(LOOK_S)
                     continue
-            if self._holds(site, model, adapter) == loads:
+            if self._holds(state, model, adapter) == loads:
                 return True
             order = adapters.Order(
-                loads, model, adapter, site.accepted, self.name, self.lease.fence
+                loads, model, adapter, state.accepted, self.name, self.lease.fence
             )
-            match self.attempt(site, order):
+            match self.attempt(state, order):
                 case None:
                     return False
                 case adapters.OrderOutcome.ACCEPTED | adapters.OrderOutcome.DONE:
-                    self._learn_unload_time(site, refused)
+                    self._learn_unload_time(state, refused)
                     if not (order.load or order.adapter):
-                        site.unloaded_at = time.monotonic()
-                    self._await(site, order)
-                    return self._holds(site, model, adapter) == loads
+                        state.unloaded_at = time.monotonic()
+                    self._await(state, order)
+                    return self._holds(state, model, adapter) == loads
                 case adapters.OrderOutcome.CONFLICT:
                     # Most often the order before is still being carried out.
                     refused = True
                     gevent.sleep(pause)
                     pause = min(MOST_CONFLICT_S, pause * CONFLICT_GROWTH)
                     if unanswered or time.monotonic() > look_at:
-                        site.accepted = None
+                        state.accepted = None
                         unanswered = False
                 case adapters.OrderOutcome.UNKNOWN:
                     # The next copy names the same number of accepted orders:
@@ -175,55 +177,55 @@
                 case adapters.OrderOutcome.MISDIRECTED:
                     # Its report came from the endpoint that has its address
                     # now, and looked like one with all of its memory free.
-                    self.registry.dismiss(site.endpoint, "its address is another's")
+                    self.registry.dismiss(state.endpoint, "its address is another's")
                     return False
                 case _:
-                    site.pause()
+                    state.pause()
                     return False
         return False
 
-    def _let_unload_end(self, site: sites.Site) -> None:
+    def _let_unload_end(self, state: sites.EndpointState) -> None:
         """Wait until an endpoint has probably carried out its last unload."""
-        if site.unloaded_at is not None:
-            ends_at = site.unloaded_at + self.unload_time.expected_s
+        if state.unloaded_at is not None:
+            ends_at = state.unloaded_at + self.unload_time.expected_s
             gevent.sleep(max(0.0, ends_at - time.monotonic()))
 
-    def _learn_unload_time(self, site: sites.Site, refused: bool) -> None:
+    def _learn_unload_time(self, state: sites.EndpointState, refused: bool) -> None:
         """Learn from the first order that an endpoint took after an unload."""
-        if site.unloaded_at is None:
+        if state.unloaded_at is None:
             return
         if refused:
-            self.unload_time.refused_until(time.monotonic() - site.unloaded_at)
+            self.unload_time.refused_until(time.monotonic() - state.unloaded_at)
         else:
             self.unload_time.taken_at_once()
-        site.unloaded_at = None
+        state.unloaded_at = None
 
-    def _holds(self, site: sites.Site, model: str, adapter: str) -> bool:
-        held = site.adapters_by_model.get(model)
+    def _holds(self, state: sites.EndpointState, model: str, adapter: str) -> bool:
+        held = state.adapters_by_model.get(model)
         return held is not None and (not adapter or adapter in held)
 
     def attempt(
-        self, site: sites.Site, order: adapters.Order
+        self, state: sites.EndpointState, order: adapters.Order
     ) -> adapters.OrderOutcome | None:
         """Send an order once and take its effect into account.
 
-        :param site: where to.
+        :param state: where to.
         :param order: the order.
         :returns: the endpoint's answer; None where sending it was not safe.
         """
-        if not self._safe(site, order):
+        if not self._safe(state, order):
             return None
         if not order.load:
             # Told before the order leaves, so that no VM sends a request that
             # the endpoint would turn away.
-            self.publish(site, without=order)
-        outcome = self.protocol.order(site.endpoint, order, self.lease.held)
+            self.publish(state, without=order)
+        outcome = self.protocol.order(state.endpoint, order, self.lease.held)
         kind = "load" if order.load else "unload"
         self.orders_total.inc({"order": kind, "outcome": outcome.value})
         logs.event(
             log,
             "order",
-            endpoint=site.endpoint.id,
+            endpoint=state.endpoint.id,
             order=kind,
             model=order.model,
             adapter=order.adapter,
@@ -231,84 +233,89 @@
             fence=order.fence,
             outcome=outcome.value,
         )
-        self._count_store_load(site, order, outcome)
-        site.note(order, outcome)
+        self._count_store_load(state, order, outcome)
+        state.note(order, outcome)
         match outcome:
             case adapters.OrderOutcome.FENCED:
                 self.lease.refused(order.fence)
             case adapters.OrderOutcome.UNKNOWN:
-                self.late_orders.note(site.endpoint, order)
+                self.late_orders.note(state.endpoint, order)
         return outcome
 
-    def _safe(self, site: sites.Site, order: adapters.Order) -> bool:
+    def _safe(self, state: sites.EndpointState, order: adapters.Order) -> bool:
         """Return whether there is room for an order, and for late ones after it."""
-        if order.load and not site.fits(order.model, order.adapter, site.taking()):
+        if order.load and not state.fits(order.model, order.adapter, state.taking()):
             return False
-        late = self.late_orders.of(site.endpoint)
+        late = self.late_orders.of(state.endpoint)
         if not late:
             return True
-        if self._inventory(site) is None:
+        if self._inventory(state) is None:
             # It may have started again, and late orders may have brought it to
             # the number that this order names, with other models.
-            site.accepted = None
+            state.accepted = None
             return False
-        after = site.after(order)
-        if not late_orders.fit(late, site, after, order.accepted + 1):
+        after = state.after(order)
+        if not late_orders.fit(late, state, after, order.accepted + 1):
             return False
         # This one may be late, too, and meet its number in a next incarnation,
         # which starts empty.
-        in_flight = [*late, late_orders.of_order(site.endpoint, order)]
-        return late_orders.fit(in_flight, site, {}, 0)
+        in_flight = [*late, late_orders.of_order(state.endpoint, order)]
+        return late_orders.fit(in_flight, state, {}, 0)
 
     def _count_store_load(
-        self, site: sites.Site, order: adapters.Order, outcome: adapters.OrderOutcome
+        self,
+        state: sites.EndpointState,
+        order: adapters.Order,
+        outcome: adapters.OrderOutcome,
     ) -> None:
         """Count a load that the weight store serves, or may serve."""
         begun = (adapters.OrderOutcome.ACCEPTED, adapters.OrderOutcome.UNKNOWN)
         if order.load and not order.adapter and outcome in begun:
-            model = site.accelerator.model_by_name[order.model]
-            if site.load_s(model) >= model.store_s:
+            model = state.accelerator.model_by_name[order.model]
+            if state.load_s(model) >= model.store_s:
                 self.store_loads.add()
 
-    def _await(self, site: sites.Site, order: adapters.Order) -> None:
+    def _await(self, state: sites.EndpointState, order: adapters.Order) -> None:
         """Wait until an order that was taken has been carried out."""
         if order.adapter or not order.load:
             # It is in the books already, and requests may be sent by them.
             gevent.sleep(ADAPTER_S if order.load else 0)
-            self.publish(site)
+            self.publish(state)
             return
-        if not site.loading:
+        if not state.loading:
             # It held the model already.
             return
-        model = site.accelerator.model_by_name[order.model]
-        site.ready_at = time.monotonic() + site.load_s(model)
-        self.publish(site)
-        late_at = site.ready_at + LATE_S
-        while site.loading and self.lease.held() and site.endpoint.open:
-            if order.model in (site.endpoint.entry.adapters_by_model or {}):
-                site.finish(order)
-                self.publish(site)
+        model = state.accelerator.model_by_name[order.model]
+        state.ready_at = time.monotonic() + state.load_s(model)
+        self.publish(state)
+        late_at = state.ready_at + LATE_S
+        while state.loading and self.lease.held() and state.endpoint.open:
+            if order.model in (state.endpoint.entry.adapters_by_model or {}):
+                state.finish(order)
+                self.publish(state)
                 return
-            site.woken.clear()
-            site.woken.wait(max(0.02, min(LOOK_S, late_at - time.monotonic())))
+            state.woken.clear()
+            state.woken.wait(max(0.02, min(LOOK_S, late_at - time.monotonic())))
             if time.monotonic() > late_at:
-                self.look(site)
+                self.look(state)
                 late_at = time.monotonic() + LATE_LOOK_S
-                if site.known:
+                if state.known:
                     return
         # How the load ended was not seen.
-        site.accepted = None
+        state.accepted = None
 
-    def publish(self, site: sites.Site, without: adapters.Order | None = None) -> None:
+    def publish(
+        self, state: sites.EndpointState, without: adapters.Order | None = None
+    ) -> None:
         """Tell all VMs what an endpoint holds, for requests to be sent there.
 
-        :param site: the endpoint's site.
+        :param state: the endpoint's site.
         :param without: an unload that is about to be ordered.
         """
         held = {
             name: sorted(held)
-            for name, held in site.adapters_by_model.items()
-            if name != site.leaving
+            for name, held in state.adapters_by_model.items()
+            if name != state.leaving
         }
         if without is not None and not without.adapter:
             held.pop(without.model, None)
@@ -318,9 +325,9 @@
         told = residency.Holds(
             self.lease.fence,
             self.published,
-            site.endpoint.id,
+            state.endpoint.id,
             held,
-            site.coming_s(),
+            state.coming_s(),
         )
         # Requests that meet an unused adapter's unload are few, and not run there; a
         # model that goes must be known to go before its order leaves.
--- a/packages/mothworks_gateway/src/mothworks_gateway/sites.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/sites.py
@@ -74,7 +74,7 @@
 
 
 @attrs.define(eq=False)
-class Site:
+class EndpointState:
     """A model endpoint as the holder sees it.
 
     :param endpoint: the endpoint.
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -76,7 +76,7 @@
             start_work=lambda: None,
         )
         self.sites = [
-            site_of(f"i-{number}", accelerator, models)
+            state_of(f"i-{number}", accelerator, models)
             for number, models in enumerate(holding)
         ]
         parts = {
@@ -120,12 +120,12 @@
     return asked.Target(SERVICE, model)
 
 
-def site_of(name, accelerator, models):
+def state_of(name, accelerator, models):
     """Return a site whose endpoint holds some models, with all on its disk."""
     endpoint = gateway_builders.endpoint(name, SERVICE, models=models)
     on_disk = frozenset(accelerator.model_by_name)
     endpoint.entry = attrs.evolve(endpoint.entry, on_disk=on_disk)
-    made = sites.Site(endpoint, accelerator)
+    made = sites.EndpointState(endpoint, accelerator)
     made.accepted = 0
     made.adapters_by_model = {model: set() for model in models}
     return made
--- a/packages/mothworks_gateway/tests/test_adapters_in_demand.py
+++ b/packages/mothworks_gateway/tests/test_adapters_in_demand.py
@@ -72,35 +72,35 @@
     return ordering.Ordering(gateway_builders.Kernel(parts))
 
 
-def full_site(loaded_at):
-    site = scheduling_builders.site_of("i-1", ACCELERATOR, ("m",))
+def full_state(loaded_at):
+    state = scheduling_builders.state_of("i-1", ACCELERATOR, ("m",))
     names = [f"a{number}" for number in range(PLACES)]
-    site.adapters_by_model["m"] = set(names)
-    site.loaded_at_by_adapter = {("m", name): loaded_at for name in names}
-    return site
+    state.adapters_by_model["m"] = set(names)
+    state.loaded_at_by_adapter = {("m", name): loaded_at for name in names}
+    return state
 
 
 def test_an_adapter_stays_until_its_callers_come(made, clock):
     # All places were filled a moment ago, for callers that wait for their turn.
     # None of these adapters is in use yet. The next caller's adapter must not
     # take the place of one of them: that one would be loaded anew at once.
-    site = full_site(loaded_at=clock.now - 0.3)
-    assert made._unused_adapter(site) is None
-    assert not made.has_adapter_place(site)
+    state = full_state(loaded_at=clock.now - 0.3)
+    assert made._unused_adapter(state) is None
+    assert not made.has_adapter_place(state)
     clock.now += 0.5
-    assert made.has_adapter_place(site)
+    assert made.has_adapter_place(state)
 
 
 def test_the_adapter_that_is_least_asked_for_makes_way(made, clock):
     # Adapters that are asked for often, and not at this very moment, were dropped
     # for rare ones when they had been loaded longest ago.
-    site = full_site(loaded_at=clock.now - 5.0)
-    site.loaded_at_by_adapter["m", "a3"] = clock.now - 60.0
+    state = full_state(loaded_at=clock.now - 5.0)
+    state.loaded_at_by_adapter["m", "a3"] = clock.now - 60.0
     made.demand.rate_by_adapter = {f"a{n}": 2.0 for n in range(PLACES) if n != 5}
-    assert made._unused_adapter(site) == ("m", "a5")
+    assert made._unused_adapter(state) == ("m", "a5")
 
 
 def test_an_adapter_in_use_never_makes_way(made, clock):
-    site = full_site(loaded_at=clock.now - 5.0)
+    state = full_state(loaded_at=clock.now - 5.0)
     made.load.used = {f"a{number}" for number in range(PLACES) if number != 2}
-    assert made._unused_adapter(site) == ("m", "a2")
+    assert made._unused_adapter(state) == ("m", "a2")
--- a/packages/mothworks_gateway/tests/test_large_looks.py
+++ b/packages/mothworks_gateway/tests/test_large_looks.py
@@ -36,29 +36,29 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_holders_are_those_that_all_sites_name(made, seed):
     draw = random.Random(seed)
-    for site in made.sites:
-        site.loading = draw.choice(["", "", *MODELS])
+    for state in made.sites:
+        state.loading = draw.choice(["", "", *MODELS])
         for _ in range(draw.choice([0, 0, 1, 2])):
-            drops = tuple(draw.sample(sorted(site.adapters_by_model), 1))
+            drops = tuple(draw.sample(sorted(state.adapters_by_model), 1))
             adapter = draw.choice(["", "a1"])
-            site.jobs.append(sites.Job(draw.choice(MODELS), adapter, drops))
+            state.jobs.append(sites.Job(draw.choice(MODELS), adapter, drops))
     for name in MODELS:
-        expected = [site for site in made.sites if site.will_hold(name, "")]
+        expected = [state for state in made.sites if state.will_hold(name, "")]
         assert made.offers.holders(scheduling_builders.target(name)) == expected
 
 
 def test_a_look_asks_few_sites(made, monkeypatch):
     asked = collections.Counter()
-    will_hold = sites.Site.will_hold
+    will_hold = sites.EndpointState.will_hold
 
-    def count(site, model, adapter):
+    def count(state, model, adapter):
         asked[model] += 1
-        return will_hold(site, model, adapter)
+        return will_hold(state, model, adapter)
 
     for number, name in enumerate(MODELS[:12]):
         told = residency.Wanted(scheduling_builders.SERVICE, name, "", 3, 1, 0.4)
         made.demand._on_wanted(f"vm-{number}", told)
-    monkeypatch.setattr(sites.Site, "will_hold", count)
+    monkeypatch.setattr(sites.EndpointState, "will_hold", count)
     made.scheduler._schedule(made.declaration)
     # A look that asks no more than each endpoint about each model once stays within a
     # hundredth of a second or two; it asked twenty times as much.
--- a/packages/mothworks_gateway/tests/test_late_orders.py
+++ b/packages/mothworks_gateway/tests/test_late_orders.py
@@ -34,9 +34,9 @@
     return endpoint, view, orders
 
 
-def site_of(endpoint, view):
+def state_of(endpoint, view):
     """Return a site of the incarnation that the registry knows."""
-    return sites.Site(view.named(NAME), endpoint.declared_as)
+    return sites.EndpointState(view.named(NAME), endpoint.declared_as)
 
 
 HOLDER = st.sampled_from([0, 0, 0, 1])
@@ -61,27 +61,27 @@
             for _ in range(2)
         ]
         self.holders = holders
-        self.site_by_holder = {0: None, 1: None}
+        self.state_by_holder = {0: None, 1: None}
 
-    def site(self, holder):
+    def state_for(self, holder):
         known = self.view.named(NAME)
-        site = self.site_by_holder[holder]
-        if site is None or site.endpoint is not known:
-            site = sites.Site(known, self.endpoint.declared_as)
-            self.site_by_holder[holder] = site
-        return site
+        state = self.state_by_holder[holder]
+        if state is None or state.endpoint is not known:
+            state = sites.EndpointState(known, self.endpoint.declared_as)
+            self.state_by_holder[holder] = state
+        return state
 
     def order(self, holder, load, model, adapter="", fault=None):
-        site = self.site(holder)
-        if not site.known:
-            self.holders[holder].look(site)
-            site = self.site(holder)
-        held = site.adapters_by_model.get(model)
+        state = self.state_for(holder)
+        if not state.known:
+            self.holders[holder].look(state)
+            state = self.state_for(holder)
+        held = state.adapters_by_model.get(model)
         holds = held is not None and (not adapter or adapter in held)
-        if site.known and holds != load:
+        if state.known and holds != load:
             self.endpoint.faults = [fault]
-            order = adapters.Order(load, model, adapter, site.accepted, "vm", 1)
-            self.holders[holder].attempt(site, order)
+            order = adapters.Order(load, model, adapter, state.accepted, "vm", 1)
+            self.holders[holder].attempt(state, order)
 
     @hypothesis.stateful.rule(holder=HOLDER, model=MODEL, fault=FAULT, ends=ENDS)
     def load(self, holder, model, fault, ends):
@@ -106,14 +106,14 @@
 
     @hypothesis.stateful.rule(holder=st.sampled_from([0, 1]))
     def look(self, holder):
-        self.holders[holder].look(self.site(holder))
+        self.holders[holder].look(self.state_for(holder))
 
     @hypothesis.stateful.rule()
     def finish(self):
         self.endpoint.finish()
-        for site in self.site_by_holder.values():
-            if site is not None and site.loading in self.endpoint.adapters_by_model:
-                site.finish(adapters.Order(True, site.loading, "", 0, "vm", 1))
+        for state in self.state_by_holder.values():
+            if state is not None and state.loading in self.endpoint.adapters_by_model:
+                state.finish(adapters.Order(True, state.loading, "", 0, "vm", 1))
 
     @hypothesis.stateful.precondition(lambda self: self.endpoint.late)
     @hypothesis.stateful.rule(pick=st.integers(0, 5))
@@ -197,27 +197,27 @@
     # again, and two orders later the count is the one that the old order names:
     # it was carried out beside two models, and the endpoint crashed once more.
     endpoint, view, orders = started()
-    site = site_of(endpoint, view)
+    state = state_of(endpoint, view)
 
-    def order(site, model, load=True):
-        made = adapters.Order(load, model, "", site.accepted, "vm-1", 1)
-        answer = orders.attempt(site, made)
+    def order(state, model, load=True):
+        made = adapters.Order(load, model, "", state.accepted, "vm-1", 1)
+        answer = orders.attempt(state, made)
         endpoint.finish()
         if answer is adapters.OrderOutcome.ACCEPTED:
-            site.finish(made)
+            state.finish(made)
         return answer
 
-    orders.look(site)
-    assert order(site, "d") is adapters.OrderOutcome.ACCEPTED
-    assert order(site, "d", load=False) is adapters.OrderOutcome.ACCEPTED
+    orders.look(state)
+    assert order(state, "d") is adapters.OrderOutcome.ACCEPTED
+    assert order(state, "d", load=False) is adapters.OrderOutcome.ACCEPTED
     endpoint.faults = ["unanswered"]
-    assert order(site, "a") is adapters.OrderOutcome.UNKNOWN
+    assert order(state, "a") is adapters.OrderOutcome.UNKNOWN
     endpoint.restart()
     view.put(entry(endpoint), b"")
-    site = site_of(endpoint, view)
-    orders.look(site)
-    assert order(site, "b") is adapters.OrderOutcome.ACCEPTED
-    assert order(site, "d") is None
+    state = state_of(endpoint, view)
+    orders.look(state)
+    assert order(state, "b") is adapters.OrderOutcome.ACCEPTED
+    assert order(state, "d") is None
     (late,) = endpoint.late
     endpoint.take(late)
     assert not endpoint.crashes
@@ -229,14 +229,14 @@
     # its count is again the one in the holder's books, which show 16 GB. By these
     # books another 50 GB fitted, and the endpoint crashed again.
     endpoint, view, orders = started()
-    site = site_of(endpoint, view)
-    orders.look(site)
+    state = state_of(endpoint, view)
+    orders.look(state)
     endpoint.faults = ["unanswered"]
-    orders.attempt(site, adapters.Order(True, "b", "", 0, "vm-1", 1))
-    orders.attempt(site, adapters.Order(True, "d", "", 0, "vm-1", 1))
+    orders.attempt(state, adapters.Order(True, "b", "", 0, "vm-1", 1))
+    orders.attempt(state, adapters.Order(True, "d", "", 0, "vm-1", 1))
     endpoint.restart()
     endpoint.take(endpoint.late.pop())
     endpoint.finish()
-    orders.attempt(site, adapters.Order(True, "a", "", 1, "vm-1", 1))
+    orders.attempt(state, adapters.Order(True, "a", "", 1, "vm-1", 1))
     assert not endpoint.crashes
     assert view.named(NAME).entry.born == endpoint.born
--- a/packages/mothworks_gateway/tests/test_ordering.py
+++ b/packages/mothworks_gateway/tests/test_ordering.py
@@ -32,18 +32,18 @@
         self.silent = set()
         self.loaded = []
 
-    def look(self, site):
-        self.looks.append(site.endpoint.id)
+    def look(self, state):
+        self.looks.append(state.endpoint.id)
         self.looking += 1
         self.most_looking = max(self.most_looking, self.looking)
         gevent.sleep(0.001)
         self.looking -= 1
-        if site.endpoint.id not in self.silent:
-            site.accepted = 0
+        if state.endpoint.id not in self.silent:
+            state.accepted = 0
 
-    def order(self, site, loads, model, adapter):
+    def order(self, state, loads, model, adapter):
         gevent.sleep(0.001)
-        self.loaded.append((site.endpoint.id, model, adapter))
+        self.loaded.append((state.endpoint.id, model, adapter))
         return True
 
 
@@ -65,13 +65,13 @@
         self.ordering = ordering.Ordering(gateway_builders.Kernel(parts))
         accelerator = scheduling_builders.accelerator_for(("m",), 8)
         for number in range(count):
-            site = scheduling_builders.site_of(f"i-{number}", accelerator, ("m",))
-            site.accepted = None
-            self.ordering.site_by_id[site.endpoint.id] = site
+            state = scheduling_builders.state_of(f"i-{number}", accelerator, ("m",))
+            state.accepted = None
+            self.ordering.state_by_id[state.endpoint.id] = state
 
     @property
     def sites(self):
-        return list(self.ordering.site_by_id.values())
+        return list(self.ordering.state_by_id.values())
 
     @property
     def tasks(self):
@@ -95,7 +95,7 @@
 # memory of a whole VM for it.
 def test_a_new_holder_asks_some_endpoints_at_a_time(fleet):
     fleet.settle()
-    assert all(site.known for site in fleet.sites)
+    assert all(state.known for state in fleet.sites)
     assert len(fleet.orders.looks) == ENDPOINTS
     assert fleet.orders.most_looking <= ordering.LOOKS_AT_ONCE
 
@@ -113,10 +113,10 @@
     fleet.settle()
     fleet.settle()
     assert fleet.orders.looks.count("i-3") == 1
-    fleet.ordering.site_by_id["i-3"].look_at = 0.0
+    fleet.ordering.state_by_id["i-3"].look_at = 0.0
     fleet.orders.silent.clear()
     fleet.settle()
-    assert fleet.ordering.site_by_id["i-3"].known
+    assert fleet.ordering.state_by_id["i-3"].known
 
 
 # Guards against jobs that wait for the next look of the scheduler.
@@ -132,17 +132,17 @@
 # order whose end was not seen.
 def test_a_site_that_its_last_job_left_unknown_is_asked_at_once(fleet):
     fleet.settle()
-    site = fleet.sites[5]
+    state = fleet.sites[5]
     carry_out = fleet.orders.order
 
     def lose_sight(*order):
-        site.accepted = None
+        state.accepted = None
         return carry_out(*order)
 
     fleet.orders.order = lose_sight
-    site.add(sites.Job("m", "a1"))
+    state.add(sites.Job("m", "a1"))
     fleet.settle()
-    assert site.known
+    assert state.known
     assert fleet.orders.looks.count("i-5") == 2
 
 
--- a/packages/mothworks_gateway/tests/test_scheduler.py
+++ b/packages/mothworks_gateway/tests/test_scheduler.py
@@ -54,8 +54,8 @@
 @pytest.fixture
 def make():
     def made(loaded, coming, running):
-        holders = [site(True) for _ in range(loaded)]
-        holders += [site(False) for _ in range(coming)]
+        holders = [state(True) for _ in range(loaded)]
+        holders += [state(False) for _ in range(coming)]
         plain = types.SimpleNamespace(on_gained=[], on_wanted=[], follower=None)
         parts = dict.fromkeys(
             (
@@ -75,9 +75,11 @@
     return made
 
 
-def site(loaded):
+def state(loaded):
     models = ("m",) if loaded else ()
-    made = sites.Site(gateway_builders.endpoint("i-1", models=models), ACCELERATOR)
+    made = sites.EndpointState(
+        gateway_builders.endpoint("i-1", models=models), ACCELERATOR
+    )
     made.adapters_by_model = {name: set() for name in models}
     return made
 
--- a/packages/mothworks_gateway/tests/test_site_orders.py
+++ b/packages/mothworks_gateway/tests/test_site_orders.py
@@ -27,10 +27,10 @@
     )
 
 
-def site_of(endpoint, *holding):
+def state_of(endpoint, *holding):
     endpoint.start(holding)
     known = gateway_builders.endpoint("i-1", models=holding)
-    return sites.Site(known, endpoint.declared_as)
+    return sites.EndpointState(known, endpoint.declared_as)
 
 
 def test_a_load_that_outlasted_the_lease_still_takes_its_memory(orders, endpoint, held):
@@ -40,17 +40,17 @@
     # of the load that it did not see the end of was free in its books, it
     # ordered the next one after the first of three unloads, and the endpoint
     # crashed with all its streams.
-    site = site_of(endpoint, "small", "slight", "spare")
-    loading = gevent.spawn(orders.order, site, True, "busy", "")
+    state = state_of(endpoint, "small", "slight", "spare")
+    loading = gevent.spawn(orders.order, state, True, "busy", "")
     gevent.sleep(0.01)
     held.lapsed = True
-    site.woken.set()
+    state.woken.set()
     assert not loading.get(timeout=2)
     endpoint.finish()
     held.lapsed = False
-    assert orders.order(site, False, "small", "")
+    assert orders.order(state, False, "small", "")
     endpoint.finish()
-    loading = gevent.spawn(orders.order, site, True, "wanted", "")
+    loading = gevent.spawn(orders.order, state, True, "wanted", "")
     assert not loading.get(timeout=2)
     assert not endpoint.crashes
 
@@ -58,8 +58,8 @@
 def test_an_endpoint_whose_entry_does_not_tell_its_start_is_ordered(orders, endpoint):
     # Only its report names the start. Taken for another incarnation, it was
     # believed to be empty, and the entries that followed were left out as older.
-    site = site_of(endpoint, "small")
+    state = state_of(endpoint, "small")
     endpoint.born = 7
-    orders.look(site)
-    assert site.adapters_by_model == {"small": set()}
-    assert site.endpoint.id == "i-1"
+    orders.look(state)
+    assert state.adapters_by_model == {"small": set()}
+    assert state.endpoint.id == "i-1"
--- a/packages/mothworks_gateway/tests/test_unloads.py
+++ b/packages/mothworks_gateway/tests/test_unloads.py
@@ -66,13 +66,13 @@
     refused_by_swap = []
     for _ in range(SWAPS):
         endpoint.start(["one"])
-        site = sites.Site(
+        state = sites.EndpointState(
             gateway_builders.endpoint("i-1", models=["one"]), endpoint.declared_as
         )
         endpoint.refused = 0
         began = endpoint.clock.now
-        assert orders.order(site, False, "one", "")
-        orders.order(site, True, "other", "")
+        assert orders.order(state, False, "one", "")
+        orders.order(state, True, "other", "")
         refused_by_swap.append(endpoint.refused)
         assert endpoint.clock.now - began < 3 * UNLOAD_S
     assert refused_by_swap[0] >= 1
