--- a/packages/mothworks_gateway/src/mothworks_gateway/offers.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/offers.py
@@ -1,7 +1,7 @@
-"""Offers: what it would cost to have a model loaded at a site.
+"""Placement candidates: what it costs to load a model on each endpoint.
 
-The cost is counted in requests that would be harmed: those that wait while
-the model loads, and those for the models that are dropped to make room.
+Costs are counted in requests that miss their latency objective: those that wait while
+the model loads, and those for the models that are evicted to free memory.
 """
 
 import enum
@@ -20,89 +20,93 @@
     sites,
 )
 
-#: Part of a waiting request that is lost with each second that it waits.
-LOST_PER_S = 0.4
-#: Callers that are counted at least: a load takes its endpoint's time, too.
-LEAST_CALLERS = 2
-#: Time for which a dropped model is missed, beside loading it again, seconds.
-MISSED_S = 1.0
-#: Requests a second that each model is taken to get at least. Before any demand
-#: is seen, what is held often is the likely one to be asked for: then it counts
-#: times the square of the replicas.
-LEAST_RATE = 0.02
-#: Requests a second for all models from which on demand is seen. The replicas of
-#: a model whose callers have moved on then make way first; held dear, nine of
-#: them kept others from being held at all.
-SEEN_RATE = 1.0
-#: Share of a batch up to which the endpoints that remain take over the
-#: requests of one that drops a model.
-ROOM = 0.25
-#: Share of its requests that are harmed where a model loses a spare replica: it
-#: takes 4 s to load again if its requests grow.
-SPARE = 0.35
-#: Part of its speed at which an endpoint is to read prompts. Above it, answers
-#: queue behind each other's prompts and streams that run pause.
-READING_SHARE = 0.35
-#: Time over which an endpoint more or less for a model counts, seconds: about as
-#: long as it takes to load it from the weight store.
+#: Cost of each second that a request waits, in requests.
+COST_PER_WAITING_S = 0.4
+#: Minimum number of waiting callers that a load is charged for: it occupies its
+#: endpoint even if nobody waits.
+MIN_CALLERS = 2
+#: Time for which an evicted model is unavailable in addition to its load time, seconds.
+UNAVAILABLE_S = 1.0
+#: Minimum request rate assumed for each model, per second. Before any demand is
+#: observed, a model with many replicas is the one most likely to be requested, so the
+#: minimum is then multiplied by the square of the number of replicas.
+MIN_RATE_PER_S = 0.02
+#: Total requests per second above which demand counts as observed. From then on, the
+#: replicas of a model without callers are evicted first. When they were still
+#: protected, nine replicas of such a model kept other models from being loaded at all.
+OBSERVED_DEMAND_PER_S = 1.0
+#: Share of their batches up to which the remaining endpoints take over the requests of
+#: an endpoint that evicts the model.
+TAKEOVER_BATCH_SHARE = 0.25
+#: Share of a model's requests that losing a spare replica costs: reloading it takes 4 s
+#: if its request rate grows.
+SPARE_REPLICA_COST_SHARE = 0.35
+#: Share of an endpoint's prefill speed that prompts are to use. Above it, responses
+#: queue behind each other's prompts and running streams stall.
+PREFILL_SHARE = 0.35
+#: Time over which one replica more or less is valued, seconds: about as long as a load
+#: from the weight store takes.
 HORIZON_S = 4.0
-#: Sites that keep a model of which a spare replica makes way: a busy model fills
-#: one site's batch within a second of a burst.
-SPARE_BEYOND = 2
-#: Seconds that a fully loaded endpoint is slower by.
-BUSY_S = 3.0
-#: Time that a usual request takes a place of a batch, seconds: turns the limit of an
-#: endpoint into the places that it can fill.
-RUN_S = 2.0
+#: Number of other endpoints that must hold a model before one of its replicas counts as
+#: spare: a burst for a busy model fills one endpoint's batch within a second.
+MIN_OTHER_HOLDERS = 2
+#: Delay of a load on an endpoint with a full batch, seconds.
+FULL_BATCH_DELAY_S = 3.0
+#: Time for which a typical request occupies a batch slot, seconds: converts an
+#: endpoint's rate limit into the number of slots that it can fill.
+REQUEST_DURATION_S = 2.0
 
 
-class Droppable(enum.Enum):
-    """Which models may make way for another one."""
+class Evictable(enum.Enum):
+    """Which models may be evicted for another one."""
 
-    ANY = "also models that requests use"
-    UNUSED = "models that no request uses"
-    SPARE = "unused models that several other sites hold, too"
+    ANY = "also models that running requests use"
+    UNUSED = "models that no running request uses"
+    SPARE = "unused models that several other endpoints hold, too"
 
 
 @attrs.frozen
-class Offer:
-    """A site that could load a model.
+class Candidate:
+    """An endpoint that could load a model.
 
-    :param state: the site.
-    :param drops: models to drop there first.
-    :param harm: requests harmed by dropping them.
+    :param state: the endpoint's state.
+    :param evictions: names of the models to evict first.
+    :param eviction_cost: cost of evicting them, in requests.
     :param seconds: time until the model would be ready.
-    :param forced: whether requests use what is dropped.
+    :param forced: whether running requests use a model to evict.
     """
 
     state: sites.EndpointState
-    drops: tuple[str, ...]
-    harm: float
+    evictions: tuple[str, ...]
+    eviction_cost: float
     seconds: float
     forced: bool
 
-    def cost(self, callers: int) -> float:
-        """Return the requests harmed in all.
+    def total_cost(self, callers: int) -> float:
+        """Return the total cost in requests: evictions and waiting callers.
 
-        :param callers: how many wait for the model.
+        :param callers: number of callers that wait for the model.
         """
-        return self.harm + LOST_PER_S * max(LEAST_CALLERS, callers) * self.seconds
+        return (
+            self.eviction_cost
+            + COST_PER_WAITING_S * max(MIN_CALLERS, callers) * self.seconds
+        )
 
 
 @attrs.frozen
-class _Drop:
-    """A model that a site may drop.
+class _Eviction:
+    """A model that an endpoint may evict.
 
-    :param model: the model.
-    :param harm: requests harmed by dropping it.
+    :param model: its name.
+    :param cost: cost of evicting it, in requests.
     """
 
     model: str
-    harm: float
+    cost: float
 
 
-class Offers(kernel.Part):
-    """Makes offers.
+class Placement(kernel.Part):
+    """Lists the endpoints that could load a model, with their costs.
 
     :param node_kernel: the node's kernel.
     """
@@ -115,240 +119,247 @@
         self.reading = node_kernel.get(reading.Reading)
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
         self.holders_by_target: dict[asked.Target, list[sites.EndpointState]] = {}
-        #: By service and model, the sites that have to do with the model.
-        self.concerned_by_service: dict[str, dict[str, list[sites.EndpointState]]] = {}
+        #: Endpoints that hold, load or will load a model, by service and model.
+        self.involved_by_service: dict[str, dict[str, list[sites.EndpointState]]] = {}
         self.unmet_models_by_service: dict[str, set[str]] = {}
 
-    def needed(self, target: asked.Target) -> float:
-        """Return how many endpoints a model's prompts keep busy.
+    def endpoints_needed(self, target: asked.Target) -> float:
+        """Return the number of endpoints that a model's prompts keep busy.
 
         :param target: the model.
         """
-        per_s = self.reading.tokens_per_s(target.service) * READING_SHARE
+        per_s = self.reading.tokens_per_s(target.service) * PREFILL_SHARE
         return self.demand.tokens(target) / per_s
 
-    def room(self, held_by: list[sites.EndpointState]) -> float:
-        """Return what some sites can run, in endpoints without a limit.
+    def capacity(self, states: list[sites.EndpointState]) -> float:
+        """Return the capacity of some endpoints, in endpoints without a rate limit.
 
-        :param held_by: the sites.
+        :param states: the endpoints.
         """
-        return sum(map(self._room, held_by))
+        return sum(map(self._capacity, states))
 
-    def _room(self, state: sites.EndpointState) -> float:
+    def _capacity(self, state: sites.EndpointState) -> float:
         per_s = self.limits.per_s(state.endpoint.id)
         if per_s is None:
             return 1.0
-        return min(1.0, per_s * RUN_S / state.accelerator.batch)
+        return min(1.0, per_s * REQUEST_DURATION_S / state.accelerator.batch)
 
-    def worth(self, target: asked.Target, replicas: float) -> float:
-        """Return the requests that a model's last replica serves in time.
+    def replica_value(self, target: asked.Target, replicas: float) -> float:
+        """Return how many requests a model's last replica serves in time.
 
         :param target: the model.
-        :param replicas: how many it has with that one; see :meth:`room`.
+        :param replicas: its replicas with that one, as a :meth:`capacity`.
         """
-        needed = max(1.0, self.needed(target))
+        needed = max(1.0, self.endpoints_needed(target))
         share = min(1.0, replicas / needed) - min(1.0, (replicas - 1) / needed)
         return self.demand.rate(target) * share * HORIZON_S
 
     def holders(self, target: asked.Target) -> list[sites.EndpointState]:
-        """Return the open sites that hold, or will hold, a model or adapter.
+        """Return the open endpoints that hold, or will hold, a model or adapter.
 
-        What was found is kept until :meth:`look_anew`: weighing what each of 30
-        endpoints may drop for each of 74 models asks for the same holders
-        thousands of times. Only sites that have to do with the model are asked:
-        59 sites for each of 141 models took two thirds of a look.
+        The result is cached until :meth:`clear_caches`: computing the eviction costs of
+        30 endpoints for each of 74 models requests the same lists thousands of times.
+        Only the endpoints that have the model loaded or queued are checked: checking
+        all endpoints for all models, with 59 endpoints and 141 models, took two thirds
+        of a scheduling pass.
 
-        :param target: what is to be held.
+        :param target: the model or adapter.
         """
-        known = self.holders_by_target.get(target)
-        if known is None:
-            known = [
+        cached = self.holders_by_target.get(target)
+        if cached is None:
+            cached = [
                 state
-                for state in self._concerned(target)
+                for state in self._involved(target)
                 if state.open and state.will_hold(target.model, target.adapter)
             ]
-            self.holders_by_target[target] = known
-        return known
+            self.holders_by_target[target] = cached
+        return cached
 
-    def look_anew(self) -> None:
-        """Forget who holds what, since time has passed or a job was added."""
+    def clear_caches(self) -> None:
+        """Clear the cached lists, since time has passed or a job was added."""
         self.holders_by_target.clear()
-        self.concerned_by_service.clear()
+        self.involved_by_service.clear()
         self.unmet_models_by_service.clear()
 
-    def _concerned(self, target: asked.Target) -> list[sites.EndpointState]:
-        """Return the sites that hold a model, load it, or are to load it."""
-        by_model = self.concerned_by_service.get(target.service)
+    def _involved(self, target: asked.Target) -> list[sites.EndpointState]:
+        """Return the endpoints that hold a model, load it, or will load it."""
+        by_model = self.involved_by_service.get(target.service)
         if by_model is None:
-            by_model = self.concerned_by_service[target.service] = {}
+            by_model = self.involved_by_service[target.service] = {}
             for state in self.ordering.of_service(target.service):
-                coming = {job.model for job in state.jobs}
-                for model in {*state.adapters_by_model, state.loading, *coming}:
+                queued = {job.model for job in state.jobs}
+                for model in {*state.adapters_by_model, state.loading, *queued}:
                     by_model.setdefault(model, []).append(state)
         return by_model.get(target.model, [])
 
-    def running(self, model: str, held_by: list[sites.EndpointState]) -> int:
-        """Return the requests for a model that run at some sites.
+    def running(self, model: str, states: list[sites.EndpointState]) -> int:
+        """Return the number of requests for a model that run on some endpoints.
 
         :param model: the model.
-        :param held_by: the sites.
+        :param states: the endpoints.
         """
-        return sum(self.load.of_model(state.endpoint.id, model) for state in held_by)
+        return sum(self.load.of_model(state.endpoint.id, model) for state in states)
 
-    def absence(self, target: asked.Target, model: declared.Model) -> float:
-        """Return the requests that are harmed if nobody holds a model.
+    def unavailability_cost(self, target: asked.Target, model: declared.Model) -> float:
+        """Return the cost of a model that no endpoint holds, in requests.
 
         :param target: the model.
-        :param model: how it is declared.
+        :param model: its declaration.
         """
-        everywhere = self.ordering.of_service(target.service)
-        seconds = min((state.load_s(model) for state in everywhere), default=0.0)
-        rate = max(LEAST_RATE, self.demand.rate(target))
-        return rate * (MISSED_S + seconds)
+        states = self.ordering.of_service(target.service)
+        seconds = min((state.load_s(model) for state in states), default=0.0)
+        rate = max(MIN_RATE_PER_S, self.demand.rate(target))
+        return rate * (UNAVAILABLE_S + seconds)
 
-    def make(
-        self, service: str, model: declared.Model, droppable: Droppable
-    ) -> list[Offer]:
-        """Return what all free sites of a service offer.
+    def candidates(
+        self, service: str, model: declared.Model, evictable: Evictable
+    ) -> list[Candidate]:
+        """Return the endpoints of a service that could load a model now.
 
         :param service: the service.
-        :param model: what is to be loaded.
-        :param droppable: which models may make way for it.
+        :param model: the model to load.
+        :param evictable: which models may be evicted for it.
         """
         unmet_models = self._unmet_models(service)
-        offers = []
-        for state in self._worth_loading(service):
+        candidates = []
+        for state in self._loadable(service):
             if not state.known or state.will_hold(model.name, ""):
                 continue
             if self._may_queue(state, model):
-                drops = self._drops(state, unmet_models, droppable)
-                offer = self._offer(state, model, drops)
-                if offer is not None:
-                    offers.append(offer)
-        return offers
-
-    def _worth_loading(self, service: str) -> list[sites.EndpointState]:
-        """Return the open sites of a service, without those that name a limit.
-
-        What these take is less than what they hold already brings; where all name
-        one, any of them is better than none.
+                options = self._evictable_models(state, unmet_models, evictable)
+                candidate = self._candidate(state, model, options)
+                if candidate is not None:
+                    candidates.append(candidate)
+        return candidates
+
+    def _loadable(self, service: str) -> list[sites.EndpointState]:
+        """Return a service's open endpoints, without those that advertise a limit.
+
+        A limited endpoint serves fewer requests than the models that it already holds
+        attract. If all of them are limited, all are returned: a load on any of them is
+        better than none.
         """
-        everywhere = [
+        open_states = [
             state for state in self.ordering.of_service(service) if state.open
         ]
-        free = [
+        unlimited = [
             state
-            for state in everywhere
+            for state in open_states
             if self.limits.per_s(state.endpoint.id) is None
         ]
-        return free or everywhere
+        return unlimited or open_states
 
     def _unmet_models(self, service: str) -> set[str]:
         """Return the models of a service that callers wait for."""
-        known = self.unmet_models_by_service.get(service)
-        if known is None:
-            known = self.unmet_models_by_service[service] = {
+        cached = self.unmet_models_by_service.get(service)
+        if cached is None:
+            cached = self.unmet_models_by_service[service] = {
                 unmet.target.model
                 for unmet in self.demand.unmet()
                 if unmet.target.service == service
             }
-        return known
+        return cached
 
     def _may_queue(self, state: sites.EndpointState, model: declared.Model) -> bool:
-        """Return whether a site may get one more model to load.
+        """Return whether one more model may be queued on an endpoint.
 
-        One that is busy with another model, and has a copy of this one, is
-        ready sooner than one that has to fetch it from the weight store.
+        An endpoint that loads another model but has a local copy of this one is ready
+        sooner than an endpoint that fetches it from the weight store.
         """
         models = [job.model for job in state.jobs if not job.adapter]
         return not state.jobs or (len(models) == 1 and model.name in state.at_hand())
 
-    def _offer(
-        self, state: sites.EndpointState, model: declared.Model, possible: list[_Drop]
-    ) -> Offer | None:
-        free = state.accelerator.memory_mb
-        free -= sum(map(state.memory_mb, state.after_jobs()))
-        drops = _make_room(state, possible, model.memory_mb - free)
-        if drops is None:
+    def _candidate(
+        self,
+        state: sites.EndpointState,
+        model: declared.Model,
+        options: list[_Eviction],
+    ) -> Candidate | None:
+        free_mb = state.accelerator.memory_mb
+        free_mb -= sum(map(state.memory_mb, state.after_jobs()))
+        evictions = _select_evictions(state, options, model.memory_mb - free_mb)
+        if evictions is None:
             return None
-        harm = sum(drop.harm for drop in drops)
-        names = tuple(drop.model for drop in drops)
+        eviction_cost = sum(eviction.cost for eviction in evictions)
+        names = tuple(eviction.model for eviction in evictions)
         running = sum(self.running(name, [state]) for name in names)
         share = self.load.of_endpoint(state.endpoint.id) / state.accelerator.batch
-        seconds = state.load_s(model) + BUSY_S * share + sites.unload_s(running)
+        seconds = (
+            state.load_s(model) + FULL_BATCH_DELAY_S * share + sites.unload_s(running)
+        )
         seconds += max(state.coming_s().values(), default=0.0)
-        return Offer(state, names, harm, seconds, running > 0)
+        return Candidate(state, names, eviction_cost, seconds, running > 0)
 
-    def harm(self, state: sites.EndpointState, name: str) -> float:
-        """Return the requests that are harmed if a site drops a model.
+    def eviction_cost(self, state: sites.EndpointState, name: str) -> float:
+        """Return the cost of evicting a model from an endpoint, in requests.
 
-        :param state: the site.
+        :param state: the endpoint's state.
         :param name: a model that it holds.
         """
         target = asked.Target(state.endpoint.entry.service, name)
         others = [item for item in self.holders(target) if item is not state]
-        seen = self.demand.total() > SEEN_RATE
-        least = LEAST_RATE * (1 if seen else (1 + len(others)) ** 2)
-        rate = max(least, self.demand.rate(target))
+        demand_observed = self.demand.total() > OBSERVED_DEMAND_PER_S
+        min_rate = MIN_RATE_PER_S * (1 if demand_observed else (1 + len(others)) ** 2)
+        rate = max(min_rate, self.demand.rate(target))
         model = state.accelerator.model_by_name.get(name)
-        seconds = MISSED_S + (model.host_s if model else 0.0)
+        seconds = UNAVAILABLE_S + (model.host_s if model else 0.0)
         if not others:
             return rate * seconds
-        worth = self.worth(target, len(others) + 1)
-        if worth > 0:
-            return max(worth, rate * seconds * SPARE)
+        value = self.replica_value(target, len(others) + 1)
+        if value > 0:
+            return max(value, rate * seconds * SPARE_REPLICA_COST_SHARE)
         running = self.running(name, [state, *others])
-        if running <= ROOM * state.accelerator.batch * len(others):
-            return rate * seconds * SPARE
+        if running <= TAKEOVER_BATCH_SHARE * state.accelerator.batch * len(others):
+            return rate * seconds * SPARE_REPLICA_COST_SHARE
         return rate * seconds
 
-    def _drops(
-        self, state: sites.EndpointState, unmet_models: set[str], droppable: Droppable
-    ) -> list[_Drop]:
-        """Return what a site may drop, the least missed first."""
+    def _evictable_models(
+        self, state: sites.EndpointState, unmet_models: set[str], evictable: Evictable
+    ) -> list[_Eviction]:
+        """Return what an endpoint may evict, the cheapest first."""
         names = [
             name
             for name in state.after_jobs()
             if name in state.adapters_by_model
             and name not in unmet_models
-            and self._may_drop(state, name, droppable)
+            and self._may_evict(state, name, evictable)
         ]
-        drops = [_Drop(name, self.harm(state, name)) for name in names]
-        return sorted(drops, key=lambda drop: drop.harm)
+        options = [_Eviction(name, self.eviction_cost(state, name)) for name in names]
+        return sorted(options, key=lambda option: option.cost)
 
-    def _may_drop(
-        self, state: sites.EndpointState, name: str, droppable: Droppable
+    def _may_evict(
+        self, state: sites.EndpointState, name: str, evictable: Evictable
     ) -> bool:
-        match droppable:
-            case Droppable.ANY:
+        match evictable:
+            case Evictable.ANY:
                 return True
-            case Droppable.UNUSED:
+            case Evictable.UNUSED:
                 return not self.running(name, [state])
         target = asked.Target(state.endpoint.entry.service, name)
         others = [item for item in self.holders(target) if item is not state]
-        return len(others) >= SPARE_BEYOND and not self.running(name, [state])
+        return len(others) >= MIN_OTHER_HOLDERS and not self.running(name, [state])
 
 
-def _make_room(
-    state: sites.EndpointState, possible: list[_Drop], needed_mb: float
-) -> list[_Drop] | None:
-    """Return what to drop for some memory; None where it is not enough.
+def _select_evictions(
+    state: sites.EndpointState, options: list[_Eviction], needed_mb: float
+) -> list[_Eviction] | None:
+    """Return what to evict to free some memory; None if it does not suffice.
 
-    The least missed go first; those that turn out not to be needed, since a
-    larger one had to follow, stay.
+    The cheapest models are chosen first. If a larger one has to follow, those that it
+    makes unnecessary are removed from the choice.
     """
-    drops: list[_Drop] = []
+    evictions: list[_Eviction] = []
     freed = 0.0
-    for drop in possible:
+    for eviction in options:
         if freed >= needed_mb:
             break
-        drops.append(drop)
-        freed += state.memory_mb(drop.model)
+        evictions.append(eviction)
+        freed += state.memory_mb(eviction.model)
     if freed < needed_mb:
         return None
-    for drop in reversed(drops[:]):
-        memory_mb = state.memory_mb(drop.model)
+    for eviction in reversed(evictions[:]):
+        memory_mb = state.memory_mb(eviction.model)
         if freed - memory_mb >= needed_mb:
-            drops.remove(drop)
+            evictions.remove(eviction)
             freed -= memory_mb
-    return drops
+    return evictions
--- a/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
@@ -185,7 +185,7 @@
             return False
         if job.adapter:
             return self._carry_out_adapter(state, job, model)
-        for name in job.drops:
+        for name in job.evictions:
             if state.free_mb() >= model.memory_mb:
                 break
             if not self._may_drop(state, job, name):
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -1,12 +1,11 @@
-"""The scheduler: decides, on the holder of the lease, what is loaded where.
+"""Scheduler: decides, on the lease holder, which models are loaded on which endpoints.
 
-Endpoints hold fewer models than are declared. What callers wait for and
-nobody holds is loaded first, where that harms the fewest requests; a load
-that would harm more than it helps is put off until its callers have waited
-longer. Then models whose endpoints are slow or full get another one, and models
-that nobody holds take the place of spare replicas. While hardly anybody asks,
-models of which there are few copies are loaded once more, so
-that they come from a disk when they are asked for.
+Endpoints hold fewer models than are declared. A model that callers wait for and no
+endpoint holds is loaded first, where that costs the fewest requests; a load that costs
+more than it gains is postponed until its callers have waited longer. Next, models whose
+endpoints are slow or nearly full get another endpoint, and models that no endpoint
+holds replace spare replicas. While there are hardly any requests, models with few
+copies are loaded once more, so that they can later be loaded from disk.
 """
 
 import collections
@@ -34,76 +33,78 @@
 
 log = logbook.Logger("scheduler")
 
-#: Seconds between looks at the demand, if nothing is waited for meanwhile.
-LOOK_S = 0.2
-#: Seconds between looks of a VM that does not hold the lease; gaining it ends one.
-IDLE_S = 1.0
-#: Rest after a look, as a multiple of the time that it took. Each VM tells several
-#: times a second what its callers wait for, and each time wakes the holder; on 75
-#: VMs its looks took most of its processor, and its own callers waited.
-REST = 2.0
-#: Share of a model's places in batches at which it gets another endpoint. A
-#: load costs as much as half a late answer, and prompts that are read delay
-#: all other requests of their endpoint long before its batch is full.
-FULL = 0.3
-#: Share at which it gets yet another one while the last is still loaded: a burst
-#: fills a batch within a second, and answers then begin late.
-CROWDED = 0.6
-#: Late answers a second, of one model, at which it gets another endpoint.
-LATE_PER_S = 1.0
-#: Requests a second below which a model gets no further endpoint.
-LEAST_RATE = 0.5
-#: Times the harm that a further endpoint's worth must be: what is dropped for it
-#: must not be wanted back at once.
-GAIN = 1.25
-#: Time between two further endpoints for one model, seconds: the last one must
-#: have taken its share first.
-SPREAD_S = 1.0
-#: Callers that wait for a model for which it is loaded at one more endpoint, as
-#: a share of a batch: so many can begin at once.
-CALLERS_PER_REPLICA = 0.4
-#: Time over which callers gather that are to come back, seconds: a load from
-#: the weight store takes about as long.
-RETURN_S = 2.0
-#: Requests that a load may harm for each caller that waits: at once, and more
-#: for each second past the moment at which the caller began to be late.
-HARM_AT_ONCE = 1.2
-HARM_PER_S = 0.7
-#: Requests that a further endpoint for a slow model may harm: at once, and for
-#: each late answer a second.
-HARM_OF_SPREADING = 0.5
-HARM_PER_LATE = 1.5
-#: Endpoints that keep a copy of each model, in memory or on disk: a second
-#: endpoint for it is then ready within a second.
-COPIES = 2
-#: Requests a second below which copies are made.
-IDLE_RATE = 1.0
-#: Part of the weight store's rate that such copies may take.
-COPY_SHARE = 0.7
-#: Requests that a copy for later may harm.
-HARM_OF_COPY = 0.05
+#: Seconds between scheduling passes unless a caller starts to wait for a model.
+INTERVAL_S = 0.2
+#: Seconds between checks for the lease on a VM that does not hold it; acquiring it
+#: triggers one at once.
+STANDBY_INTERVAL_S = 1.0
+#: Pause after a pass, as a multiple of its duration. Each VM reports several times a
+#: second what its callers wait for, and each report wakes the lease holder. With 75 VMs
+#: its passes used most of its processor time and delayed its own callers.
+PAUSE_FACTOR = 2.0
+#: Share of a model's batch slots in use above which it gets another endpoint. A load
+#: costs as much as half a late response, and prefill delays all other requests of an
+#: endpoint long before its batch is full.
+SPREAD_BATCH_SHARE = 0.3
+#: The same share while another endpoint is still loading the model: a burst fills a
+#: batch within a second, and responses then begin late.
+SPREAD_LOADING_BATCH_SHARE = 0.6
+#: Late responses per second of one model above which it gets another endpoint.
+SPREAD_LATE_PER_S = 1.0
+#: Requests per second below which a model gets no further endpoint.
+SPREAD_MIN_RATE_PER_S = 0.5
+#: Factor by which the value of a further replica must exceed its eviction cost: the
+#: evicted models must not be reloaded at once.
+MIN_VALUE_FACTOR = 1.25
+#: Time between two further endpoints for one model, seconds: the previous one must
+#: first have taken its share of the requests.
+SPREAD_INTERVAL_S = 1.0
+#: Number of waiting callers per replica to load, as a share of a batch: this many
+#: requests can begin at once.
+REPLICA_BATCH_SHARE = 0.4
+#: Time over which refused callers that will retry are counted as waiting, seconds: a
+#: load from the weight store takes about as long.
+RETRY_WINDOW_S = 2.0
+#: Eviction cost allowed for each waiting caller, in requests: a base amount, and an
+#: amount for each second by which the first caller has missed its objective.
+WAITING_COST_LIMIT = 1.2
+WAITING_COST_LIMIT_PER_S = 0.7
+#: Eviction cost allowed for a further endpoint of a slow model, in requests: a base
+#: amount, and an amount for each late response per second.
+SPREAD_COST_LIMIT = 0.5
+SPREAD_COST_LIMIT_PER_LATE = 1.5
+#: Minimum number of endpoints with a copy of each model, in memory or on disk: a second
+#: endpoint for the model is then ready within a second.
+MIN_COPIES = 2
+#: Total requests per second below which copies are made.
+COPY_MAX_RATE_PER_S = 1.0
+#: Share of the weight store's load rate that such copies may use.
+COPY_STORE_SHARE = 0.7
+#: Eviction cost allowed for a copy, in requests.
+COPY_COST_LIMIT = 0.05
 
-#: Seconds between looks for models that nobody holds: each weighs every site.
-COVER_S = 0.5
+#: Seconds between checks for models that no endpoint holds: each check computes the
+#: costs for every endpoint.
+COVER_INTERVAL_S = 0.5
 
-#: Pressure on an endpoint that carries out an order for a model, and for each
-#: adapter that waits there; a full batch counts 1.
-OCCUPIED = 5.0
-QUEUED = 0.2
-#: Time in which the holder collects changes of the registry, seconds: a model
-#: that was loaded is used at once.
-HOLDER_GATHER_S = 0.05
+#: Pressure of an endpoint that loads or unloads a model, and of each adapter queued
+#: there; a full batch counts 1.
+LOADING_PRESSURE = 5.0
+QUEUED_ADAPTER_PRESSURE = 0.2
+#: Time for which the lease holder batches registry changes, seconds: short, so that a
+#: model is used as soon as it is loaded.
+HOLDER_BATCH_S = 0.05
 
-#: Reasons to load.
+#: Reasons for a load, as logged.
 WANTED = "wanted"
 DEMAND = "its prompts need more endpoints"
 SLOW = "its endpoints are slow or nearly full"
-UNHELD = "nobody holds it"
+UNHELD = "no endpoint holds it"
 COPY = "too few endpoints have a copy"
 
 
 class Scheduler(kernel.Part):
-    """Assigns loads to sites while this VM holds the lease.
+    """Assigns loads to endpoints while this VM holds the lease.
 
     :param node_kernel: the node's kernel.
     """
@@ -117,226 +118,239 @@
         self.ordering = node_kernel.get(ordering.Ordering)
         self.site_orders = node_kernel.get(site_orders.SiteOrders)
         self.demand = node_kernel.get(demand.Demand)
-        self.offers = node_kernel.get(offers.Offers)
+        self.placement = node_kernel.get(offers.Placement)
         self.spread_at_by_target: dict[asked.Target, float] = {}
-        self.covered_at = 0.0
+        self.last_cover_at = 0.0
         self.woken = gevent.event.Event()
         node_kernel.get(residency.Residency).on_wanted.append(
             lambda *_: self.woken.set()
         )
-        self.lease.on_gained.append(self._gain)
+        self.lease.on_gained.append(self._on_lease_acquired)
 
     def start(self) -> None:
-        """Start to schedule whenever this VM holds the lease."""
+        """Start the scheduling loop; it schedules while this VM holds the lease."""
         self.tasks.spawn(self._run)
 
     def _run(self) -> None:
         while True:
-            self.woken.wait(LOOK_S if self.lease.held() else IDLE_S)
+            self.woken.wait(INTERVAL_S if self.lease.held() else STANDBY_INTERVAL_S)
             self.woken.clear()
-            holding = self.lease.held()
-            # The holder follows the registry closely; it informs all others.
-            batch_s = HOLDER_GATHER_S if holding else self.discovery.batch_s
+            holds_lease = self.lease.held()
+            # The lease holder batches changes only briefly: it informs the other VMs.
+            batch_s = HOLDER_BATCH_S if holds_lease else self.discovery.batch_s
             self.discovery.follower.batch_for(batch_s)
-            if holding and self.declarations.current is not None:
-                began = time.monotonic()
+            if holds_lease and self.declarations.current is not None:
+                started_at = time.monotonic()
                 self._schedule(self.declarations.current)
-                gevent.sleep(REST * (time.monotonic() - began))
+                gevent.sleep(PAUSE_FACTOR * (time.monotonic() - started_at))
 
-    def _gain(self) -> None:
+    def _on_lease_acquired(self) -> None:
         self.ordering.reset()
         self.woken.set()
 
     def _schedule(self, declaration: declared.Declaration) -> None:
         self.ordering.follow(declaration)
-        self.offers.look_anew()
+        self.placement.clear_caches()
         unmet_demands = self.demand.unmet()
-        covers = time.monotonic() - self.covered_at > COVER_S
-        if covers:
-            self.covered_at = time.monotonic()
+        cover_due = time.monotonic() - self.last_cover_at > COVER_INTERVAL_S
+        if cover_due:
+            self.last_cover_at = time.monotonic()
         for unmet in unmet_demands:
             service = declaration.service_by_name.get(unmet.target.service)
             accelerator = service.accelerator if service else None
             if accelerator and unmet.target.model in accelerator.model_by_name:
-                self._grant(unmet, accelerator)
+                self._load_for_waiting(unmet, accelerator)
         for service in declaration.service_by_name.values():
             if service.accelerator is not None:
                 self._spread(service.name, service.accelerator)
-                if covers:
+                if cover_due:
                     self._cover(service.name, service.accelerator)
-                if not unmet_demands and self.demand.total() < IDLE_RATE:
+                if not unmet_demands and self.demand.total() < COPY_MAX_RATE_PER_S:
                     self._copy(service.name, service.accelerator)
         self.ordering.start_work()
 
-    def _grant(
+    def _load_for_waiting(
         self, unmet: demand.UnmetDemand, accelerator: declared.Accelerator
     ) -> None:
-        """Have loaded what callers wait for."""
-        ready = self.offers.holders(unmet.target.base)
-        if unmet.target.adapter and ready:
-            self._place_adapter(unmet, ready)
+        """Load a model or adapter that callers wait for."""
+        holders = self.placement.holders(unmet.target.base)
+        if unmet.target.adapter and holders:
+            self._place_adapter(unmet, holders)
             return
-        # Callers that were told when to come back do not wait here.
-        callers = max(unmet.count, self.demand.rate(unmet.target.base) * RETURN_S)
-        if len(ready) > callers // (CALLERS_PER_REPLICA * accelerator.batch):
+        # Callers that were refused with a time to retry after are not in the count.
+        callers = max(unmet.count, self.demand.rate(unmet.target.base) * RETRY_WINDOW_S)
+        if len(holders) > callers // (REPLICA_BATCH_SHARE * accelerator.batch):
             return
         model = accelerator.model_by_name[unmet.target.model]
         late_s = max(0.0, -unmet.left_s)
-        harm = unmet.count * (HARM_AT_ONCE + HARM_PER_S * late_s)
+        cost_limit = unmet.count * (
+            WAITING_COST_LIMIT + WAITING_COST_LIMIT_PER_S * late_s
+        )
         target, count = unmet.target.base, unmet.count
-        anything = offers.Droppable.ANY
-        self._place_model(target, model, WANTED, harm, count, anything)
+        any_model = offers.Evictable.ANY
+        self._place_model(target, model, WANTED, cost_limit, count, any_model)
 
     def _place_adapter(
-        self, unmet: demand.UnmetDemand, ready: list[sites.EndpointState]
+        self, unmet: demand.UnmetDemand, states: list[sites.EndpointState]
     ) -> None:
-        if self.offers.holders(unmet.target):
+        if self.placement.holders(unmet.target):
             return
-        held = [
+        with_slot = [
             state
-            for state in ready
+            for state in states
             if unmet.target.model in state.adapters_by_model
             and self.ordering.has_adapter_place(state)
         ]
-        if held:
-            state = min(held, key=self._pressure)
-            self._add(state, sites.Job(unmet.target.model, unmet.target.adapter))
-            self._say(unmet.target, state, WANTED)
+        if with_slot:
+            state = min(with_slot, key=self._pressure)
+            self._queue_job(state, sites.Job(unmet.target.model, unmet.target.adapter))
+            self._log_decision(unmet.target, state, WANTED)
 
     def _pressure(self, state: sites.EndpointState) -> float:
-        running = self.load.of_endpoint(state.endpoint.id) / state.accelerator.batch
-        taken = state.adapters_held() / max(1, state.accelerator.adapter_places)
-        # Behind a model that is loaded or dropped an adapter waits for seconds.
-        busy = OCCUPIED if state.occupied else 0.0
-        return running + taken + busy + QUEUED * len(state.jobs)
+        batch_share = self.load.of_endpoint(state.endpoint.id) / state.accelerator.batch
+        adapter_share = state.adapters_held() / max(1, state.accelerator.adapter_places)
+        # An adapter waits for seconds behind a model that is loaded or unloaded.
+        loading = LOADING_PRESSURE if state.occupied else 0.0
+        return (
+            batch_share
+            + adapter_share
+            + loading
+            + QUEUED_ADAPTER_PRESSURE * len(state.jobs)
+        )
 
     def _place_model(
         self,
         target: asked.Target,
         model: declared.Model,
         reason: str,
-        most_harm: float,
+        cost_limit: float,
         callers: int,
-        droppable: offers.Droppable = offers.Droppable.UNUSED,
-    ) -> offers.Offer | None:
-        """Have a model loaded where that costs least, if it is worth it."""
-        share = COPY_SHARE if reason in (UNHELD, COPY) else 1.0
-        made = [
-            offer
-            for offer in self.offers.make(target.service, model, droppable)
-            if offer.harm <= most_harm
-            and self.site_orders.may_load(offer.state, model, share)
-            # A site loads its own copy sooner than it fetches another's, but
-            # that would add none.
-            and not (reason == COPY and model.name in offer.state.at_hand())
+        evictable: offers.Evictable = offers.Evictable.UNUSED,
+    ) -> offers.Candidate | None:
+        """Queue a load on the cheapest endpoint whose evictions cost little enough."""
+        share = COPY_STORE_SHARE if reason in (UNHELD, COPY) else 1.0
+        candidates = [
+            candidate
+            for candidate in self.placement.candidates(target.service, model, evictable)
+            if candidate.eviction_cost <= cost_limit
+            and self.site_orders.may_load(candidate.state, model, share)
+            # Loading from an existing copy is the cheapest, but adds no copy.
+            and not (reason == COPY and model.name in candidate.state.at_hand())
         ]
-        best = min(made, key=lambda offer: offer.cost(callers), default=None)
+        best = min(
+            candidates,
+            key=lambda candidate: candidate.total_cost(callers),
+            default=None,
+        )
         if best is not None:
-            job = sites.Job(model.name, "", best.drops, best.forced)
-            self._add(best.state, job)
-            self._say(target, best.state, reason, best)
+            job = sites.Job(model.name, "", best.evictions, best.forced)
+            self._queue_job(best.state, job)
+            self._log_decision(target, best.state, reason, best)
         return best
 
-    def _add(self, state: sites.EndpointState, job: sites.Job) -> None:
+    def _queue_job(self, state: sites.EndpointState, job: sites.Job) -> None:
         state.add(job)
-        self.offers.look_anew()
+        self.placement.clear_caches()
 
     def _spread(self, service: str, accelerator: declared.Accelerator) -> None:
-        """Give models whose endpoints are slow or nearly full another one."""
+        """Add an endpoint for each model whose endpoints are slow or nearly full."""
         for model in accelerator.model_by_name.values():
             target = asked.Target(service, model.name)
-            if self.demand.rate(target) < LEAST_RATE:
+            if self.demand.rate(target) < SPREAD_MIN_RATE_PER_S:
                 continue
             self._spread_by_demand(target, model)
             if self._needs_more(target, accelerator):
                 self.spread_at_by_target[target] = time.monotonic()
-                late = self.demand.late.rate(target)
-                harm = HARM_OF_SPREADING + HARM_PER_LATE * late
-                self._place_model(target, model, SLOW, harm, 1)
+                late_per_s = self.demand.late.rate(target)
+                cost_limit = SPREAD_COST_LIMIT + SPREAD_COST_LIMIT_PER_LATE * late_per_s
+                self._place_model(target, model, SLOW, cost_limit, 1)
 
     def _spread_by_demand(self, target: asked.Target, model: declared.Model) -> None:
-        """Have a model loaded wherever its prompts need one more endpoint, at once.
+        """Load a model on as many endpoints as its prompts need, all at once.
 
-        Demand that moves to a model brings several times what one endpoint reads
-        within two seconds. One more endpoint each second, each only once the one
-        before was full, left it overfull for ten.
+        When demand moves to a model, its prompts exceed what one endpoint can prefill
+        several times within two seconds. Adding one endpoint per second, each only once
+        the previous one was full, left the model overloaded for ten seconds.
         """
-        replicas = self.offers.room(self.offers.holders(target))
-        while replicas and replicas < self.offers.needed(target):
-            worth = self.offers.worth(target, replicas + 1)
-            placed = self._place_model(
+        replicas = self.placement.capacity(self.placement.holders(target))
+        while replicas and replicas < self.placement.endpoints_needed(target):
+            value = self.placement.replica_value(target, replicas + 1)
+            candidate = self._place_model(
                 target,
                 model,
                 DEMAND,
-                worth / GAIN,
-                round(worth),
-                offers.Droppable.ANY,
+                value / MIN_VALUE_FACTOR,
+                round(value),
+                offers.Evictable.ANY,
             )
-            if placed is None:
+            if candidate is None:
                 return
             replicas += 1
 
     def _needs_more(
         self, target: asked.Target, accelerator: declared.Accelerator
     ) -> bool:
-        """Return whether a model's endpoints are too few for its callers."""
-        since = time.monotonic() - self.spread_at_by_target.get(target, 0.0)
-        holders = self.offers.holders(target)
-        if since < SPREAD_S or not holders:
+        """Return whether a model has too few endpoints for its callers."""
+        since_last_s = time.monotonic() - self.spread_at_by_target.get(target, 0.0)
+        holders = self.placement.holders(target)
+        if since_last_s < SPREAD_INTERVAL_S or not holders:
             return False
-        running = self.offers.running(target.model, holders)
-        places = accelerator.batch * self.offers.room(holders)
+        running = self.placement.running(target.model, holders)
+        slots = accelerator.batch * self.placement.capacity(holders)
         if any(target.model not in state.adapters_by_model for state in holders):
-            # One more is on its way, which takes up to four seconds.
-            return running > CROWDED * places
-        full = running > FULL * places
-        return full or self.demand.late.rate(target) > LATE_PER_S
+            # Another endpoint is loading the model, which takes up to four seconds.
+            return running > SPREAD_LOADING_BATCH_SHARE * slots
+        full = running > SPREAD_BATCH_SHARE * slots
+        return full or self.demand.late.rate(target) > SPREAD_LATE_PER_S
 
     def _cover(self, service: str, accelerator: declared.Accelerator) -> None:
-        """Have models that nobody holds loaded where they displace only spares.
+        """Load models that no endpoint holds where they replace only spare replicas.
 
-        Callers of such a model then need not wait for a load, which takes up
-        to four seconds.
+        Otherwise their callers would wait for a load, which takes up to four seconds.
         """
-        harm_by_model = {}
+        cost_by_model = {}
         for model in accelerator.model_by_name.values():
             target = asked.Target(service, model.name)
-            if not self.offers.holders(target):
-                harm_by_model[model.name] = self.offers.absence(target, model)
-        for name in sorted(harm_by_model, key=harm_by_model.get, reverse=True):
+            if not self.placement.holders(target):
+                cost_by_model[model.name] = self.placement.unavailability_cost(
+                    target, model
+                )
+        for name in sorted(cost_by_model, key=cost_by_model.get, reverse=True):
             model = accelerator.model_by_name[name]
             target = asked.Target(service, name)
-            spares = offers.Droppable.SPARE
-            self._place_model(target, model, UNHELD, harm_by_model[name], 0, spares)
+            spare_only = offers.Evictable.SPARE
+            self._place_model(target, model, UNHELD, cost_by_model[name], 0, spare_only)
 
     def _copy(self, service: str, accelerator: declared.Accelerator) -> None:
-        """Have a model loaded once of which there are too few copies.
+        """Load each model with too few copies once on another endpoint.
 
-        What it displaces is loaded again afterwards, which is quick, since it
-        stays in the endpoint's host memory.
+        The models that it replaces are reloaded afterwards, which is fast because they
+        stay in the endpoint's host memory.
         """
-        copies: collections.Counter[str] = collections.Counter()
+        copies_by_model: collections.Counter[str] = collections.Counter()
         for state in self.ordering.of_service(service):
             if not state.known:
                 return
-            copies.update(state.at_hand())
+            copies_by_model.update(state.at_hand())
         models = accelerator.model_by_name.values()
-        for model in sorted(models, key=lambda item: copies[item.name]):
-            quicker = model.disk_s < model.store_s
-            if quicker and copies[model.name] < COPIES:
+        for model in sorted(models, key=lambda item: copies_by_model[item.name]):
+            faster_from_disk = model.disk_s < model.store_s
+            if faster_from_disk and copies_by_model[model.name] < MIN_COPIES:
                 target = asked.Target(service, model.name)
-                offer = self._place_model(target, model, COPY, HARM_OF_COPY, 0)
-                if offer is not None:
-                    offer.state.copied.add(model.name)
-                    for name in offer.drops:
-                        self._add(offer.state, sites.Job(name, "", (model.name,)))
+                candidate = self._place_model(target, model, COPY, COPY_COST_LIMIT, 0)
+                if candidate is not None:
+                    candidate.state.copied.add(model.name)
+                    for name in candidate.evictions:
+                        self._queue_job(
+                            candidate.state, sites.Job(name, "", (model.name,))
+                        )
 
-    def _say(
+    def _log_decision(
         self,
         target: asked.Target,
         state: sites.EndpointState,
         reason: str,
-        offer: offers.Offer | None = None,
+        candidate: offers.Candidate | None = None,
     ) -> None:
         logs.event(
             log,
@@ -346,10 +360,10 @@
             endpoint=state.endpoint.id,
             reason=reason,
             rate=round(self.demand.rate(target), 2),
-            needed=round(self.offers.needed(target.base), 2),
-            drops=list(offer.drops) if offer else [],
-            harm=round(offer.harm, 2) if offer else 0,
-            seconds=round(offer.seconds, 2) if offer else 0,
+            needed=round(self.placement.endpoints_needed(target.base), 2),
+            drops=list(candidate.evictions) if candidate else [],
+            harm=round(candidate.eviction_cost, 2) if candidate else 0,
+            seconds=round(candidate.seconds, 2) if candidate else 0,
             fence=self.lease.fence,
             outcome="queued",
         )
--- a/packages/mothworks_gateway/src/mothworks_gateway/sites.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/sites.py
@@ -69,7 +69,7 @@
 
     model: str
     adapter: str = ""
-    drops: tuple[str, ...] = ()
+    evictions: tuple[str, ...] = ()
     forced: bool = False
 
 
@@ -137,7 +137,7 @@
         """
         if any(job.model == model and job.adapter == adapter for job in self.jobs):
             return True
-        if any(model in job.drops for job in self.jobs):
+        if any(model in job.evictions for job in self.jobs):
             return False
         if not adapter and model == self.loading:
             return True
@@ -296,7 +296,7 @@
         for job in self.jobs:
             model = self.accelerator.model_by_name.get(job.model)
             if not job.adapter and model is not None and job.model not in seconds:
-                left_s += DROP_S * bool(job.drops) + self.load_s(model)
+                left_s += DROP_S * bool(job.evictions) + self.load_s(model)
                 seconds[job.model] = left_s
         return seconds
 
@@ -323,7 +323,7 @@
         if self.loading:
             held.setdefault(self.loading, set())
         for job in self.jobs:
-            for name in job.drops:
+            for name in job.evictions:
                 held.pop(name, None)
             held.setdefault(job.model, set())
         return held
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -1,4 +1,4 @@
-"""Builders of a scheduler with sites, without network, in virtual time."""
+"""Builders of a scheduler with endpoints, without network, in virtual time."""
 
 import types
 
@@ -28,7 +28,7 @@
 
 
 class Clock:
-    """Stands for the clock of the modules under test."""
+    """Replaces the clock of the modules under test."""
 
     def __init__(self, monkeypatch):
         self.now = 100.0
@@ -40,7 +40,7 @@
 
 
 class Load:
-    """Stands for the load: nothing runs, beside what a test says."""
+    """Stub of the running requests: none but those that a test sets."""
 
     def __init__(self):
         self.running_by_model = {}
@@ -57,18 +57,18 @@
 
 
 class Scheduling:
-    """A scheduler before some sites.
+    """A scheduler with some endpoints.
 
     :param clock: the virtual clock.
-    :param accelerator: what each site can hold.
-    :param holding: the models that each site holds.
+    :param accelerator: what each endpoint can hold.
+    :param holding: the models that each endpoint holds.
     """
 
     def __init__(self, clock, accelerator, holding):
         self.clock = clock
         self.accelerator = accelerator
         self.load = Load()
-        #: Requests a second that endpoints name as their most.
+        #: Rate limits that endpoints advertise, requests per second.
         self.limit_by_id = {}
         self.ordering = types.SimpleNamespace(
             of_service=lambda _: list(self.sites),
@@ -95,33 +95,33 @@
         kernel = gateway_builders.Kernel(parts)
         parts[reading.Reading] = self.reading = reading.Reading(kernel)
         parts[demand.Demand] = self.demand = demand.Demand(kernel)
-        parts[offers.Offers] = self.offers = offers.Offers(kernel)
+        parts[offers.Placement] = self.placement = offers.Placement(kernel)
         self.scheduler = scheduler.Scheduler(kernel)
         service = declared.Service(SERVICE, accelerator=accelerator)
         self.declaration = declared.Declaration(1, (), {SERVICE: service})
 
     def ask(self, model, per_s, tokens, seconds):
-        """Let requests arrive at a steady rate, and the scheduler look."""
+        """Send requests at a steady rate, with a scheduling pass per heartbeat."""
         for _ in range(round(seconds / heartbeat.HEARTBEAT_S)):
             self.clock.now += heartbeat.HEARTBEAT_S
             count = per_s * heartbeat.HEARTBEAT_S
             arrived = ((SERVICE, model, "", count, round(count * tokens)),)
-            told = heartbeat.Heartbeat(1, 1, 0, arrived=arrived)
-            self.demand._on_heartbeat("vm-1", told)
+            message = heartbeat.Heartbeat(1, 1, 0, arrived=arrived)
+            self.demand._on_heartbeat("vm-1", message)
             self.scheduler._schedule(self.declaration)
 
     def holders(self, model):
-        """Return how many sites hold a model, or load it now."""
-        return len(self.offers.holders(target(model)))
+        """Return how many endpoints hold a model or will hold it."""
+        return len(self.placement.holders(target(model)))
 
 
 def target(model):
-    """Return what a request for a model asks for."""
+    """Return the target of requests for a model."""
     return asked.Target(SERVICE, model)
 
 
 def state_of(name, accelerator, models):
-    """Return a site whose endpoint holds some models, with all on its disk."""
+    """Return the state of an endpoint with some models loaded and all on its disk."""
     endpoint = gateway_builders.endpoint(name, SERVICE, models=models)
     on_disk = frozenset(accelerator.model_by_name)
     endpoint.entry = attrs.evolve(endpoint.entry, on_disk=on_disk)
@@ -132,10 +132,10 @@
 
 
 def accelerator_for(names, batch):
-    """Return endpoints with memory for two large models, and these models.
+    """Return endpoints with memory for two large models that may hold given models.
 
-    :param names: of the models.
-    :param batch: requests that run at a time.
+    :param names: the models' names.
+    :param batch: batch slots of an endpoint.
     """
     models = {
         name: declared.Model(name, 34_300.0, 0, 0.0, 4.0, 1.0, 0.8) for name in names
--- a/packages/mothworks_gateway/tests/test_large_looks.py
+++ b/packages/mothworks_gateway/tests/test_large_looks.py
@@ -1,9 +1,9 @@
-"""Looks of the holder before many endpoints: the same answers, from few questions.
+"""Scheduling passes with many endpoints: cached holders are right and cheap.
 
-The pattern is 59 endpoints with two or three of 141 models each. A look that weighs
-each load against what each endpoint may drop asked all endpoints about each model; it
-took 80 to 120 ms of a whole core, and twice as long was waited after it, while callers
-waited for their models.
+The case is 59 endpoints with two or three of 141 models each. A pass that compared each
+load with the eviction costs of each endpoint checked all endpoints for each model. It
+used 80 to 120 ms of a whole core, the pause after it was twice as long, and callers
+waited for their models meanwhile.
 """
 
 import collections
@@ -27,39 +27,39 @@
 
 @pytest.fixture
 def made(monkeypatch):
-    draw = random.Random(1)
-    holding = [draw.sample(MODELS, draw.choice([2, 3])) for _ in range(59)]
+    rng = random.Random(1)
+    holding = [rng.sample(MODELS, rng.choice([2, 3])) for _ in range(59)]
     clock = scheduling_builders.Clock(monkeypatch)
     return scheduling_builders.Scheduling(clock, ACCELERATOR, holding)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_holders_are_those_that_all_sites_name(made, seed):
-    draw = random.Random(seed)
+def test_holders_equal_a_check_of_all_endpoints(made, seed):
+    rng = random.Random(seed)
     for state in made.sites:
-        state.loading = draw.choice(["", "", *MODELS])
-        for _ in range(draw.choice([0, 0, 1, 2])):
-            drops = tuple(draw.sample(sorted(state.adapters_by_model), 1))
-            adapter = draw.choice(["", "a1"])
-            state.jobs.append(sites.Job(draw.choice(MODELS), adapter, drops))
+        state.loading = rng.choice(["", "", *MODELS])
+        for _ in range(rng.choice([0, 0, 1, 2])):
+            evictions = tuple(rng.sample(sorted(state.adapters_by_model), 1))
+            adapter = rng.choice(["", "a1"])
+            state.jobs.append(sites.Job(rng.choice(MODELS), adapter, evictions))
     for name in MODELS:
         expected = [state for state in made.sites if state.will_hold(name, "")]
-        assert made.offers.holders(scheduling_builders.target(name)) == expected
+        assert made.placement.holders(scheduling_builders.target(name)) == expected
 
 
-def test_a_look_asks_few_sites(made, monkeypatch):
-    asked = collections.Counter()
+def test_a_pass_checks_few_endpoints(made, monkeypatch):
+    checks_by_model = collections.Counter()
     will_hold = sites.EndpointState.will_hold
 
-    def count(state, model, adapter):
-        asked[model] += 1
+    def counting_will_hold(state, model, adapter):
+        checks_by_model[model] += 1
         return will_hold(state, model, adapter)
 
     for number, name in enumerate(MODELS[:12]):
-        told = residency.Wanted(scheduling_builders.SERVICE, name, "", 3, 1, 0.4)
-        made.demand._on_wanted(f"vm-{number}", told)
-    monkeypatch.setattr(sites.EndpointState, "will_hold", count)
+        waiting = residency.Wanted(scheduling_builders.SERVICE, name, "", 3, 1, 0.4)
+        made.demand._on_wanted(f"vm-{number}", waiting)
+    monkeypatch.setattr(sites.EndpointState, "will_hold", counting_will_hold)
     made.scheduler._schedule(made.declaration)
-    # A look that asks no more than each endpoint about each model once stays within a
-    # hundredth of a second or two; it asked twenty times as much.
-    assert asked.total() < len(made.sites) * len(MODELS)
+    # A pass that checks each endpoint at most once per model takes a hundredth of a
+    # second or two; it used to make twenty times as many checks.
+    assert checks_by_model.total() < len(made.sites) * len(MODELS)
--- a/packages/mothworks_gateway/tests/test_scheduler.py
+++ b/packages/mothworks_gateway/tests/test_scheduler.py
@@ -26,7 +26,7 @@
 
 
 class Demand:
-    """Stands for the demand, with no late answers."""
+    """Stub of the demand, without late responses."""
 
     late = types.SimpleNamespace(rate=lambda _: 0.0)
 
@@ -34,29 +34,29 @@
         return 10.0
 
 
-class Offers:
-    """Stands for the offers: some sites hold a model, and requests run there."""
+class Placement:
+    """Stub of the placement: a model's holders and the requests that run there."""
 
     def __init__(self, holders, running):
-        self.found = holders
-        self.count = running
+        self.states = holders
+        self.request_count = running
 
     def holders(self, _):
-        return self.found
+        return self.states
 
     def running(self, *_):
-        return self.count
+        return self.request_count
 
-    def room(self, held_by):
-        return len(held_by)
+    def capacity(self, states):
+        return len(states)
 
 
 @pytest.fixture
 def make():
-    def made(loaded, coming, running):
+    def made(loaded, loading, running):
         holders = [state(True) for _ in range(loaded)]
-        holders += [state(False) for _ in range(coming)]
-        plain = types.SimpleNamespace(on_gained=[], on_wanted=[], follower=None)
+        holders += [state(False) for _ in range(loading)]
+        stub = types.SimpleNamespace(on_gained=[], on_wanted=[], follower=None)
         parts = dict.fromkeys(
             (
                 lease.Lease,
@@ -67,9 +67,12 @@
                 site_orders.SiteOrders,
                 residency.Residency,
             ),
-            plain,
+            stub,
         )
-        parts |= {demand.Demand: Demand(), offers.Offers: Offers(holders, running)}
+        parts |= {
+            demand.Demand: Demand(),
+            offers.Placement: Placement(holders, running),
+        }
         return scheduler.Scheduler(gateway_builders.Kernel(parts))
 
     return made
@@ -88,21 +91,21 @@
     return made._needs_more(TARGET, ACCELERATOR)
 
 
-def test_a_model_whose_batches_fill_gets_another_endpoint(make):
-    assert needs_more(make(loaded=1, coming=0, running=12))
-    assert not needs_more(make(loaded=1, coming=0, running=5))
+def test_a_model_with_nearly_full_batches_gets_another_endpoint(make):
+    assert needs_more(make(loaded=1, loading=0, running=12))
+    assert not needs_more(make(loaded=1, loading=0, running=5))
 
 
-def test_a_model_waits_for_the_endpoint_that_is_on_its_way(make):
-    assert not needs_more(make(loaded=1, coming=1, running=20))
+def test_a_model_waits_for_an_endpoint_that_is_loading_it(make):
+    assert not needs_more(make(loaded=1, loading=1, running=20))
 
 
-def test_a_burst_does_not_wait_for_the_endpoint_that_is_on_its_way(make):
-    # Forty requests run at an endpoint whose batch takes 32, and the next one is
-    # ready in four seconds. Until then answers begin 0.3 to 0.8 s late, unless
-    # one that has the weights on its disk helps within a second.
-    assert needs_more(make(loaded=1, coming=1, running=40))
+def test_a_burst_does_not_wait_for_an_endpoint_that_is_loading_the_model(make):
+    # Forty requests run on an endpoint with a batch of 32, and the next endpoint is
+    # ready in four seconds. Until then responses begin 0.3 to 0.8 s late, unless an
+    # endpoint with the weights on its disk takes over within a second.
+    assert needs_more(make(loaded=1, loading=1, running=40))
 
 
-def test_a_model_that_nobody_holds_is_no_matter_of_spreading(make):
-    assert not needs_more(make(loaded=0, coming=0, running=40))
+def test_a_model_without_holders_is_not_spread(make):
+    assert not needs_more(make(loaded=0, loading=0, running=40))
