--- a/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
@@ -49,7 +49,7 @@
         self.load = node_kernel.get(load.Load)
         self.demand = node_kernel.get(demand.Demand)
         self.orders = node_kernel.get(site_orders.SiteOrders)
-        self.state_by_id: dict[str, sites.EndpointState] = {}
+        self.site_by_id: dict[str, sites.EndpointState] = {}
         #: Sites that are to be looked at, and how many tasks do so.
         self._unknown: collections.deque[sites.EndpointState] = collections.deque()
         self._looking = 0
@@ -58,7 +58,7 @@
 
     def reset(self) -> None:
         """Forget everything, since another VM has ordered meanwhile."""
-        self.state_by_id.clear()
+        self.site_by_id.clear()
 
     def of_service(self, service: str) -> list[sites.EndpointState]:
         """Return the sites of a service.
@@ -67,7 +67,7 @@
         """
         return [
             state
-            for state in self.state_by_id.values()
+            for state in self.site_by_id.values()
             if state.endpoint.entry.service == service
         ]
 
@@ -76,23 +76,23 @@
 
         :param declaration: the declaration in force.
         """
-        for endpoint_id in self.state_by_id.keys() - self.registry.by_id.keys():
-            del self.state_by_id[endpoint_id]
+        for endpoint_id in self.site_by_id.keys() - self.registry.by_id.keys():
+            del self.site_by_id[endpoint_id]
         for endpoint in self.registry.by_id.values():
             service = declaration.service_by_name.get(endpoint.entry.service)
             if service is None or service.accelerator is None:
                 continue
-            state = self.state_by_id.get(endpoint.id)
+            state = self.site_by_id.get(endpoint.id)
             if state is None:
                 state = sites.EndpointState(endpoint, service.accelerator)
-                self.state_by_id[endpoint.id] = state
+                self.site_by_id[endpoint.id] = state
             state.accelerator = service.accelerator
 
     def start_work(self) -> None:
         """Start what is to be done at sites on which no task works."""
         if not self.lease.held():
             return
-        for state in self.state_by_id.values():
+        for state in self.site_by_id.values():
             if state.busy:
                 continue
             if state.known:
@@ -102,12 +102,12 @@
         self._start_looks()
 
     def _wake_all(self) -> None:
-        for state in self.state_by_id.values():
+        for state in self.site_by_id.values():
             state.woken.set()
 
     def _distrust(self, endpoint_id: str) -> None:
         """Look again at an endpoint that lacked what it should hold."""
-        state = self.state_by_id.get(endpoint_id)
+        state = self.site_by_id.get(endpoint_id)
         if state is not None:
             state.accepted = None
             state.woken.set()
@@ -145,7 +145,7 @@
 
     def _is_ours(self, state: sites.EndpointState) -> bool:
         """Return whether this VM may still order what a site holds."""
-        return self.lease.held() and self.state_by_id.get(state.endpoint.id) is state
+        return self.lease.held() and self.site_by_id.get(state.endpoint.id) is state
 
     def _start_jobs(self, state: sites.EndpointState) -> None:
         if state.known and state.jobs and self._is_ours(state):
--- a/packages/mothworks_gateway/tests/test_ordering.py
+++ b/packages/mothworks_gateway/tests/test_ordering.py
@@ -67,11 +67,11 @@
         for number in range(count):
             state = scheduling_builders.state_of(f"i-{number}", accelerator, ("m",))
             state.accepted = None
-            self.ordering.state_by_id[state.endpoint.id] = state
+            self.ordering.site_by_id[state.endpoint.id] = state
 
     @property
     def sites(self):
-        return list(self.ordering.state_by_id.values())
+        return list(self.ordering.site_by_id.values())
 
     @property
     def tasks(self):
@@ -113,10 +113,10 @@
     fleet.settle()
     fleet.settle()
     assert fleet.orders.looks.count("i-3") == 1
-    fleet.ordering.state_by_id["i-3"].look_at = 0.0
+    fleet.ordering.site_by_id["i-3"].look_at = 0.0
     fleet.orders.silent.clear()
     fleet.settle()
-    assert fleet.ordering.state_by_id["i-3"].known
+    assert fleet.ordering.site_by_id["i-3"].known
 
 
 # Guards against jobs that wait for the next look of the scheduler.
