--- a/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
@@ -1,12 +1,11 @@
-"""Late orders: those without an answer, which an endpoint may carry out later.
-
-An endpoint carries a late order out only while it has accepted as many orders as
-the order names. Within one incarnation that makes late orders harmless (see
-:mod:`site_orders`). But the count starts anew when the endpoint starts again
-under its name, and an old order may meet its count once more; where another one
-names the next count, that one may follow. So each VM remembers the orders that
-got no answer, and whoever holds the lease sends none after which such a sequence
-would find no room.
+"""Late orders: orders without a response, which an endpoint may still execute.
+
+An endpoint executes a late order only while it has accepted as many orders as the order
+names. Within one incarnation that makes late orders harmless (see :mod:`site_orders`).
+But an endpoint that restarts under its name counts from zero again, so an old order may
+match the count once more, and another old order that names the next count may follow
+it. So each VM remembers the orders without a response, and the lease holder sends no
+order after which such a sequence would not fit in memory.
 """
 
 import time
@@ -16,18 +15,19 @@
 from mothworks import kernel, messages, peers
 from mothworks_gateway import adapters, registry, sites
 
-#: Time for which an order without an answer may still be carried out, seconds:
-#: five times the longest delay that endpoints' operators report (12 s).
-LATE_S = 60.0
+#: Time for which an order without a response may still be executed, seconds: five times
+#: the longest delay that operators of endpoints report (12 s).
+MAX_ORDER_DELAY_S = 60.0
 
 
 @messages.message(119)
 @attrs.frozen
-class Unanswered:
-    """Tells all VMs of an order that got no answer.
+class UnansweredOrder:
+    """An order that got no response; sent to all VMs.
 
-    :param endpoint: the endpoint's name, which outlasts its incarnations.
-    :param accepted: orders that the endpoint must have accepted to take it.
+    :param endpoint: the endpoint's name, which its incarnations share.
+    :param accepted: number of orders that the endpoint must have accepted to execute
+        it.
     :param load: whether it loads; otherwise it unloads.
     :param model: the model.
     :param adapter: its adapter, or empty.
@@ -40,9 +40,9 @@
     adapter: str
 
     def changes(self, held: dict[str, set[str]]) -> bool:
-        """Return whether an endpoint that holds something would be changed by it.
+        """Return whether the order would change what an endpoint holds.
 
-        :param held: the models that it holds, with their adapters.
+        :param held: what the endpoint holds, adapters by model.
         """
         has_model = self.model in held
         if self.adapter:
@@ -51,43 +51,43 @@
         return has_model != self.load
 
 
-def of_order(endpoint: registry.Endpoint, order: adapters.Order) -> Unanswered:
-    """Return what is told of an order that gets no answer.
+def from_order(endpoint: registry.Endpoint, order: adapters.Order) -> UnansweredOrder:
+    """Return the message for an order that got no response.
 
-    :param endpoint: where it was sent.
+    :param endpoint: the endpoint that it was sent to.
     :param order: the order.
     """
-    return Unanswered(
+    return UnansweredOrder(
         endpoint.entry.name, order.accepted, order.load, order.model, order.adapter
     )
 
 
-def fit(
-    late: list[Unanswered],
+def all_fit(
+    late: list[UnansweredOrder],
     state: sites.EndpointState,
     held: dict[str, set[str]],
     accepted: int,
 ) -> bool:
-    """Return whether late orders find room, in each sequence that may happen.
+    """Return whether late orders fit in memory, in each sequence that may happen.
 
     :param late: the late orders.
-    :param state: the endpoint's site.
-    :param held: what the endpoint holds; see :meth:`sites.EndpointState.taking`.
-    :param accepted: how many orders it has accepted.
+    :param state: the endpoint's state.
+    :param held: what the endpoint holds; see :meth:`sites.EndpointState.in_memory`.
+    :param accepted: number of orders that it has accepted.
     """
     for order in late:
         if order.accepted != accepted or not order.changes(held):
             continue
         if order.load and not state.fits(order.model, order.adapter, held):
             return False
-        after = sites.carried_out(held, order.load, order.model, order.adapter)
-        if not fit(late, state, after, accepted + 1):
+        after = sites.holdings_after(held, order.load, order.model, order.adapter)
+        if not all_fit(late, state, after, accepted + 1):
             return False
     return True
 
 
 class LateOrders(kernel.Part):
-    """Remembers them, by endpoint.
+    """Remembers the orders without a response, by endpoint.
 
     :param node_kernel: the node's kernel.
     """
@@ -95,39 +95,45 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.peers = node_kernel.get(peers.Peers)
-        #: Monotonic time until which each may be carried out.
-        self.until_by_order: dict[Unanswered, float] = {}
-        self.peers.handle(Unanswered, lambda _, told, __: self._remember(told))
+        #: Monotonic time until which each order may still be executed.
+        self.expiry_by_order: dict[UnansweredOrder, float] = {}
+        self.peers.handle(
+            UnansweredOrder, lambda _, unanswered, __: self._remember(unanswered)
+        )
 
-    def note(self, endpoint: registry.Endpoint, order: adapters.Order) -> None:
-        """Remember an order that got no answer, here and on all other VMs.
+    def record(self, endpoint: registry.Endpoint, order: adapters.Order) -> None:
+        """Record an order that got no response, on this VM and all others.
 
-        An endpoint that does not tell its starts gets a new name with each, which
-        a late order does not reach.
+        An endpoint that does not report its start time gets a new name with each start,
+        so late orders do not reach its next incarnation.
 
-        :param endpoint: where it was sent.
+        :param endpoint: the endpoint that it was sent to.
         :param order: the order.
         """
         if endpoint.entry.born:
-            told = of_order(endpoint, order)
-            self._remember(told)
-            self.peers.send_all(told)
+            unanswered = from_order(endpoint, order)
+            self._remember(unanswered)
+            self.peers.send_all(unanswered)
 
-    def of(self, endpoint: registry.Endpoint) -> list[Unanswered]:
-        """Return what an endpoint may still carry out.
+    def pending(self, endpoint: registry.Endpoint) -> list[UnansweredOrder]:
+        """Return the late orders that an endpoint may still execute.
 
-        :param endpoint: the endpoint, in whichever incarnation.
+        :param endpoint: the endpoint, in any incarnation.
         """
         now = time.monotonic()
         return [
             order
-            for order, until in self.until_by_order.items()
-            if until > now and order.endpoint == endpoint.entry.name
+            for order, expires_at in self.expiry_by_order.items()
+            if expires_at > now and order.endpoint == endpoint.entry.name
         ]
 
-    def _remember(self, told: Unanswered) -> None:
+    def _remember(self, unanswered: UnansweredOrder) -> None:
         now = time.monotonic()
-        ended = [key for key, until in self.until_by_order.items() if until < now]
-        for order in ended:
-            del self.until_by_order[order]
-        self.until_by_order[told] = now + LATE_S
+        expired = [
+            order
+            for order, expires_at in self.expiry_by_order.items()
+            if expires_at < now
+        ]
+        for order in expired:
+            del self.expiry_by_order[order]
+        self.expiry_by_order[unanswered] = now + MAX_ORDER_DELAY_S
--- a/packages/mothworks_gateway/src/mothworks_gateway/offers.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/offers.py
@@ -267,7 +267,9 @@
         sooner than an endpoint that fetches it from the weight store.
         """
         models = [job.model for job in state.jobs if not job.adapter]
-        return not state.jobs or (len(models) == 1 and model.name in state.at_hand())
+        return not state.jobs or (
+            len(models) == 1 and model.name in state.local_models()
+        )
 
     def _candidate(
         self,
@@ -276,7 +278,7 @@
         options: list[_Eviction],
     ) -> Candidate | None:
         free_mb = state.accelerator.memory_mb
-        free_mb -= sum(map(state.memory_mb, state.after_jobs()))
+        free_mb -= sum(map(state.memory_mb, state.holdings_after_jobs()))
         evictions = _select_evictions(state, options, model.memory_mb - free_mb)
         if evictions is None:
             return None
@@ -285,9 +287,11 @@
         running = sum(self.running(name, [state]) for name in names)
         share = self.load.of_endpoint(state.endpoint.id) / state.accelerator.batch
         seconds = (
-            state.load_s(model) + FULL_BATCH_DELAY_S * share + sites.unload_s(running)
+            state.load_s(model)
+            + FULL_BATCH_DELAY_S * share
+            + sites.expected_unload_s(running)
         )
-        seconds += max(state.coming_s().values(), default=0.0)
+        seconds += max(state.ready_s_by_model().values(), default=0.0)
         return Candidate(state, names, eviction_cost, seconds, running > 0)
 
     def eviction_cost(self, state: sites.EndpointState, name: str) -> float:
@@ -319,7 +323,7 @@
         """Return what an endpoint may evict, the cheapest first."""
         names = [
             name
-            for name in state.after_jobs()
+            for name in state.holdings_after_jobs()
             if name in state.adapters_by_model
             and name not in unmet_models
             and self._may_evict(state, name, evictable)
--- a/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
@@ -116,7 +116,7 @@
                 self._start_looks()
 
     def _queue_look(self, state: sites.EndpointState) -> None:
-        if state.endpoint.open and time.monotonic() >= state.look_at:
+        if state.endpoint.open and time.monotonic() >= state.inventory_retry_at:
             state.busy = True
             self._unknown.append(state)
 
@@ -138,9 +138,11 @@
     def _look(self, state: sites.EndpointState) -> bool:
         """Ask an endpoint what it holds; returns whether that is known now."""
         if state.endpoint.open:
-            self.orders.look(state)
+            self.orders.refresh(state)
         if not state.known:
-            state.look_at = time.monotonic() + site_orders.LOOK_S
+            state.inventory_retry_at = (
+                time.monotonic() + site_orders.INVENTORY_INTERVAL_S
+            )
         return state.known
 
     def _is_ours(self, state: sites.EndpointState) -> bool:
@@ -214,9 +216,9 @@
         """
         running = self.load.of_model(state.endpoint.id, name)
         state.leaving = name
-        state.gone_at = time.monotonic() + sites.unload_s(running)
+        state.drained_at = time.monotonic() + sites.expected_unload_s(running)
         self.orders.publish(state)
-        until = time.monotonic() + sites.MOST_RUNNING_S
+        until = time.monotonic() + sites.MAX_DRAIN_S
         while self._in_use(state, name) and time.monotonic() < until:
             job = state.next_adapter()
             if job is not None:
@@ -242,7 +244,7 @@
         if job.model not in state.adapters_by_model:
             return False
         while (
-            state.adapters_held() >= state.accelerator.adapter_places
+            state.adapter_count() >= state.accelerator.adapter_places
             or state.free_mb() < model.adapter_mb
         ):
             victim = self._unused_adapter(state)
@@ -250,13 +252,13 @@
                 return False
         return self.orders.order(state, True, job.model, job.adapter)
 
-    def has_adapter_place(self, state: sites.EndpointState) -> bool:
+    def has_adapter_slot(self, state: sites.EndpointState) -> bool:
         """Return whether one more adapter can be loaded at a site now.
 
         :param state: the site.
         """
         waiting = sum(1 for job in state.jobs if job.adapter)
-        free = state.accelerator.adapter_places - state.adapters_held() - waiting
+        free = state.accelerator.adapter_places - state.adapter_count() - waiting
         return free > 0 or len(self._idle_adapters(state)) > -free
 
     def _unused_adapter(self, state: sites.EndpointState) -> tuple[str, str] | None:
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -199,7 +199,7 @@
             state
             for state in states
             if unmet.target.model in state.adapters_by_model
-            and self.ordering.has_adapter_place(state)
+            and self.ordering.has_adapter_slot(state)
         ]
         if with_slot:
             state = min(with_slot, key=self._pressure)
@@ -208,7 +208,7 @@
 
     def _pressure(self, state: sites.EndpointState) -> float:
         batch_share = self.load.of_endpoint(state.endpoint.id) / state.accelerator.batch
-        adapter_share = state.adapters_held() / max(1, state.accelerator.adapter_places)
+        adapter_share = state.adapter_count() / max(1, state.accelerator.adapter_places)
         # An adapter waits for seconds behind a model that is loaded or unloaded.
         loading = LOADING_PRESSURE if state.occupied else 0.0
         return (
@@ -235,7 +235,7 @@
             if candidate.eviction_cost <= cost_limit
             and self.site_orders.may_load(candidate.state, model, share)
             # Loading from an existing copy is the cheapest, but adds no copy.
-            and not (reason == COPY and model.name in candidate.state.at_hand())
+            and not (reason == COPY and model.name in candidate.state.local_models())
         ]
         best = min(
             candidates,
@@ -331,7 +331,7 @@
         for state in self.ordering.of_service(service):
             if not state.known:
                 return
-            copies_by_model.update(state.at_hand())
+            copies_by_model.update(state.local_models())
         models = accelerator.model_by_name.values()
         for model in sorted(models, key=lambda item: copies_by_model[item.name]):
             faster_from_disk = model.disk_s < model.store_s
--- a/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
@@ -1,17 +1,17 @@
-"""Site orders: one order to one endpoint, sent until it is carried out.
+"""Site orders: sends an order to an endpoint until it is executed.
 
-An order names the number of orders that the endpoint has accepted so far, and
-the endpoint takes it only if that is still so. Of two orders that name the same
-number, at most one is ever carried out; so an order whose answer was lost is
-simply followed by the next, and memory is never overcommitted: whatever is in
-flight fits beside what the endpoint holds at that number.
+An order names the number of orders that the endpoint has accepted so far, and the
+endpoint accepts it only if that number still holds. Of two orders with the same number,
+at most one is ever executed. So an order without a response is simply followed by the
+next one, and memory is never overcommitted: each order in flight fits beside what the
+endpoint holds at its number.
 
-An endpoint that starts again under its name counts anew, and an order of its
-former incarnation may be carried out in the next one. It then takes effect only
-at the number that it names. So no order is sent after which such late orders, one
-or several in a row, would find no room: neither from what the endpoint then holds,
-nor from the empty start of its next incarnation. And none is sent to an endpoint
-that may have started again unnoticed.
+An endpoint that restarts under its name counts from zero again, and may execute an
+order that was sent to its previous incarnation. Such a late order takes effect only at
+the number that it names. So no order is sent after which late orders, one or several in
+a row, would not fit in memory, neither beside what the endpoint then holds nor after an
+empty start of its next incarnation. No order is sent to an endpoint that may have
+restarted unnoticed.
 """
 
 import time
@@ -36,29 +36,29 @@
 
 log = logbook.Logger("orders")
 
-#: Time that an adapter takes to load, from the order's acceptance, seconds:
-#: 5 to 10 ms are usual.
-ADAPTER_S = 0.012
-#: Pause before an order that met a conflict is tried again, seconds: the first,
-#: the longest, and how it grows.
-CONFLICT_S = 0.03
-MOST_CONFLICT_S = 0.25
-CONFLICT_GROWTH = 1.7
-#: Time of conflicts after which the endpoint is asked what it holds, seconds.
-SUSPECT_S = 1.0
-#: Pause between looks at an endpoint that carries out an order, seconds.
-LOOK_S = 0.5
-#: Time beyond a load's usual duration before the endpoint is asked, and between
-#: two such looks, seconds: the registry tells sooner, unless it is away.
-LATE_S = 0.15
-LATE_LOOK_S = 0.25
-#: Longest time for one job, seconds; a job that takes longer is dropped and
-#: decided anew.
-JOB_S = 20.0
+#: Time to load an adapter after the order is accepted, seconds: 5 to 10 ms are typical.
+ADAPTER_LOAD_S = 0.012
+#: Delay before an order that met a conflict is retried, seconds: the first delay, the
+#: maximum, and the factor by which it grows.
+CONFLICT_RETRY_S = 0.03
+MAX_CONFLICT_RETRY_S = 0.25
+CONFLICT_RETRY_FACTOR = 1.7
+#: Time of conflicts after which the endpoint's inventory is requested, seconds.
+CONFLICT_INVENTORY_S = 1.0
+#: Time between inventory requests to an endpoint that is executing an order, seconds.
+INVENTORY_INTERVAL_S = 0.5
+#: Time past a load's usual duration after which the endpoint's inventory is requested,
+#: and between two such requests, seconds. The registry usually reports the load sooner,
+#: unless it is unavailable.
+LOAD_OVERDUE_S = 0.15
+OVERDUE_INVENTORY_INTERVAL_S = 0.25
+#: Maximum time for one job, seconds. A job that takes longer is dropped, and the
+#: scheduler decides anew.
+JOB_TIMEOUT_S = 20.0
 
 
 class SiteOrders(kernel.Part):
-    """Sends orders while this VM holds the lease.
+    """Sends orders to endpoints while this VM holds the lease.
 
     :param node_kernel: the node's kernel.
     """
@@ -82,43 +82,43 @@
     def may_load(
         self, state: sites.EndpointState, model: declared.Model, share: float = 1.0
     ) -> bool:
-        """Return whether the weight store's rate allows one more load.
+        """Return whether the weight store's load rate allows one more load.
 
-        :param state: where to.
-        :param model: what is loaded.
-        :param share: the part of the rate that such loads may take.
+        :param state: the endpoint's state.
+        :param model: the model to load.
+        :param share: the share of the rate that such loads may use.
         """
         if state.load_s(model) < model.store_s:
             return True
         per_s = state.accelerator.store_loads_per_s * self.bounds.load_factor
-        most = max(1, int(per_s * self.bounds.load_window_s * share))
-        return self.store_loads.count() < most
+        max_loads = max(1, int(per_s * self.bounds.load_window_s * share))
+        return self.store_loads.count() < max_loads
 
-    def look(self, state: sites.EndpointState) -> None:
-        """Ask an endpoint what it holds and how many orders it accepted.
+    def refresh(self, state: sites.EndpointState) -> None:
+        """Request an endpoint's inventory and apply it to its state.
 
-        :param state: the endpoint's site, which takes the answer.
+        :param state: the endpoint's state.
         """
-        seen = self._inventory(state)
-        if seen is None:
+        inventory = self._inventory(state)
+        if inventory is None:
             state.accepted = None
             return
-        state.take(seen)
+        state.apply_inventory(inventory)
         if state.known and state.adapters_by_model != state.endpoint.adapters_by_model:
-            # What agrees with the registry, all VMs know from there.
+            # All VMs know from the registry what agrees with it.
             self.publish(state)
 
     def _inventory(self, state: sites.EndpointState) -> adapters.Inventory | None:
-        """Return an endpoint's report; None where this incarnation gives none."""
-        known_born = state.endpoint.entry.born
+        """Return an endpoint's inventory; None if this incarnation reports none."""
+        entry_born = state.endpoint.entry.born
         match self.protocol.inventory(state.endpoint):
-            case result.Ok(seen) if not (known_born and seen.born):
-                # One of the two does not tell, so they cannot differ.
-                return seen
-            case result.Ok(seen) if seen.born == known_born:
-                return seen
-            case result.Ok(seen):
-                self.registry.restarted(state.endpoint, seen.born)
+            case result.Ok(inventory) if not (entry_born and inventory.born):
+                # Without both start times, the incarnations cannot be compared.
+                return inventory
+            case result.Ok(inventory) if inventory.born == entry_born:
+                return inventory
+            case result.Ok(inventory):
+                self.registry.restarted(state.endpoint, inventory.born)
                 reason = "another incarnation answers"
             case result.Err(reason):
                 pass
@@ -128,24 +128,24 @@
     def order(
         self, state: sites.EndpointState, loads: bool, model: str, adapter: str
     ) -> bool:
-        """Order something until it is carried out; returns whether it is.
+        """Send an order until it is executed; returns whether it is.
 
-        :param state: where to.
-        :param loads: whether it is to be loaded, or else dropped.
+        :param state: the endpoint's state.
+        :param loads: whether to load; otherwise unload.
         :param model: the model.
         :param adapter: its adapter; empty for the model itself.
         """
-        until = time.monotonic() + JOB_S
-        look_at = time.monotonic() + SUSPECT_S
-        pause = CONFLICT_S
+        deadline = time.monotonic() + JOB_TIMEOUT_S
+        inventory_at = time.monotonic() + CONFLICT_INVENTORY_S
+        retry_delay_s = CONFLICT_RETRY_S
         refused = unanswered = False
-        self._let_unload_end(state)
-        while time.monotonic() < until and self.lease.held() and state.open:
+        self._wait_for_unload(state)
+        while time.monotonic() < deadline and self.lease.held() and state.open:
             if not state.known:
-                self.look(state)
-                look_at = time.monotonic() + SUSPECT_S
+                self.refresh(state)
+                inventory_at = time.monotonic() + CONFLICT_INVENTORY_S
                 if not state.known:
-                    gevent.sleep(LOOK_S)
+                    gevent.sleep(INVENTORY_INTERVAL_S)
                     continue
             if self._holds(state, model, adapter) == loads:
                 return True
@@ -156,27 +156,29 @@
                 case None:
                     return False
                 case adapters.OrderOutcome.ACCEPTED | adapters.OrderOutcome.DONE:
-                    self._learn_unload_time(state, refused)
+                    self._update_unload_time(state, refused)
                     if not (order.load or order.adapter):
-                        state.unloaded_at = time.monotonic()
-                    self._await(state, order)
+                        state.unload_accepted_at = time.monotonic()
+                    self._wait_until_executed(state, order)
                     return self._holds(state, model, adapter) == loads
                 case adapters.OrderOutcome.CONFLICT:
-                    # Most often the order before is still being carried out.
+                    # Most often the endpoint is still executing the previous order.
                     refused = True
-                    gevent.sleep(pause)
-                    pause = min(MOST_CONFLICT_S, pause * CONFLICT_GROWTH)
-                    if unanswered or time.monotonic() > look_at:
+                    gevent.sleep(retry_delay_s)
+                    retry_delay_s = min(
+                        MAX_CONFLICT_RETRY_S, retry_delay_s * CONFLICT_RETRY_FACTOR
+                    )
+                    if unanswered or time.monotonic() > inventory_at:
                         state.accepted = None
                         unanswered = False
                 case adapters.OrderOutcome.UNKNOWN:
-                    # The next copy names the same number of accepted orders:
-                    # only one of them can be taken.
+                    # The next copy names the same number of accepted orders, so at most
+                    # one of them is accepted.
                     unanswered = True
-                    gevent.sleep(CONFLICT_S)
+                    gevent.sleep(CONFLICT_RETRY_S)
                 case adapters.OrderOutcome.MISDIRECTED:
-                    # Its report came from the endpoint that has its address
-                    # now, and looked like one with all of its memory free.
+                    # Its inventory came from the endpoint that now has its address, and
+                    # looked like an endpoint with all of its memory free.
                     self.registry.dismiss(state.endpoint, "its address is another's")
                     return False
                 case _:
@@ -184,40 +186,40 @@
                     return False
         return False
 
-    def _let_unload_end(self, state: sites.EndpointState) -> None:
-        """Wait until an endpoint has probably carried out its last unload."""
-        if state.unloaded_at is not None:
-            ends_at = state.unloaded_at + self.unload_time.expected_s
-            gevent.sleep(max(0.0, ends_at - time.monotonic()))
+    def _wait_for_unload(self, state: sites.EndpointState) -> None:
+        """Wait until an endpoint has probably finished its last unload."""
+        if state.unload_accepted_at is not None:
+            done_at = state.unload_accepted_at + self.unload_time.expected_s
+            gevent.sleep(max(0.0, done_at - time.monotonic()))
 
-    def _learn_unload_time(self, state: sites.EndpointState, refused: bool) -> None:
-        """Learn from the first order that an endpoint took after an unload."""
-        if state.unloaded_at is None:
+    def _update_unload_time(self, state: sites.EndpointState, refused: bool) -> None:
+        """Update the expected unload time from the first order after an unload."""
+        if state.unload_accepted_at is None:
             return
         if refused:
-            self.unload_time.refused_until(time.monotonic() - state.unloaded_at)
+            self.unload_time.accepted_after(time.monotonic() - state.unload_accepted_at)
         else:
-            self.unload_time.taken_at_once()
-        state.unloaded_at = None
+            self.unload_time.accepted_at_once()
+        state.unload_accepted_at = None
 
     def _holds(self, state: sites.EndpointState, model: str, adapter: str) -> bool:
-        held = state.adapters_by_model.get(model)
-        return held is not None and (not adapter or adapter in held)
+        held_adapters = state.adapters_by_model.get(model)
+        return held_adapters is not None and (not adapter or adapter in held_adapters)
 
     def attempt(
         self, state: sites.EndpointState, order: adapters.Order
     ) -> adapters.OrderOutcome | None:
-        """Send an order once and take its effect into account.
+        """Send an order once and apply its effect to the endpoint's state.
 
-        :param state: where to.
+        :param state: the endpoint's state.
         :param order: the order.
-        :returns: the endpoint's answer; None where sending it was not safe.
+        :returns: the endpoint's response; None if the order was not safe to send.
         """
-        if not self._safe(state, order):
+        if not self._is_safe(state, order):
             return None
         if not order.load:
-            # Told before the order leaves, so that no VM sends a request that
-            # the endpoint would turn away.
+            # Published before the order is sent, so that no VM sends a request that the
+            # endpoint would reject.
             self.publish(state, without=order)
         outcome = self.protocol.order(state.endpoint, order, self.lease.held)
         kind = "load" if order.load else "unload"
@@ -234,33 +236,33 @@
             outcome=outcome.value,
         )
         self._count_store_load(state, order, outcome)
-        state.note(order, outcome)
+        state.apply_outcome(order, outcome)
         match outcome:
             case adapters.OrderOutcome.FENCED:
                 self.lease.refused(order.fence)
             case adapters.OrderOutcome.UNKNOWN:
-                self.late_orders.note(state.endpoint, order)
+                self.late_orders.record(state.endpoint, order)
         return outcome
 
-    def _safe(self, state: sites.EndpointState, order: adapters.Order) -> bool:
-        """Return whether there is room for an order, and for late ones after it."""
-        if order.load and not state.fits(order.model, order.adapter, state.taking()):
+    def _is_safe(self, state: sites.EndpointState, order: adapters.Order) -> bool:
+        """Return whether an order fits, and any late orders after it."""
+        if order.load and not state.fits(order.model, order.adapter, state.in_memory()):
             return False
-        late = self.late_orders.of(state.endpoint)
+        late = self.late_orders.pending(state.endpoint)
         if not late:
             return True
         if self._inventory(state) is None:
-            # It may have started again, and late orders may have brought it to
-            # the number that this order names, with other models.
+            # It may have restarted, and late orders may have brought it to the number
+            # that this order names, with other models.
             state.accepted = None
             return False
-        after = state.after(order)
-        if not late_orders.fit(late, state, after, order.accepted + 1):
+        holdings = state.after(order)
+        if not late_orders.all_fit(late, state, holdings, order.accepted + 1):
             return False
-        # This one may be late, too, and meet its number in a next incarnation,
+        # This order may be late, too, and meet its number in the next incarnation,
         # which starts empty.
-        in_flight = [*late, late_orders.of_order(state.endpoint, order)]
-        return late_orders.fit(in_flight, state, {}, 0)
+        in_flight = [*late, late_orders.from_order(state.endpoint, order)]
+        return late_orders.all_fit(in_flight, state, {}, 0)
 
     def _count_store_load(
         self,
@@ -268,48 +270,53 @@
         order: adapters.Order,
         outcome: adapters.OrderOutcome,
     ) -> None:
-        """Count a load that the weight store serves, or may serve."""
-        begun = (adapters.OrderOutcome.ACCEPTED, adapters.OrderOutcome.UNKNOWN)
-        if order.load and not order.adapter and outcome in begun:
+        """Count a load that uses, or may use, the weight store."""
+        maybe_started = (adapters.OrderOutcome.ACCEPTED, adapters.OrderOutcome.UNKNOWN)
+        if order.load and not order.adapter and outcome in maybe_started:
             model = state.accelerator.model_by_name[order.model]
             if state.load_s(model) >= model.store_s:
                 self.store_loads.add()
 
-    def _await(self, state: sites.EndpointState, order: adapters.Order) -> None:
-        """Wait until an order that was taken has been carried out."""
+    def _wait_until_executed(
+        self, state: sites.EndpointState, order: adapters.Order
+    ) -> None:
+        """Wait until an accepted order has been executed."""
         if order.adapter or not order.load:
-            # It is in the books already, and requests may be sent by them.
-            gevent.sleep(ADAPTER_S if order.load else 0)
+            # The state includes its effect already, and requests may be sent
+            # accordingly.
+            gevent.sleep(ADAPTER_LOAD_S if order.load else 0)
             self.publish(state)
             return
         if not state.loading:
-            # It held the model already.
+            # The endpoint held the model already.
             return
         model = state.accelerator.model_by_name[order.model]
         state.ready_at = time.monotonic() + state.load_s(model)
         self.publish(state)
-        late_at = state.ready_at + LATE_S
+        overdue_at = state.ready_at + LOAD_OVERDUE_S
         while state.loading and self.lease.held() and state.endpoint.open:
             if order.model in (state.endpoint.entry.adapters_by_model or {}):
                 state.finish(order)
                 self.publish(state)
                 return
             state.woken.clear()
-            state.woken.wait(max(0.02, min(LOOK_S, late_at - time.monotonic())))
-            if time.monotonic() > late_at:
-                self.look(state)
-                late_at = time.monotonic() + LATE_LOOK_S
+            state.woken.wait(
+                max(0.02, min(INVENTORY_INTERVAL_S, overdue_at - time.monotonic()))
+            )
+            if time.monotonic() > overdue_at:
+                self.refresh(state)
+                overdue_at = time.monotonic() + OVERDUE_INVENTORY_INTERVAL_S
                 if state.known:
                     return
-        # How the load ended was not seen.
+        # The result of the load was not observed.
         state.accepted = None
 
     def publish(
         self, state: sites.EndpointState, without: adapters.Order | None = None
     ) -> None:
-        """Tell all VMs what an endpoint holds, for requests to be sent there.
+        """Publish to all VMs what an endpoint holds, so that they send requests there.
 
-        :param state: the endpoint's site.
+        :param state: the endpoint's state.
         :param without: an unload that is about to be ordered.
         """
         held = {
@@ -322,14 +329,15 @@
         elif without is not None and without.adapter in held.get(without.model, ()):
             held[without.model].remove(without.adapter)
         self.published += 1
-        told = residency.Holds(
+        message = residency.Holds(
             self.lease.fence,
             self.published,
             state.endpoint.id,
             held,
-            state.coming_s(),
+            state.ready_s_by_model(),
         )
-        # Requests that meet an unused adapter's unload are few, and not run there; a
-        # model that goes must be known to go before its order leaves.
+        # Few requests reach an adapter that is being unloaded, and the endpoint does
+        # not run them. For a model, all VMs must know of the unload before its order is
+        # sent.
         unloads_model = without is not None and not without.adapter
-        self.residency.publish(told, at_once=unloads_model)
+        self.residency.publish(message, at_once=unloads_model)
--- a/packages/mothworks_gateway/src/mothworks_gateway/sites.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/sites.py
@@ -1,4 +1,4 @@
-"""A site: what the holder of the lease knows of one model endpoint."""
+"""The lease holder's state of one model endpoint."""
 
 import collections
 import time
@@ -8,44 +8,44 @@
 
 from mothworks_gateway import adapters, declared, registry
 
-#: Time to drop an unused model, seconds.
-DROP_S = 0.1
-#: Time until the requests have ended that use a model, seconds: for one, for
-#: each further one, and at most. Streams last 2 s on average, and the longest
-#: of several ends last.
-RUNNING_S = 1.2
-RUNNING_MORE_S = 0.3
-MOST_RUNNING_S = 4.0
-#: Most jobs that wait at a site.
-MOST_JOBS = 16
-#: Time without orders for an endpoint that one did not reach, seconds.
+#: Time to unload an unused model, seconds.
+UNLOAD_S = 0.1
+#: Expected time until the requests that use a model have ended, seconds: for one
+#: request, for each further one, and the maximum. Streams last 2 s on average, and the
+#: longest of several ends last.
+DRAIN_S = 1.2
+DRAIN_PER_REQUEST_S = 0.3
+MAX_DRAIN_S = 4.0
+#: Maximum number of queued jobs per endpoint.
+MAX_JOBS = 16
+#: Time without orders for an endpoint after one that did not reach it, seconds.
 PAUSE_S = 1.0
 
 
-def unload_s(running: int) -> float:
-    """Return how long a model that is dropped keeps its place.
+def expected_unload_s(running: int) -> float:
+    """Return the expected time to drain and unload a model, seconds.
 
-    :param running: requests that use it.
+    :param running: number of requests that use it.
     """
     if not running:
         return 0.0
-    return min(MOST_RUNNING_S, RUNNING_S + RUNNING_MORE_S * (running - 1))
+    return min(MAX_DRAIN_S, DRAIN_S + DRAIN_PER_REQUEST_S * (running - 1))
 
 
-def carried_out(
+def holdings_after(
     held: dict[str, set[str]], load: bool, model: str, adapter: str
 ) -> dict[str, set[str]]:
-    """Return what an endpoint holds once an order is carried out.
+    """Return what an endpoint holds once an order is executed.
 
-    :param held: what it holds before, models with their adapters.
+    :param held: what it holds before, adapters by model.
     :param load: whether the order loads; otherwise it unloads.
     :param model: the model.
     :param adapter: its adapter; empty for the model itself.
 
-    >>> carried_out({"m": {"a1"}}, True, "n", "")
+    >>> holdings_after({"m": {"a1"}}, True, "n", "")
     {'m': {'a1'}, 'n': set()}
     """
-    after = {name: set(adapters_held) for name, adapters_held in held.items()}
+    after = {name: set(held_adapters) for name, held_adapters in held.items()}
     if load and adapter:
         after.setdefault(model, set()).add(adapter)
     elif load:
@@ -59,12 +59,12 @@
 
 @attrs.frozen
 class Job:
-    """Something that a site is to hold.
+    """A queued load of a model or adapter.
 
     :param model: the model.
     :param adapter: its adapter; empty for the model itself.
-    :param drops: models to drop first.
-    :param forced: whether they are dropped also while requests use them.
+    :param evictions: models to unload first.
+    :param forced: whether these are unloaded even while requests use them.
     """
 
     model: str
@@ -75,26 +75,26 @@
 
 @attrs.define(eq=False)
 class EndpointState:
-    """A model endpoint as the holder sees it.
+    """What the lease holder knows and plans for a model endpoint.
 
     :param endpoint: the endpoint.
     :param accelerator: what it can hold.
-    :param accepted: orders that it has accepted; None while unknown.
+    :param accepted: number of orders that it has accepted; None while unknown.
     :param adapters_by_model: what it holds after those orders.
-    :param loading: the model that it loads now, or empty.
-    :param ready_at: monotonic time at which that is done.
-    :param leaving: the model that is dropped once nobody uses it, or empty.
-    :param gone_at: monotonic time at which that is probably so.
+    :param loading: the model that it is loading, or empty.
+    :param ready_at: monotonic time at which that load is expected to be done.
+    :param leaving: the model that is draining before its unload, or empty.
+    :param drained_at: monotonic time at which that is expected to be done.
     :param jobs: what it is to load next.
     :param busy: whether a task works on it.
-    :param look_at: monotonic time from which its endpoint may be asked again what it
-        holds, after it gave no answer.
-    :param paused_until: monotonic time until which it gets no orders, after one
-        that did not reach it.
-    :param copied: models that it was to load once, for a copy on its disk.
+    :param inventory_retry_at: monotonic time from which its inventory may be requested
+        again, after a request failed.
+    :param paused_until: monotonic time until which it gets no orders, after one that
+        did not reach it.
+    :param copied: models that it was to load once, to have a copy on its disk.
     :param loaded_at_by_adapter: monotonic time at which (model, adapter) was loaded.
-    :param unloaded_at: monotonic time at which it accepted to drop a model, until it
-        takes the next order.
+    :param unload_accepted_at: monotonic time at which it accepted the unload of a
+        model, until it accepts the next order.
     """
 
     endpoint: registry.Endpoint
@@ -104,14 +104,14 @@
     loading: str = ""
     ready_at: float = 0.0
     leaving: str = ""
-    gone_at: float = 0.0
+    drained_at: float = 0.0
     jobs: collections.deque[Job] = attrs.field(factory=collections.deque)
     busy: bool = False
-    look_at: float = 0.0
+    inventory_retry_at: float = 0.0
     paused_until: float = 0.0
     copied: set[str] = attrs.field(factory=set)
     loaded_at_by_adapter: dict[tuple[str, str], float] = attrs.field(factory=dict)
-    unloaded_at: float | None = None
+    unload_accepted_at: float | None = None
     woken: gevent.event.Event = attrs.field(factory=gevent.event.Event)
 
     @property
@@ -121,16 +121,16 @@
 
     @property
     def open(self) -> bool:
-        """Return whether the endpoint takes new work."""
+        """Return whether the endpoint accepts new orders and requests."""
         return self.endpoint.open and time.monotonic() >= self.paused_until
 
     @property
     def occupied(self) -> bool:
-        """Return whether a model is being loaded or dropped, or soon will be."""
+        """Return whether it loads a model or has one queued."""
         return bool(self.loading) or any(not job.adapter for job in self.jobs)
 
     def will_hold(self, model: str, adapter: str) -> bool:
-        """Return whether a model or adapter is held or about to be.
+        """Return whether a model or adapter is held, loading or queued.
 
         :param model: the model.
         :param adapter: its adapter, or empty.
@@ -141,99 +141,106 @@
             return False
         if not adapter and model == self.loading:
             return True
-        held = self.adapters_by_model.get(model)
-        return held is not None and (not adapter or adapter in held)
+        held_adapters = self.adapters_by_model.get(model)
+        return held_adapters is not None and (not adapter or adapter in held_adapters)
 
     def next_adapter(self) -> Job | None:
-        """Return the next adapter to load whose model is held."""
+        """Return the first queued adapter whose model is held."""
         for job in self.jobs:
-            held = job.model in self.adapters_by_model and job.model != self.leaving
-            if job.adapter and held:
+            holds_model = (
+                job.model in self.adapters_by_model and job.model != self.leaving
+            )
+            if job.adapter and holds_model:
                 return job
         return None
 
     def next_job(self) -> Job | None:
-        """Return what to load next.
+        """Return the next job to execute.
 
-        Adapters go first: they take milliseconds, and behind a model they would
-        wait for seconds.
+        Adapters go first: they load in milliseconds, and would wait for seconds behind
+        a model.
         """
         return self.next_adapter() or (self.jobs[0] if self.jobs else None)
 
-    def adapters_held(self) -> int:
-        """Return how many adapters take a place."""
+    def adapter_count(self) -> int:
+        """Return the number of adapter slots in use."""
         return sum(len(held) for held in self.adapters_by_model.values())
 
     def memory_mb(self, name: str) -> float:
-        """Return the memory that a model takes here with its adapters, MB.
+        """Return the memory that a model uses here with its adapters, MB.
 
         :param name: a model that is held, or will be.
         """
         return self._size_mb(name, self.adapters_by_model.get(name, set()))
 
     def free_mb(self) -> float:
-        """Return the memory that nothing takes, MB."""
-        return self.accelerator.memory_mb - sum(map(self.memory_mb, self.taking()))
+        """Return the unused memory, MB."""
+        return self.accelerator.memory_mb - sum(map(self.memory_mb, self.in_memory()))
 
-    def taking(self) -> dict[str, set[str]]:
-        """Return the models that take memory, with their adapters."""
+    def in_memory(self) -> dict[str, set[str]]:
+        """Return the models that use memory, with their adapters."""
         if not self.loading:
             return self.adapters_by_model
         return {self.loading: set(), **self.adapters_by_model}
 
-    def fits(self, model: str, adapter: str, beside: dict[str, set[str]]) -> bool:
-        """Return whether there is room for a model or adapter.
+    def fits(self, model: str, adapter: str, holdings: dict[str, set[str]]) -> bool:
+        """Return whether there is memory and, for an adapter, a slot for a load.
 
-        An adapter whose model is not there finds none: it is refused.
+        An adapter whose model is not held does not fit: the endpoint refuses it.
 
         :param model: the model.
         :param adapter: its adapter, or empty.
-        :param beside: what else takes memory; see :meth:`taking`.
+        :param holdings: what else uses memory; see :meth:`in_memory`.
         """
-        wanted = self.accelerator.model_by_name.get(model)
-        if wanted is None or adapter and model not in beside:
+        declared_model = self.accelerator.model_by_name.get(model)
+        if declared_model is None or adapter and model not in holdings:
             return False
-        count = sum(map(len, beside.values()))
-        if adapter and count >= self.accelerator.adapter_places:
+        adapter_count = sum(map(len, holdings.values()))
+        if adapter and adapter_count >= self.accelerator.adapter_places:
             return False
-        taken_mb = sum(self._size_mb(name, held) for name, held in beside.items())
-        needed_mb = wanted.adapter_mb if adapter else wanted.memory_mb
-        return taken_mb + needed_mb <= self.accelerator.memory_mb
+        used_mb = sum(
+            self._size_mb(name, held_adapters)
+            for name, held_adapters in holdings.items()
+        )
+        needed_mb = declared_model.adapter_mb if adapter else declared_model.memory_mb
+        return used_mb + needed_mb <= self.accelerator.memory_mb
 
     def after(self, order: adapters.Order) -> dict[str, set[str]]:
-        """Return what takes memory once an order is carried out.
+        """Return what uses memory once an order is executed.
 
         :param order: the order.
         """
-        return carried_out(self.taking(), order.load, order.model, order.adapter)
+        return holdings_after(self.in_memory(), order.load, order.model, order.adapter)
 
-    def take(self, seen: adapters.Inventory) -> None:
-        """Take over what the endpoint reports.
+    def apply_inventory(self, inventory: adapters.Inventory) -> None:
+        """Replace this state by what the endpoint reports.
 
-        :param seen: the report.
+        :param inventory: the report.
         """
-        if seen.ordered:
-            # What it is carrying out is not known, and so neither is the
-            # memory that it will take.
+        if inventory.ordered:
+            # The order that it is executing is unknown, and so is the memory that it
+            # will use.
             self.accepted = None
             return
-        self.accepted = seen.accepted
+        self.accepted = inventory.accepted
         self.loading = ""
         self.adapters_by_model = {
-            item.model: set(item.adapters) for item in seen.holdings
+            item.model: set(item.adapters) for item in inventory.holdings
         }
-        for model, adapter in seen.arriving:
+        for model, adapter in inventory.arriving:
             self.adapters_by_model.setdefault(model, set()).add(adapter)
 
-    def note(self, order: adapters.Order, outcome: adapters.OrderOutcome) -> None:
-        """Take an order's effect into account.
+    def apply_outcome(
+        self, order: adapters.Order, outcome: adapters.OrderOutcome
+    ) -> None:
+        """Apply the effect of an order.
 
-        A model that is loaded takes memory at once, and is held when
-        :meth:`finish` says so. What an unload frees counts as free at once,
-        since the endpoint takes no further order until the model is gone.
+        A model being loaded uses memory at once, and is held once :meth:`finish` is
+        called. Memory that an unload frees counts as free at once, since the endpoint
+        accepts no further order until the unload is done.
 
         :param order: the order.
-        :param outcome: what the endpoint answered.
+        :param outcome: the endpoint's response.
         """
         match outcome:
             case adapters.OrderOutcome.ACCEPTED if order.load and not order.adapter:
@@ -244,35 +251,36 @@
                 self.finish(order)
             case adapters.OrderOutcome.DONE if not order.load:
                 self.finish(order)
-                # Whether it counted as accepted is not said.
+                # The response does not say whether the order was counted.
                 self.accepted = self.accepted + 1 if order.adapter else None
             case adapters.OrderOutcome.DONE:
                 self.accepted = None
 
     def finish(self, order: adapters.Order) -> None:
-        """Take note that an order has been carried out.
+        """Record that an order has been executed.
 
         :param order: the order.
         """
         if order.load and not order.adapter and order.model == self.loading:
-            # Only the end of its own load frees a model from being loaded: an
-            # unload that did, too, left its memory out of the books.
+            # Only the end of its own load ends the loading state. When an unload did
+            # so, too, the memory of the model being loaded was counted as free.
             self.loading = ""
         self.adapters_by_model = self._without_loading(self.after(order))
         if order.load and order.adapter:
             self.loaded_at_by_adapter[order.model, order.adapter] = time.monotonic()
 
-    def _without_loading(self, taking: dict[str, set[str]]) -> dict[str, set[str]]:
+    def _without_loading(self, holdings: dict[str, set[str]]) -> dict[str, set[str]]:
         if self.loading and self.loading not in self.adapters_by_model:
-            taking.pop(self.loading, None)
-        return taking
+            holdings.pop(self.loading, None)
+        return holdings
 
-    def _size_mb(self, name: str, held: set[str]) -> float:
+    def _size_mb(self, name: str, held_adapters: set[str]) -> float:
         model = self.accelerator.model_by_name.get(name)
         if model is None:
-            # No longer declared, so its size is unknown: assume the worst.
+            # The model is no longer declared, so its size is unknown: assume the worst
+            # case.
             return self.accelerator.memory_mb
-        return model.memory_mb + model.adapter_mb * len(held)
+        return model.memory_mb + model.adapter_mb * len(held_adapters)
 
     def load_s(self, model: declared.Model) -> float:
         """Return how long a model takes to load here, seconds.
@@ -286,38 +294,38 @@
             return model.disk_s
         return model.store_s
 
-    def coming_s(self) -> dict[str, float]:
-        """Return the seconds until each model that it is to load is ready."""
+    def ready_s_by_model(self) -> dict[str, float]:
+        """Return the seconds until ready of each model that is loading or queued."""
         now = time.monotonic()
-        left_s = max(0.0, self.ready_at - now) if self.loading else 0.0
+        until_ready_s = max(0.0, self.ready_at - now) if self.loading else 0.0
         if self.leaving:
-            left_s += max(0.0, self.gone_at - now)
-        seconds = {self.loading: left_s} if self.loading else {}
+            until_ready_s += max(0.0, self.drained_at - now)
+        ready_s = {self.loading: until_ready_s} if self.loading else {}
         for job in self.jobs:
             model = self.accelerator.model_by_name.get(job.model)
-            if not job.adapter and model is not None and job.model not in seconds:
-                left_s += DROP_S * bool(job.evictions) + self.load_s(model)
-                seconds[job.model] = left_s
-        return seconds
+            if not job.adapter and model is not None and job.model not in ready_s:
+                until_ready_s += UNLOAD_S * bool(job.evictions) + self.load_s(model)
+                ready_s[job.model] = until_ready_s
+        return ready_s
 
-    def at_hand(self) -> set[str]:
+    def local_models(self) -> set[str]:
         """Return the models that it loads without the weight store."""
         entry = self.endpoint.entry
-        coming = {job.model for job in self.jobs if not job.adapter}
-        held = self.adapters_by_model.keys() | coming | {self.loading}
-        # Not every endpoint tells of its copies.
+        queued = {job.model for job in self.jobs if not job.adapter}
+        held = self.adapters_by_model.keys() | queued | {self.loading}
+        # Not every endpoint reports its copies.
         return held | entry.in_host_memory | entry.on_disk | self.copied
 
     def pause(self) -> None:
-        """Give it no orders for a while, and look before the next one.
+        """Send no orders for a while, and request the inventory before the next one.
 
-        A crashed endpoint still has its entry, and orders that fail at once
-        would be decided again and again, while callers wait.
+        A crashed endpoint is still registered. Without the pause, orders that fail at
+        once are decided again and again while callers wait.
         """
         self.accepted = None
         self.paused_until = time.monotonic() + PAUSE_S
 
-    def after_jobs(self) -> dict[str, set[str]]:
+    def holdings_after_jobs(self) -> dict[str, set[str]]:
         """Return what it holds once its jobs are done."""
         held = dict(self.adapters_by_model)
         if self.loading:
@@ -329,10 +337,10 @@
         return held
 
     def add(self, job: Job) -> None:
-        """Queue a job.
+        """Queue a job; it is discarded if the queue is full.
 
         :param job: what to load.
         """
-        if len(self.jobs) < MOST_JOBS:
+        if len(self.jobs) < MAX_JOBS:
             self.jobs.append(job)
             self.woken.set()
--- a/packages/mothworks_gateway/src/mothworks_gateway/unload_time.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/unload_time.py
@@ -1,25 +1,25 @@
-"""Unload time: how long endpoints take to drop a model, learnt from their answers.
+"""Unload time: learns how long endpoints take to unload a model.
 
-An endpoint accepts an unload and refuses all orders until it is carried out, without
-saying when. Sent at once and again after 30 and 80 ms, the load that follows an
-unload was refused twice: half of all orders were.
+An endpoint accepts an unload and refuses all orders until it is done, without reporting
+when that is. When the load after an unload was sent at once and retried after 30 and 80
+ms, it was refused twice: half of all orders were refused.
 """
 
-#: Part of the difference by which a longer time than expected is taken over at once.
-RISE = 0.5
-#: Factor by which the expectation falls with each order that was not refused: an
-#: expectation that is too long would delay loads and never show.
-FALL = 0.97
-#: Longest expectation, seconds: a longer unload waits for requests that run, which
-#: says nothing of the next one.
-MOST_S = 0.25
+#: Share of the difference by which the expected time rises when an unload took longer.
+RISE_SHARE = 0.5
+#: Factor by which the expected time falls with each order that is accepted at once: an
+#: expectation that is too long delays loads, and nothing else would reveal it.
+FALL_FACTOR = 0.97
+#: Maximum expected time, seconds. A longer unload waits for running requests, which
+#: says nothing about the next one.
+MAX_EXPECTED_S = 0.25
 
 
 class UnloadTime:
-    """The time after an unload at which an endpoint takes the next order.
+    """Expected time after an unload at which the endpoint accepts the next order.
 
     >>> unloads = UnloadTime()
-    >>> unloads.refused_until(0.1)
+    >>> unloads.accepted_after(0.1)
     >>> unloads.expected_s
     0.05
     """
@@ -27,14 +27,14 @@
     def __init__(self):
         self.expected_s = 0.0
 
-    def refused_until(self, seconds: float) -> None:
-        """Learn from an order that was refused before it was taken.
+    def accepted_after(self, seconds: float) -> None:
+        """Record an order that was refused before it was accepted.
 
-        :param seconds: time from the unload's acceptance until it was taken.
+        :param seconds: time from the acceptance of the unload to that of the order.
         """
-        longer_s = min(MOST_S, seconds) - self.expected_s
-        self.expected_s += RISE * max(0.0, longer_s)
+        excess_s = min(MAX_EXPECTED_S, seconds) - self.expected_s
+        self.expected_s += RISE_SHARE * max(0.0, excess_s)
 
-    def taken_at_once(self) -> None:
-        """Learn from an order that was not refused."""
-        self.expected_s *= FALL
+    def accepted_at_once(self) -> None:
+        """Record an order that was accepted at once."""
+        self.expected_s *= FALL_FACTOR
--- a/packages/mothworks_gateway/tests/modelled_endpoint.py
+++ b/packages/mothworks_gateway/tests/modelled_endpoint.py
@@ -1,7 +1,7 @@
-"""A model endpoint as the platform describes it, without network or time.
+"""A model of an endpoint as the platform specifies it, without network or time.
 
-It counts the orders that it accepts, carries out one at a time, holds nothing
-after a start, and crashes where it is made to hold more than it has room for.
+It counts the orders that it accepts, executes one at a time, holds nothing after a
+start, and crashes if an order makes it hold more than fits in memory.
 """
 
 import types
@@ -23,21 +23,21 @@
 )
 
 MEMORY_MB = 83.0
-PLACES = 2
+ADAPTER_SLOTS = 2
 ADAPTER_MB = 0.04
 
 
 def accelerator(memory_mb=MEMORY_MB, **size_by_model):
-    """Return what such an endpoint is declared to hold."""
+    """Return the declaration of what such an endpoint can hold."""
     models = {
         name: declared.Model(name, size, 8, ADAPTER_MB, 0.05, 0.03, 0.02)
         for name, size in size_by_model.items()
     }
-    return declared.Accelerator(memory_mb, PLACES, 96, 100_000, 5.0, models)
+    return declared.Accelerator(memory_mb, ADAPTER_SLOTS, 96, 100_000, 5.0, models)
 
 
 class ModelledEndpoint:
-    """Takes orders; see :class:`adapters.EndpointProtocol`.
+    """Accepts orders; see :class:`adapters.EndpointProtocol`.
 
     :param declared_as: what it can hold.
     """
@@ -46,20 +46,20 @@
         self.declared_as = declared_as
         self.crashes = 0
         self.born = 0
-        #: What the next orders get for an answer, beside the usual.
+        #: Faults of the next orders' responses; None for a normal response.
         self.faults = []
-        #: Orders without an answer, which may be carried out later.
+        #: Orders without a response, which may be executed later.
         self.late = []
         self.start()
 
     def start(self, holding=()):
-        """Start, holding some models."""
+        """Start with some models loaded."""
         self.accepted = 0
         self.busy = False
         self.adapters_by_model = {name: set() for name in holding}
 
     def restart(self):
-        """Start again under the same name, empty."""
+        """Restart empty under the same name."""
         self.born += 1
         self.start()
 
@@ -79,16 +79,16 @@
         if fault == "unanswered":
             self.late.append(order)
             return adapters.OrderOutcome.UNKNOWN
-        outcome = self.take(order)
+        outcome = self.receive(order)
         return adapters.OrderOutcome.UNKNOWN if fault == "lost" else outcome
 
-    def take(self, order):
-        """Take an order, now or late."""
+    def receive(self, order):
+        """Handle an order, now or late."""
         if self.busy or order.accepted != self.accepted:
             return adapters.OrderOutcome.CONFLICT
         held = self.adapters_by_model.get(order.model)
-        has = held is not None and (not order.adapter or order.adapter in held)
-        if has == order.load:
+        holds = held is not None and (not order.adapter or order.adapter in held)
+        if holds == order.load:
             return adapters.OrderOutcome.DONE
         if order.adapter and held is None:
             return adapters.OrderOutcome.REFUSED
@@ -98,21 +98,23 @@
         if self.overfull():
             self.crashes += 1
         if order.adapter and not order.load:
-            # Done at once, and counted all the same.
+            # An unload of an adapter is done at once, and counted all the same.
             return adapters.OrderOutcome.DONE
         return adapters.OrderOutcome.ACCEPTED
 
     def finish(self):
-        """Finish the load or unload that is under way."""
+        """Finish the load or unload in progress."""
         self.busy = False
 
     def overfull(self):
-        """Return whether it holds more than it has room for."""
+        """Return whether it holds more than fits."""
         models = self.declared_as.model_by_name
         held = self.adapters_by_model
-        count = sum(map(len, held.values()))
-        taken = sum(models[name].memory_mb for name in held) + count * ADAPTER_MB
-        return taken > self.declared_as.memory_mb or count > PLACES
+        adapter_count = sum(map(len, held.values()))
+        used_mb = (
+            sum(models[name].memory_mb for name in held) + adapter_count * ADAPTER_MB
+        )
+        return used_mb > self.declared_as.memory_mb or adapter_count > ADAPTER_SLOTS
 
     def _change(self, order, held):
         match order:
@@ -128,7 +130,7 @@
 
 @attrs.define
 class Lease:
-    """Stands for a lease that is held, or lapses for a while."""
+    """Stub of a lease that is held, or lapses for a while."""
 
     fence: int = 1
     lapsed: bool = False
@@ -141,32 +143,32 @@
 
 
 class Residency:
-    """Stands for what tells the other VMs; nobody listens."""
+    """Stub that discards what is published to the other VMs."""
 
-    def publish(self, told, at_once=False):
+    def publish(self, message, at_once=False):
         pass
 
 
 class Peers:
-    """Stands for the VMs, which all hear each other."""
+    """Stub of the peers: each message reaches all handlers."""
 
     def __init__(self):
-        self.hearing = []
+        self.handlers = []
 
     def handle(self, _, function):
-        self.hearing.append(function)
+        self.handlers.append(function)
 
-    def send_all(self, told):
-        for hear in self.hearing:
-            hear("vm", told, None)
+    def send_all(self, message):
+        for handler in self.handlers:
+            handler("vm", message, None)
 
 
-def orders_of(endpoint, view, vms, held=None):
-    """Return what a holder of the lease orders with."""
+def make_site_orders(endpoint, view, vms, held_lease=None):
+    """Return the site orders of a lease holder, connected to an endpoint."""
     parts = {
         discovery.Discovery: types.SimpleNamespace(registry=view),
         endpoints_client.EndpointsClient: types.SimpleNamespace(protocol=endpoint),
-        lease.Lease: held or Lease(),
+        lease.Lease: held_lease or Lease(),
         peers.Peers: vms,
         residency.Residency: Residency(),
     }
--- a/packages/mothworks_gateway/tests/test_adapters_in_demand.py
+++ b/packages/mothworks_gateway/tests/test_adapters_in_demand.py
@@ -86,9 +86,9 @@
     # take the place of one of them: that one would be loaded anew at once.
     state = full_state(loaded_at=clock.now - 0.3)
     assert made._unused_adapter(state) is None
-    assert not made.has_adapter_place(state)
+    assert not made.has_adapter_slot(state)
     clock.now += 0.5
-    assert made.has_adapter_place(state)
+    assert made.has_adapter_slot(state)
 
 
 def test_the_adapter_that_is_least_asked_for_makes_way(made, clock):
--- a/packages/mothworks_gateway/tests/test_late_orders.py
+++ b/packages/mothworks_gateway/tests/test_late_orders.py
@@ -1,4 +1,4 @@
-"""Late orders: endpoints that start again under their name are never overfilled."""
+"""Late orders: endpoints that restart under their name are never overfilled."""
 
 import random
 
@@ -17,25 +17,30 @@
 
 
 def entry(endpoint):
-    held = {name: frozenset(ad) for name, ad in endpoint.adapters_by_model.items()}
+    held = {
+        name: frozenset(adapters_held)
+        for name, adapters_held in endpoint.adapters_by_model.items()
+    }
     made = gateway_builders.endpoint(NAME).entry
     return attrs.evolve(made, born=endpoint.born, adapters_by_model=held)
 
 
 def started():
-    """Return an endpoint that tells its start, a registry, and who orders there."""
+    """Return an endpoint that reports its start time, a registry, and site orders."""
     endpoint = modelled_endpoint.ModelledEndpoint(
         modelled_endpoint.accelerator(**SIZES)
     )
     endpoint.restart()
     view = registry.Registry()
     view.put(entry(endpoint), b"")
-    orders = modelled_endpoint.orders_of(endpoint, view, modelled_endpoint.Peers())
+    orders = modelled_endpoint.make_site_orders(
+        endpoint, view, modelled_endpoint.Peers()
+    )
     return endpoint, view, orders
 
 
 def state_of(endpoint, view):
-    """Return a site of the incarnation that the registry knows."""
+    """Return a state of the incarnation that the registry knows."""
     return sites.EndpointState(view.named(NAME), endpoint.declared_as)
 
 
@@ -46,7 +51,7 @@
 
 
 class Restarts(hypothesis.stateful.RuleBasedStateMachine):
-    """Orders of two holders to an endpoint that loses answers and starts again."""
+    """Orders of two lease holders to an endpoint that loses responses and restarts."""
 
     def __init__(self):
         super().__init__()
@@ -57,7 +62,7 @@
         self.view.put(entry(self.endpoint), b"")
         self.vms = modelled_endpoint.Peers()
         holders = [
-            modelled_endpoint.orders_of(self.endpoint, self.view, self.vms)
+            modelled_endpoint.make_site_orders(self.endpoint, self.view, self.vms)
             for _ in range(2)
         ]
         self.holders = holders
@@ -74,7 +79,7 @@
     def order(self, holder, load, model, adapter="", fault=None):
         state = self.state_for(holder)
         if not state.known:
-            self.holders[holder].look(state)
+            self.holders[holder].refresh(state)
             state = self.state_for(holder)
         held = state.adapters_by_model.get(model)
         holds = held is not None and (not adapter or adapter in held)
@@ -106,7 +111,7 @@
 
     @hypothesis.stateful.rule(holder=st.sampled_from([0, 1]))
     def look(self, holder):
-        self.holders[holder].look(self.state_for(holder))
+        self.holders[holder].refresh(self.state_for(holder))
 
     @hypothesis.stateful.rule()
     def finish(self):
@@ -119,7 +124,7 @@
     @hypothesis.stateful.rule(pick=st.integers(0, 5))
     def late_order_arrives(self, pick):
         late = self.endpoint.late
-        self.endpoint.take(late.pop(pick % len(late)))
+        self.endpoint.receive(late.pop(pick % len(late)))
 
     @hypothesis.stateful.rule(noticed=st.sampled_from([True, True, False]))
     def restart(self, noticed):
@@ -136,52 +141,52 @@
         assert not self.endpoint.crashes
 
 
-#: Steps of a random walk, with their weights. Late orders of a former incarnation
-#: meet their number only after several steps in a row, which an even choice of
-#: steps hardly ever takes: these weights take them in one of 400 walks.
+#: Steps of a random walk, with their weights. Late orders of a previous incarnation
+#: meet their number only after several steps in a row, which equal weights hardly ever
+#: produce; with these weights one of 400 walks does.
 WALK = {"load": 45, "unload": 8, "late": 20, "restart": 17, "adapter": 10}
 
 
 def walk(seed, steps=14):
-    """Take a random walk; return the endpoint."""
-    luck = random.Random(seed)
-    made = Restarts()
+    """Run a random walk; return the endpoint."""
+    rng = random.Random(seed)
+    machine = Restarts()
 
     def order(load, adapter=""):
-        holder = luck.choice([0, 0, 0, 0, 1])
-        fault = luck.choice([None, None, "unanswered", "unanswered", "lost"])
-        made.order(holder, load, luck.choice("aabbd"), adapter, fault)
+        holder = rng.choice([0, 0, 0, 0, 1])
+        fault = rng.choice([None, None, "unanswered", "unanswered", "lost"])
+        machine.order(holder, load, rng.choice("aabbd"), adapter, fault)
 
-    for step in luck.choices(list(WALK), WALK.values(), k=steps):
+    for step in rng.choices(list(WALK), WALK.values(), k=steps):
         match step:
             case "load" | "unload":
                 order(step == "load")
-                if luck.random() < 0.9:
-                    made.finish()
+                if rng.random() < 0.9:
+                    machine.finish()
             case "adapter":
-                order(luck.random() < 0.6, luck.choice("xyz"))
-            case "late" if made.endpoint.late:
-                late = made.endpoint.late
-                made.endpoint.take(late.pop(luck.randrange(len(late))))
+                order(rng.random() < 0.6, rng.choice("xyz"))
+            case "late" if machine.endpoint.late:
+                late = machine.endpoint.late
+                machine.endpoint.receive(late.pop(rng.randrange(len(late))))
             case "restart":
-                made.endpoint.restart()
-                if luck.random() < 0.7:
-                    made.entry_arrives()
-    return made.endpoint
+                machine.endpoint.restart()
+                if rng.random() < 0.7:
+                    machine.entry_arrives()
+    return machine.endpoint
 
 
 def test_no_walk_overfills_an_endpoint():
-    # Endpoints crash and are back under their name while orders are carried out
-    # late; with no room kept for these, one walk of 400 ended in a crash.
+    # Endpoints crash and restart under their name while orders are executed late. When
+    # no memory was reserved for these, one walk of 400 ended in a crash.
     assert not any(walk(seed).crashes for seed in range(6_000))
 
 
 @pytest.mark.parametrize("seed", [111697, 125476, 125586, 138057, 152915])
-def test_late_orders_in_a_row_find_room(seed):
-    # Two orders without an answer name counts that follow each other, and were
-    # sent in incarnations between which the endpoint was empty. Carried out one
-    # after the other in a third one, they overfilled it, though each found room
-    # beside what was ordered there.
+def test_consecutive_late_orders_fit(seed):
+    # Two orders without a response name consecutive counts and were sent in
+    # incarnations between which the endpoint was empty. Executed one after the other in
+    # a third incarnation, they overfilled it, though each fit beside what was ordered
+    # there.
     assert not walk(seed).crashes
 
 
@@ -191,23 +196,23 @@
 )
 
 
-def test_a_late_order_of_a_former_incarnation_finds_room():
-    # An order to load 50 GB gets no answer. Its endpoint crashes and is back
-    # under its name, empty and with its count at zero. The holder fills it
-    # again, and two orders later the count is the one that the old order names:
-    # it was carried out beside two models, and the endpoint crashed once more.
+def test_a_late_order_of_a_previous_incarnation_fits():
+    # An order to load 50 GB gets no response. Its endpoint crashes and restarts under
+    # its name, empty and with its count at zero. The lease holder fills it again, and
+    # two orders later the count matches the old order. It was executed beside two
+    # models, and the endpoint crashed once more.
     endpoint, view, orders = started()
     state = state_of(endpoint, view)
 
     def order(state, model, load=True):
-        made = adapters.Order(load, model, "", state.accepted, "vm-1", 1)
-        answer = orders.attempt(state, made)
+        order_to_send = adapters.Order(load, model, "", state.accepted, "vm-1", 1)
+        outcome = orders.attempt(state, order_to_send)
         endpoint.finish()
-        if answer is adapters.OrderOutcome.ACCEPTED:
-            state.finish(made)
-        return answer
+        if outcome is adapters.OrderOutcome.ACCEPTED:
+            state.finish(order_to_send)
+        return outcome
 
-    orders.look(state)
+    orders.refresh(state)
     assert order(state, "d") is adapters.OrderOutcome.ACCEPTED
     assert order(state, "d", load=False) is adapters.OrderOutcome.ACCEPTED
     endpoint.faults = ["unanswered"]
@@ -215,27 +220,27 @@
     endpoint.restart()
     view.put(entry(endpoint), b"")
     state = state_of(endpoint, view)
-    orders.look(state)
+    orders.refresh(state)
     assert order(state, "b") is adapters.OrderOutcome.ACCEPTED
     assert order(state, "d") is None
     (late,) = endpoint.late
-    endpoint.take(late)
+    endpoint.receive(late)
     assert not endpoint.crashes
 
 
-def test_an_endpoint_that_started_again_unnoticed_is_not_ordered_by_old_books():
-    # An order to load 50 GB gets no answer, a smaller one is taken. The endpoint
-    # crashes behind a cut and is back; the late order is carried out first, and
-    # its count is again the one in the holder's books, which show 16 GB. By these
-    # books another 50 GB fitted, and the endpoint crashed again.
+def test_an_endpoint_that_restarted_unnoticed_gets_no_orders_from_stale_state():
+    # An order to load 50 GB gets no response, a smaller one is accepted. The endpoint
+    # crashes while it is unreachable, and restarts. The late order is executed first,
+    # and its count is again the one in the holder's state, which shows 16 GB in use. By
+    # that state another 50 GB fit, and the endpoint crashed again.
     endpoint, view, orders = started()
     state = state_of(endpoint, view)
-    orders.look(state)
+    orders.refresh(state)
     endpoint.faults = ["unanswered"]
     orders.attempt(state, adapters.Order(True, "b", "", 0, "vm-1", 1))
     orders.attempt(state, adapters.Order(True, "d", "", 0, "vm-1", 1))
     endpoint.restart()
-    endpoint.take(endpoint.late.pop())
+    endpoint.receive(endpoint.late.pop())
     endpoint.finish()
     orders.attempt(state, adapters.Order(True, "a", "", 1, "vm-1", 1))
     assert not endpoint.crashes
--- a/packages/mothworks_gateway/tests/test_ordering.py
+++ b/packages/mothworks_gateway/tests/test_ordering.py
@@ -32,7 +32,7 @@
         self.silent = set()
         self.loaded = []
 
-    def look(self, state):
+    def refresh(self, state):
         self.looks.append(state.endpoint.id)
         self.looking += 1
         self.most_looking = max(self.most_looking, self.looking)
@@ -113,7 +113,7 @@
     fleet.settle()
     fleet.settle()
     assert fleet.orders.looks.count("i-3") == 1
-    fleet.ordering.site_by_id["i-3"].look_at = 0.0
+    fleet.ordering.site_by_id["i-3"].inventory_retry_at = 0.0
     fleet.orders.silent.clear()
     fleet.settle()
     assert fleet.ordering.site_by_id["i-3"].known
--- a/packages/mothworks_gateway/tests/test_site_orders.py
+++ b/packages/mothworks_gateway/tests/test_site_orders.py
@@ -1,4 +1,4 @@
-"""Site orders: an endpoint is never made to hold more than it has room for."""
+"""Site orders: an endpoint is never made to hold more than fits in its memory."""
 
 import gevent
 import pytest
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def orders(endpoint, held):
-    return modelled_endpoint.orders_of(
+    return modelled_endpoint.make_site_orders(
         endpoint, registry.Registry(), modelled_endpoint.Peers(), held
     )
 
@@ -33,13 +33,12 @@
     return sites.EndpointState(known, endpoint.declared_as)
 
 
-def test_a_load_that_outlasted_the_lease_still_takes_its_memory(orders, endpoint, held):
-    # The platform's store falls silent while a load of 34 GB runs, and the
-    # lease lapses before the load is done. Eight seconds later the same VM
-    # holds it again. It drops a small model for another large one: the memory
-    # of the load that it did not see the end of was free in its books, it
-    # ordered the next one after the first of three unloads, and the endpoint
-    # crashed with all its streams.
+def test_a_load_that_outlasts_the_lease_still_counts_as_memory(orders, endpoint, held):
+    # The platform's store stops responding while a load of 34 GB runs, and the lease
+    # lapses before the load is done. Eight seconds later the same VM holds the lease
+    # again and evicts a small model for another large one. The memory of the load whose
+    # end it had not observed counted as free, so it ordered the next load after the
+    # first of three unloads, and the endpoint crashed with all its streams.
     state = state_of(endpoint, "small", "slight", "spare")
     loading = gevent.spawn(orders.order, state, True, "busy", "")
     gevent.sleep(0.01)
@@ -55,11 +54,11 @@
     assert not endpoint.crashes
 
 
-def test_an_endpoint_whose_entry_does_not_tell_its_start_is_ordered(orders, endpoint):
-    # Only its report names the start. Taken for another incarnation, it was
-    # believed to be empty, and the entries that followed were left out as older.
+def test_an_endpoint_whose_entry_has_no_start_time_gets_orders(orders, endpoint):
+    # Only its inventory reports the start time. It was mistaken for another incarnation
+    # and believed to be empty, and later registry entries were rejected as older.
     state = state_of(endpoint, "small")
     endpoint.born = 7
-    orders.look(state)
+    orders.refresh(state)
     assert state.adapters_by_model == {"small": set()}
     assert state.endpoint.id == "i-1"
--- a/packages/mothworks_gateway/tests/test_unloads.py
+++ b/packages/mothworks_gateway/tests/test_unloads.py
@@ -1,7 +1,7 @@
-"""Unloads: the load that follows one is sent when the endpoint can take it.
+"""Unloads: the load after an unload is sent when the endpoint can accept it.
 
-The pattern is models that take each other's place: an unload that takes 90 ms, then a
-load, on many endpoints in turn. Half of all orders of a day were refused.
+The case is models that replace each other: an unload that takes 90 ms, then a load, on
+many endpoints in turn. Half of all orders of a day were refused.
 """
 
 import pytest
@@ -15,7 +15,7 @@
 
 
 class Clock:
-    """Stands for time in which only sleeps pass."""
+    """Virtual time that passes only in sleeps."""
 
     def __init__(self, monkeypatch, endpoint):
         self.now = 100.0
@@ -34,7 +34,7 @@
 
 
 class CountingEndpoint(modelled_endpoint.ModelledEndpoint):
-    """Counts its answers and is busy for a while after an unload."""
+    """Counts its refusals and is busy for a while after an unload."""
 
     clock = None
     refused = 0
@@ -56,13 +56,13 @@
     return made
 
 
-def test_a_load_after_an_unload_is_hardly_ever_refused(endpoint, monkeypatch):
-    # Each load was refused at 10, 45 and 100 ms before it was taken.
-    held = modelled_endpoint.Lease()
-    orders = modelled_endpoint.orders_of(
-        endpoint, registry.Registry(), modelled_endpoint.Peers(), held
+def test_a_load_after_an_unload_is_rarely_refused(endpoint, monkeypatch):
+    # Each load was refused at 10, 45 and 100 ms before it was accepted.
+    held_lease = modelled_endpoint.Lease()
+    orders = modelled_endpoint.make_site_orders(
+        endpoint, registry.Registry(), modelled_endpoint.Peers(), held_lease
     )
-    monkeypatch.setattr(orders, "_await", lambda *_: None)
+    monkeypatch.setattr(orders, "_wait_until_executed", lambda *_: None)
     refused_by_swap = []
     for _ in range(SWAPS):
         endpoint.start(["one"])
@@ -70,28 +70,28 @@
             gateway_builders.endpoint("i-1", models=["one"]), endpoint.declared_as
         )
         endpoint.refused = 0
-        began = endpoint.clock.now
+        started_at = endpoint.clock.now
         assert orders.order(state, False, "one", "")
         orders.order(state, True, "other", "")
         refused_by_swap.append(endpoint.refused)
-        assert endpoint.clock.now - began < 3 * UNLOAD_S
+        assert endpoint.clock.now - started_at < 3 * UNLOAD_S
     assert refused_by_swap[0] >= 1
     assert sum(refused_by_swap[3:]) <= (SWAPS - 3) // 3
 
 
-def test_what_is_expected_follows_both_ways():
+def test_the_expected_time_rises_and_falls():
     unloads = unload_time.UnloadTime()
     for _ in range(10):
-        unloads.refused_until(UNLOAD_S)
+        unloads.accepted_after(UNLOAD_S)
     assert unloads.expected_s == pytest.approx(UNLOAD_S, rel=0.01)
     for _ in range(60):
-        unloads.taken_at_once()
+        unloads.accepted_at_once()
     assert unloads.expected_s < UNLOAD_S / 4
 
 
-def test_an_unload_that_waited_for_requests_is_no_measure():
-    # An unload of four seconds would make each later load four seconds late.
+def test_an_unload_that_waited_for_requests_has_limited_effect():
+    # An unload of four seconds would delay each later load by four seconds.
     unloads = unload_time.UnloadTime()
     for _ in range(10):
-        unloads.refused_until(4.0)
-    assert unloads.expected_s <= unload_time.MOST_S
+        unloads.accepted_after(4.0)
+    assert unloads.expected_s <= unload_time.MAX_EXPECTED_S
