--- a/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
@@ -129,11 +129,7 @@
 
     def _remember(self, unanswered: UnansweredOrder) -> None:
         now = time.monotonic()
-        expired = [
-            order
-            for order, expires_at in self.expiry_by_order.items()
-            if expires_at < now
-        ]
+        expired = [key for key, at in self.expiry_by_order.items() if at < now]
         for order in expired:
             del self.expiry_by_order[order]
         self.expiry_by_order[unanswered] = now + MAX_ORDER_DELAY_S
--- a/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
@@ -1,8 +1,9 @@
-"""Ordering: has each site hold what its jobs say, one job at a time.
+"""Ordering: executes the queued jobs of each endpoint, one at a time.
 
-A task carries out a site's jobs while it has some: it drops what is in the way, once
-nobody uses it, and loads what is wanted. Adapters go first, also while a model waits
-to be dropped. What thousands of endpoints hold is asked by a few tasks.
+While an endpoint has jobs, one task executes them: it evicts what is in the way, once
+no request uses it, and loads what the job names. Adapters go first, even while a model
+drains before its unload. A limited number of tasks request the inventories of what may
+be thousands of endpoints.
 """
 
 import collections
@@ -25,19 +26,19 @@
 
 log = logbook.Logger("ordering")
 
-#: Endpoints that are asked at once what they hold: a VM that has just become the holder
-#: knows of none.
-LOOKS_AT_ONCE = 64
-#: Seconds between looks at whether a model that is to go is still used.
-LEAVING_LOOK_S = 0.05
-#: Time that a loaded adapter stays at least, seconds: the callers that wait for it
-#: are told of it, wait for their turn (0.42 s at most), and a heartbeat (0.25 s) tells
-#: the holder that it is used.
-KEEP_ADAPTER_S = 0.6
+#: Maximum number of concurrent inventory requests: a VM that has just acquired the
+#: lease knows the state of no endpoint.
+MAX_INVENTORY_TASKS = 64
+#: Seconds between checks whether a draining model is still in use.
+DRAIN_POLL_S = 0.05
+#: Minimum time that a loaded adapter stays, seconds. The callers that wait for it are
+#: informed, wait for a prefill slot (0.42 s at most), and a heartbeat (every 0.25 s)
+#: reports to the lease holder that it is in use.
+MIN_ADAPTER_STAY_S = 0.6
 
 
 class Ordering(kernel.Part):
-    """The sites of the VM that holds the lease, and the tasks that work on them.
+    """The endpoint states kept by the lease holder, and the tasks that work on them.
 
     :param node_kernel: the node's kernel.
     """
@@ -50,18 +51,21 @@
         self.demand = node_kernel.get(demand.Demand)
         self.orders = node_kernel.get(site_orders.SiteOrders)
         self.site_by_id: dict[str, sites.EndpointState] = {}
-        #: Sites that are to be looked at, and how many tasks do so.
-        self._unknown: collections.deque[sites.EndpointState] = collections.deque()
-        self._looking = 0
-        node_kernel.get(residency.Residency).on_missed.append(self._distrust)
+        #: Endpoints whose inventory is to be requested, and the number of tasks that do
+        #: so.
+        self._inventory_queue: collections.deque[sites.EndpointState] = (
+            collections.deque()
+        )
+        self._inventory_tasks = 0
+        node_kernel.get(residency.Residency).on_missed.append(self._on_not_held)
         self.registry.on_change.append(self._wake_all)
 
     def reset(self) -> None:
-        """Forget everything, since another VM has ordered meanwhile."""
+        """Discard all states, since another VM has sent orders meanwhile."""
         self.site_by_id.clear()
 
     def of_service(self, service: str) -> list[sites.EndpointState]:
-        """Return the sites of a service.
+        """Return the states of a service's endpoints.
 
         :param service: its name.
         """
@@ -71,8 +75,8 @@
             if state.endpoint.entry.service == service
         ]
 
-    def follow(self, declaration: declared.Declaration) -> None:
-        """Take in which endpoints there are and what they can hold.
+    def update_endpoints(self, declaration: declared.Declaration) -> None:
+        """Add and remove states with their endpoints, and update what these can hold.
 
         :param declaration: the declaration in force.
         """
@@ -89,7 +93,7 @@
             state.accelerator = service.accelerator
 
     def start_work(self) -> None:
-        """Start what is to be done at sites on which no task works."""
+        """Start tasks for endpoints that need one and have none."""
         if not self.lease.held():
             return
         for state in self.site_by_id.values():
@@ -98,45 +102,47 @@
             if state.known:
                 self._start_jobs(state)
             else:
-                self._queue_look(state)
-        self._start_looks()
+                self._queue_inventory(state)
+        self._start_inventory_tasks()
 
     def _wake_all(self) -> None:
         for state in self.site_by_id.values():
             state.woken.set()
 
-    def _distrust(self, endpoint_id: str) -> None:
-        """Look again at an endpoint that lacked what it should hold."""
+    def _on_not_held(self, endpoint_id: str) -> None:
+        """Request the inventory of an endpoint that lacked what it should hold."""
         state = self.site_by_id.get(endpoint_id)
         if state is not None:
             state.accepted = None
             state.woken.set()
             if not state.busy:
-                self._queue_look(state)
-                self._start_looks()
+                self._queue_inventory(state)
+                self._start_inventory_tasks()
 
-    def _queue_look(self, state: sites.EndpointState) -> None:
+    def _queue_inventory(self, state: sites.EndpointState) -> None:
         if state.endpoint.open and time.monotonic() >= state.inventory_retry_at:
             state.busy = True
-            self._unknown.append(state)
-
-    def _start_looks(self) -> None:
-        for _ in range(min(LOOKS_AT_ONCE - self._looking, len(self._unknown))):
-            self._looking += 1
-            self.tasks.spawn(self._look_at_unknown)
-
-    def _look_at_unknown(self) -> None:
-        """Ask endpoints what they hold, one after the other."""
-        while self._unknown:
-            state = self._unknown.popleft()
-            if self._is_ours(state):
-                self._look(state)
+            self._inventory_queue.append(state)
+
+    def _start_inventory_tasks(self) -> None:
+        for _ in range(
+            min(MAX_INVENTORY_TASKS - self._inventory_tasks, len(self._inventory_queue))
+        ):
+            self._inventory_tasks += 1
+            self.tasks.spawn(self._request_inventories)
+
+    def _request_inventories(self) -> None:
+        """Request the queued inventories, one after the other."""
+        while self._inventory_queue:
+            state = self._inventory_queue.popleft()
+            if self._may_order(state):
+                self._request_inventory(state)
             state.busy = False
             self._start_jobs(state)
-        self._looking -= 1
+        self._inventory_tasks -= 1
 
-    def _look(self, state: sites.EndpointState) -> bool:
-        """Ask an endpoint what it holds; returns whether that is known now."""
+    def _request_inventory(self, state: sites.EndpointState) -> bool:
+        """Request an endpoint's inventory; returns whether its state is now known."""
         if state.endpoint.open:
             self.orders.refresh(state)
         if not state.known:
@@ -145,29 +151,29 @@
             )
         return state.known
 
-    def _is_ours(self, state: sites.EndpointState) -> bool:
-        """Return whether this VM may still order what a site holds."""
+    def _may_order(self, state: sites.EndpointState) -> bool:
+        """Return whether this VM may still send orders to an endpoint."""
         return self.lease.held() and self.site_by_id.get(state.endpoint.id) is state
 
     def _start_jobs(self, state: sites.EndpointState) -> None:
-        if state.known and state.jobs and self._is_ours(state):
+        if state.known and state.jobs and self._may_order(state):
             state.busy = True
             self.tasks.spawn(self._work, state)
 
     def _work(self, state: sites.EndpointState) -> None:
-        """Carry out a site's jobs for as long as it is known what it holds."""
-        while self._is_ours(state):
-            # Also after the last job, whose end may not have been seen.
-            if not (state.known or self._look(state)):
+        """Execute an endpoint's jobs for as long as its state is known."""
+        while self._may_order(state):
+            # Also after the last job, whose result may not have been observed.
+            if not (state.known or self._request_inventory(state)):
                 break
             if not state.jobs:
                 break
-            self._finish(state, state.next_job())
+            self._run_job(state, state.next_job())
         state.busy = False
 
-    def _finish(self, state: sites.EndpointState, job: sites.Job) -> None:
-        """Carry out a job and take it off the site's list."""
-        done = self._carry_out(state, job)
+    def _run_job(self, state: sites.EndpointState, job: sites.Job) -> None:
+        """Execute a job and remove it from the queue."""
+        done = self._execute(state, job)
         if job in state.jobs:
             state.jobs.remove(job)
         if not done:
@@ -180,65 +186,67 @@
                 outcome="decided anew",
             )
 
-    def _carry_out(self, state: sites.EndpointState, job: sites.Job) -> bool:
+    def _execute(self, state: sites.EndpointState, job: sites.Job) -> bool:
         """Load what a job names; returns whether it is held now."""
         model = state.accelerator.model_by_name.get(job.model)
         if model is None:
             return False
         if job.adapter:
-            return self._carry_out_adapter(state, job, model)
+            return self._execute_adapter(state, job, model)
         for name in job.evictions:
             if state.free_mb() >= model.memory_mb:
                 break
-            if not self._may_drop(state, job, name):
+            if not self._may_unload(state, job, name):
                 return False
-            if not self._drop(state, name):
+            if not self._unload(state, name):
                 return False
         return state.free_mb() >= model.memory_mb and self.orders.order(
             state, True, job.model, ""
         )
 
-    def _may_drop(self, state: sites.EndpointState, job: sites.Job, name: str) -> bool:
-        """Return whether a model is still to be dropped.
+    def _may_unload(
+        self, state: sites.EndpointState, job: sites.Job, name: str
+    ) -> bool:
+        """Return whether a model may still be evicted.
 
-        Used again since that was decided, its unload would wait for its
-        requests and keep the endpoint from all other orders.
+        If it was used again since the decision, its unload would wait for its requests
+        and block all other orders of the endpoint.
         """
         return job.forced or not self.load.of_model(state.endpoint.id, name)
 
-    def _drop(self, state: sites.EndpointState, name: str) -> bool:
-        """Drop a model once nobody uses it; returns whether it is gone.
+    def _unload(self, state: sites.EndpointState, name: str) -> bool:
+        """Drain and unload a model; returns whether it is gone.
 
-        An unload waits for the requests that run, and its endpoint takes no
-        other order meanwhile: callers of adapters there would be refused. So
-        all VMs are told to send no more, and the order follows when those that
-        run have ended.
+        An unload waits for running requests, and the endpoint accepts no other order
+        meanwhile, so callers of adapters there would be refused. So all VMs are first
+        informed that they must send no more requests, and the order is sent once the
+        running ones have ended.
         """
         running = self.load.of_model(state.endpoint.id, name)
         state.leaving = name
         state.drained_at = time.monotonic() + sites.expected_unload_s(running)
         self.orders.publish(state)
-        until = time.monotonic() + sites.MAX_DRAIN_S
-        while self._in_use(state, name) and time.monotonic() < until:
+        deadline = time.monotonic() + sites.MAX_DRAIN_S
+        while self._still_draining(state, name) and time.monotonic() < deadline:
             job = state.next_adapter()
             if job is not None:
-                self._finish(state, job)
+                self._run_job(state, job)
             else:
                 state.woken.clear()
-                state.woken.wait(LEAVING_LOOK_S)
+                state.woken.wait(DRAIN_POLL_S)
         gone = self.orders.order(state, False, name, "")
         state.leaving = ""
         if not gone:
-            # VMs may send there again.
+            # Inform the VMs that they may send requests for the model again.
             self.orders.publish(state)
         return gone
 
-    def _in_use(self, state: sites.EndpointState, name: str) -> bool:
-        """Return whether it is worth waiting until a model is not used."""
+    def _still_draining(self, state: sites.EndpointState, name: str) -> bool:
+        """Return whether to continue waiting for a model's requests to end."""
         running = self.load.of_model(state.endpoint.id, name)
         return bool(running) and state.open and self.lease.held()
 
-    def _carry_out_adapter(
+    def _execute_adapter(
         self, state: sites.EndpointState, job: sites.Job, model: declared.Model
     ) -> bool:
         if job.model not in state.adapters_by_model:
@@ -247,36 +255,36 @@
             state.adapter_count() >= state.accelerator.adapter_places
             or state.free_mb() < model.adapter_mb
         ):
-            victim = self._unused_adapter(state)
+            victim = self._adapter_to_evict(state)
             if victim is None or not self.orders.order(state, False, *victim):
                 return False
         return self.orders.order(state, True, job.model, job.adapter)
 
     def has_adapter_slot(self, state: sites.EndpointState) -> bool:
-        """Return whether one more adapter can be loaded at a site now.
+        """Return whether one more adapter can be loaded on an endpoint now.
 
-        :param state: the site.
+        :param state: the endpoint's state.
         """
-        waiting = sum(1 for job in state.jobs if job.adapter)
-        free = state.accelerator.adapter_places - state.adapter_count() - waiting
-        return free > 0 or len(self._idle_adapters(state)) > -free
+        queued = sum(1 for job in state.jobs if job.adapter)
+        free_slots = state.accelerator.adapter_places - state.adapter_count() - queued
+        return free_slots > 0 or len(self._idle_adapters(state)) > -free_slots
 
-    def _unused_adapter(self, state: sites.EndpointState) -> tuple[str, str] | None:
-        """Return the adapter that is least asked for, of those that nobody uses."""
+    def _adapter_to_evict(self, state: sites.EndpointState) -> tuple[str, str] | None:
+        """Return the idle adapter with the fewest requests, or None."""
 
-        def missed(key: tuple[str, str]) -> tuple[float, float]:
+        def eviction_key(key: tuple[str, str]) -> tuple[float, float]:
             target = asked.Target(state.endpoint.entry.service, *key)
             return self.demand.rate(target), state.loaded_at_by_adapter.get(key, 0.0)
 
-        return min(self._idle_adapters(state), key=missed, default=None)
+        return min(self._idle_adapters(state), key=eviction_key, default=None)
 
     def _idle_adapters(self, state: sites.EndpointState) -> list[tuple[str, str]]:
-        """Return the adapters that may make way for another one."""
-        oldest = time.monotonic() - KEEP_ADAPTER_S
+        """Return the adapters that may be evicted for another one."""
+        loaded_before = time.monotonic() - MIN_ADAPTER_STAY_S
         return [
             (name, adapter)
-            for name, held in state.adapters_by_model.items()
-            for adapter in held
+            for name, held_adapters in state.adapters_by_model.items()
+            for adapter in held_adapters
             if not self.load.of_adapter(state.endpoint.id, name, adapter)
-            and state.loaded_at_by_adapter.get((name, adapter), 0.0) < oldest
+            and state.loaded_at_by_adapter.get((name, adapter), 0.0) < loaded_before
         ]
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -149,7 +149,7 @@
         self.woken.set()
 
     def _schedule(self, declaration: declared.Declaration) -> None:
-        self.ordering.follow(declaration)
+        self.ordering.update_endpoints(declaration)
         self.placement.clear_caches()
         unmet_demands = self.demand.unmet()
         cover_due = time.monotonic() - self.last_cover_at > COVER_INTERVAL_S
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -72,7 +72,7 @@
         self.limit_by_id = {}
         self.ordering = types.SimpleNamespace(
             of_service=lambda _: list(self.sites),
-            follow=lambda _: None,
+            update_endpoints=lambda _: None,
             start_work=lambda: None,
         )
         self.sites = [
--- a/packages/mothworks_gateway/tests/test_ordering.py
+++ b/packages/mothworks_gateway/tests/test_ordering.py
@@ -1,4 +1,4 @@
-"""Ordering before thousands of endpoints: what a holder's tasks cost."""
+"""Ordering: what the lease holder's tasks cost with thousands of endpoints."""
 
 import types
 
@@ -23,40 +23,42 @@
 
 
 class Orders:
-    """Stands for the orders: endpoints answer at once, some not at all."""
+    """Stub of the site orders: endpoints respond at once, or not at all."""
 
     def __init__(self):
-        self.looking = 0
-        self.most_looking = 0
-        self.looks = []
+        self.running_requests = 0
+        self.max_running_requests = 0
+        self.inventory_requests = []
         self.silent = set()
-        self.loaded = []
+        self.sent_orders = []
 
     def refresh(self, state):
-        self.looks.append(state.endpoint.id)
-        self.looking += 1
-        self.most_looking = max(self.most_looking, self.looking)
+        self.inventory_requests.append(state.endpoint.id)
+        self.running_requests += 1
+        self.max_running_requests = max(
+            self.max_running_requests, self.running_requests
+        )
         gevent.sleep(0.001)
-        self.looking -= 1
+        self.running_requests -= 1
         if state.endpoint.id not in self.silent:
             state.accepted = 0
 
     def order(self, state, loads, model, adapter):
         gevent.sleep(0.001)
-        self.loaded.append((state.endpoint.id, model, adapter))
+        self.sent_orders.append((state.endpoint.id, model, adapter))
         return True
 
 
 class Fleet:
-    """An ordering part that holds the lease, and its sites."""
+    """An ordering part that holds the lease, and its endpoint states."""
 
     def __init__(self, count):
         self.orders = Orders()
         self.holds_lease = True
-        held = types.SimpleNamespace(held=lambda: self.holds_lease)
+        lease_stub = types.SimpleNamespace(held=lambda: self.holds_lease)
         parts = {
             discovery.Discovery: types.SimpleNamespace(registry=registry.Registry()),
-            lease.Lease: held,
+            lease.Lease: lease_stub,
             load.Load: scheduling_builders.Load(),
             demand.Demand: None,
             site_orders.SiteOrders: self.orders,
@@ -91,80 +93,83 @@
     made.ordering.tasks.stop()
 
 
-# Guards against a new holder that asks thousands of endpoints at once and needs the
-# memory of a whole VM for it.
-def test_a_new_holder_asks_some_endpoints_at_a_time(fleet):
+# Guards against a new lease holder that requests thousands of inventories at once and
+# uses the memory of a whole VM for it.
+def test_a_new_lease_holder_limits_concurrent_inventory_requests(fleet):
     fleet.settle()
     assert all(state.known for state in fleet.sites)
-    assert len(fleet.orders.looks) == ENDPOINTS
-    assert fleet.orders.most_looking <= ordering.LOOKS_AT_ONCE
+    assert len(fleet.orders.inventory_requests) == ENDPOINTS
+    assert fleet.orders.max_running_requests <= ordering.MAX_INVENTORY_TASKS
 
 
-# Guards against a task a site that wakes twice a second for nothing.
-def test_sites_without_jobs_cost_no_tasks(fleet):
+# Guards against one task per endpoint, each waking twice a second without work.
+def test_endpoints_without_jobs_need_no_tasks(fleet):
     fleet.settle()
     fleet.ordering.start_work()
     assert fleet.tasks == 0
 
 
-# Guards against endpoints that are down and keep those behind them waiting.
-def test_an_endpoint_that_gives_no_report_is_asked_again_later(fleet):
+# Guards against endpoints that are down and delay those queued behind them.
+def test_a_failed_inventory_request_is_retried_later(fleet):
     fleet.orders.silent = {"i-3"}
     fleet.settle()
     fleet.settle()
-    assert fleet.orders.looks.count("i-3") == 1
+    assert fleet.orders.inventory_requests.count("i-3") == 1
     fleet.ordering.site_by_id["i-3"].inventory_retry_at = 0.0
     fleet.orders.silent.clear()
     fleet.settle()
     assert fleet.ordering.site_by_id["i-3"].known
 
 
-# Guards against jobs that wait for the next look of the scheduler.
-def test_jobs_of_an_unknown_site_start_once_it_is_known(fleet):
+# Guards against jobs that wait for the next scheduling pass.
+def test_jobs_of_an_endpoint_start_once_its_state_is_known(fleet):
     fleet.sites[5].add(sites.Job("m", "a1"))
     fleet.sites[5].add(sites.Job("m", "a2"))
     fleet.settle()
-    assert fleet.orders.loaded == [("i-5", "m", "a1"), ("i-5", "m", "a2")]
+    assert fleet.orders.sent_orders == [("i-5", "m", "a1"), ("i-5", "m", "a2")]
     assert not fleet.sites[5].jobs
 
 
-# Guards against an endpoint that waits for the scheduler's next look, unused, after an
-# order whose end was not seen.
-def test_a_site_that_its_last_job_left_unknown_is_asked_at_once(fleet):
+# Guards against an endpoint that stays idle until the next scheduling pass, after an
+# order whose result was not observed.
+def test_an_inventory_follows_a_job_with_unknown_result(
+    fleet,
+):
     fleet.settle()
     state = fleet.sites[5]
-    carry_out = fleet.orders.order
+    original_order = fleet.orders.order
 
-    def lose_sight(*order):
+    def order_with_unknown_result(*order):
         state.accepted = None
-        return carry_out(*order)
+        return original_order(*order)
 
-    fleet.orders.order = lose_sight
+    fleet.orders.order = order_with_unknown_result
     state.add(sites.Job("m", "a1"))
     fleet.settle()
     assert state.known
-    assert fleet.orders.looks.count("i-5") == 2
+    assert fleet.orders.inventory_requests.count("i-5") == 2
 
 
-# Guards against a VM that goes on ordering, or waiting, once another holds the lease.
-def test_a_former_holder_starts_nothing(fleet):
+# Guards against a VM that keeps sending orders, or waiting, once another holds the
+# lease.
+def test_a_former_lease_holder_starts_nothing(fleet):
     fleet.settle()
     fleet.sites[0].add(sites.Job("m", "a1"))
     fleet.holds_lease = False
     fleet.settle()
-    assert fleet.orders.loaded == []
+    assert fleet.orders.sent_orders == []
     assert fleet.sites[0].jobs
     fleet.holds_lease = True
     fleet.settle()
-    assert fleet.orders.loaded == [("i-0", "m", "a1")]
+    assert fleet.orders.sent_orders == [("i-0", "m", "a1")]
 
 
-# Guards against an endpoint that lacked a model and is not asked again.
-def test_an_endpoint_that_lacked_a_model_is_asked_at_once(fleet):
+# Guards against an endpoint that lacked a model and whose inventory is not requested.
+def test_an_inventory_follows_a_missing_model(fleet):
     fleet.settle()
-    fleet.orders.looks.clear()
-    fleet.ordering._distrust("i-7")
+    fleet.orders.inventory_requests.clear()
+    fleet.ordering._on_not_held("i-7")
     with gevent.Timeout(10):
         while fleet.tasks:
             gevent.sleep(0.001)
-    assert fleet.orders.looks == ["i-7"]
+    assert fleet.orders.inventory_requests == ["i-7"]
