--- a/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
@@ -57,7 +57,7 @@
             collections.deque()
         )
         self._inventory_tasks = 0
-        node_kernel.get(residency.Residency).on_missed.append(self._on_not_held)
+        node_kernel.get(residency.Residency).on_not_held.append(self._on_not_held)
         self.registry.on_change.append(self._wake_all)
 
     def reset(self) -> None:
--- a/packages/mothworks_gateway/src/mothworks_gateway/residency.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/residency.py
@@ -1,7 +1,7 @@
-"""Residency: which models are where, and who waits for one that is nowhere.
+"""Residency: which endpoints hold which models, and requests that wait for a model.
 
-On each VM, requests whose model or adapter no open endpoint holds wait here.
-The VM that holds the lease is told of them and has the model loaded; it tells
+On each VM, requests whose model or adapter no open endpoint holds wait here. The VM
+reports them to the lease holder, which loads the model. The lease holder publishes to
 all VMs what each endpoint holds as soon as that changes.
 """
 
@@ -19,26 +19,25 @@
 
 log = logbook.Logger("residency")
 
-#: Seconds between repeats of what this VM waits for, beside the heartbeats.
-REPEAT_S = 0.15
-#: Time that a model is given beyond the moment at which it should be ready,
-#: seconds.
+#: Seconds between reports of this VM's waiting callers, in addition to the heartbeats.
+REPORT_INTERVAL_S = 0.15
+#: Time past the expected end of a load for which callers still count on it, seconds.
 READY_MARGIN_S = 0.3
-#: Shift of that moment that lets callers look again, seconds.
-MOVED_S = 0.1
+#: Change of that expected time that wakes the waiting callers, seconds.
+READY_CHANGE_S = 0.1
 
 
 @messages.message(114)
 @attrs.frozen
-class Wanted:
-    """Tells the holder of the lease that callers wait for a model or adapter.
+class WaitingCallers:
+    """Callers that wait for a model or adapter; sent to the lease holder.
 
     :param service: the service.
     :param model: the model.
     :param adapter: its adapter, or empty.
-    :param count: callers that wait at the sender.
+    :param count: number of callers that wait at the sender.
     :param urgency: rank of the most urgent of them.
-    :param left_s: seconds until the first of them misses its objective.
+    :param left_s: seconds until the first of them misses its latency objective.
     """
 
     service: str
@@ -50,34 +49,34 @@
 
     @property
     def target(self) -> asked.Target:
-        """Return what is waited for."""
+        """Return the model or adapter that they wait for."""
         return asked.Target(self.service, self.model, self.adapter)
 
 
 @messages.message(115)
 @attrs.frozen
-class Holds:
-    """Tells all VMs what an endpoint holds, after an order.
+class EndpointHoldings:
+    """What an endpoint holds after an order; sent to all VMs.
 
     :param fence: the sender's fencing token.
-    :param number: grows with each message of that token.
+    :param number: grows with each message under that token.
     :param endpoint: the endpoint's id.
     :param adapters_by_model: the models that it holds, with their adapters.
-    :param coming_s_by_model: models that it is to load, with the seconds until
-        they are ready.
+    :param ready_s_by_model: models that it is to load, with the seconds until each is
+        ready.
     """
 
     fence: int
     number: int
     endpoint: str
     adapters_by_model: dict[str, list[str]]
-    coming_s_by_model: dict[str, float] = attrs.field(factory=dict)
+    ready_s_by_model: dict[str, float] = attrs.field(factory=dict)
 
 
 @messages.message(116)
 @attrs.frozen
-class Missed:
-    """Tells the holder that an endpoint lacks what it was believed to hold.
+class NotHeld:
+    """Tells the lease holder that an endpoint lacks what it was believed to hold.
 
     :param endpoint: the endpoint's id.
     """
@@ -86,13 +85,13 @@
 
 
 @attrs.define
-class _Line:
+class _Waiters:
     """Callers of this VM that wait for one target.
 
     :param count: how many.
-    :param urgency: rank of the most urgent.
-    :param objective_at: monotonic time of the first missed objective.
-    :param changed: set for a moment when they should look again.
+    :param urgency: rank of the most urgent of them.
+    :param objective_at: monotonic time at which the first of them misses its objective.
+    :param changed: set for a moment to wake them.
     """
 
     count: int = 0
@@ -101,13 +100,13 @@
     changed: gevent.event.Event = attrs.field(factory=gevent.event.Event)
 
     def wake(self) -> None:
-        """Let all of them look again."""
+        """Wake all of them, so that they check again."""
         self.changed.set()
         self.changed.clear()
 
 
 class Residency(kernel.Part):
-    """Lets requests wait for models, and follows what endpoints hold.
+    """Blocks requests until their model is held, and tracks what endpoints hold.
 
     :param node_kernel: the node's kernel.
     """
@@ -120,75 +119,81 @@
         self.registry = node_kernel.get(discovery.Discovery).registry
         self.lease = node_kernel.get(lease.Lease)
         self.heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        self.line_by_target: dict[asked.Target, _Line] = {}
-        #: Set while callers of this VM wait for a model.
-        self.waited_for = gevent.event.Event()
-        self.newest_by_endpoint: dict[str, tuple[int, int]] = {}
-        #: Set for a moment when endpoints came or went.
+        self.waiters_by_target: dict[asked.Target, _Waiters] = {}
+        #: Set while callers of this VM wait.
+        self.has_waiters = gevent.event.Event()
+        self.version_by_endpoint: dict[str, tuple[int, int]] = {}
+        #: Set for a moment when endpoints are added or removed.
         self.changed = gevent.event.Event()
-        #: Monotonic time at which an endpoint will hold a model.
+        #: Monotonic time at which a load is expected to end, by (endpoint id, model).
         self.ready_at_by_model: dict[tuple[str, str], float] = {}
-        #: Functions to call, on the holder, with a VM's name and a Wanted.
-        self.on_wanted: list[collections.abc.Callable[[str, Wanted], None]] = []
-        #: Functions to call, on the holder, with an endpoint's id.
-        self.on_missed: list[collections.abc.Callable[[str], None]] = []
-        self.registry.on_change.append(self._wake)
-        # What waits must be answered before the VM ends.
-        node_kernel.on_draining.append(self._wake)
-        self.peers.handle(Wanted, lambda vm, told, _: self._on_wanted(vm, told))
-        self.peers.handle(Missed, lambda _, told, __: self._on_missed(told.endpoint))
-        self.peers.handle(Holds, self._on_holds)
+        #: Functions to call on the lease holder, with a VM's name and its message.
+        self.on_waiting: list[
+            collections.abc.Callable[[str, WaitingCallers], None]
+        ] = []
+        #: Functions to call on the lease holder, with an endpoint's id.
+        self.on_not_held: list[collections.abc.Callable[[str], None]] = []
+        self.registry.on_change.append(self._wake_all)
+        # Waiting requests must get a response before the VM stops.
+        node_kernel.on_draining.append(self._wake_all)
+        self.peers.handle(
+            WaitingCallers, lambda vm, message, _: self._on_waiting(vm, message)
+        )
+        self.peers.handle(
+            NotHeld, lambda _, message, __: self._notify_not_held(message.endpoint)
+        )
+        self.peers.handle(EndpointHoldings, self._on_holdings)
 
     def start(self) -> None:
-        """Start to repeat what this VM waits for."""
-        self.tasks.spawn(self._repeat)
+        """Start to report this VM's waiting callers periodically."""
+        self.tasks.spawn(self._report_periodically)
 
     def wait(self, request: asked.Asked, seconds: float) -> None:
-        """Wait until something changed that may let a request run.
+        """Block until something changes that may let a request run.
 
         :param request: the request.
-        :param seconds: longest wait.
+        :param seconds: maximum wait.
         """
-        line = self.line_by_target.setdefault(request.target, _Line())
-        line.count += 1
-        line.urgency = min(line.urgency, request.urgency)
+        waiters = self.waiters_by_target.setdefault(request.target, _Waiters())
+        waiters.count += 1
+        waiters.urgency = min(waiters.urgency, request.urgency)
         objective_at = request.arrived + request.route.objective_s
-        line.objective_at = min(line.objective_at, objective_at)
-        if line.count == 1:
-            self._tell(request.target, line)
-            self.waited_for.set()
+        waiters.objective_at = min(waiters.objective_at, objective_at)
+        if waiters.count == 1:
+            self._report(request.target, waiters)
+            self.has_waiters.set()
         try:
-            line.changed.wait(seconds)
+            waiters.changed.wait(seconds)
         finally:
-            line.count -= 1
-            if not line.count:
-                self.line_by_target.pop(request.target, None)
+            waiters.count -= 1
+            if not waiters.count:
+                self.waiters_by_target.pop(request.target, None)
 
     def ready_in_s(self, target: asked.Target) -> float | None:
-        """Return the seconds until a model is loaded somewhere, if it is known.
+        """Return the seconds until an endpoint has loaded a model; None if unknown.
 
-        :param target: the model, whose adapters load at once.
+        :param target: the model; its adapters then load at once.
         """
         now = time.monotonic()
         times = [
-            at + READY_MARGIN_S
-            for (endpoint_id, model), at in self.ready_at_by_model.items()
+            ready_at + READY_MARGIN_S
+            for (endpoint_id, model), ready_at in self.ready_at_by_model.items()
             if model == target.model
-            and at + READY_MARGIN_S > now
+            and ready_at + READY_MARGIN_S > now
             and endpoint_id in self.registry.by_id
             and self.registry.by_id[endpoint_id].entry.service == target.service
         ]
         return min(times) - now if times else None
 
     def missed(self, endpoint: registry.Endpoint, target: asked.Target) -> None:
-        """Note that an endpoint refused a request for what it does not hold.
+        """Record that an endpoint refused a request for a model that it does not hold.
 
         :param endpoint: the endpoint.
-        :param target: what was asked of it.
+        :param target: what the request asked for.
         """
-        adapters = endpoint.adapters_by_model.get(target.model)
-        if adapters is not None and target.adapter in adapters:
-            endpoint.adapters_by_model[target.model] = adapters - {target.adapter}
+        held_adapters = endpoint.adapters_by_model.get(target.model)
+        if held_adapters is not None and target.adapter in held_adapters:
+            endpoint.adapters_by_model[target.model] = held_adapters - {target.adapter}
         else:
             endpoint.adapters_by_model.pop(target.model, None)
         logs.event(
@@ -201,103 +206,105 @@
         )
         holder = self.lease.holder()
         if holder == self.name:
-            self._on_missed(endpoint.id)
+            self._notify_not_held(endpoint.id)
         elif holder:
-            self.peers.post(holder, Missed(endpoint.id))
+            self.peers.post(holder, NotHeld(endpoint.id))
 
-    def publish(self, told: Holds, at_once: bool = False) -> None:
-        """Tell all VMs, this one included, what an endpoint holds.
+    def publish(self, message: EndpointHoldings, at_once: bool = False) -> None:
+        """Send all VMs, including this one, what an endpoint holds.
 
-        :param told: the message.
-        :param at_once: whether it must not wait for others to be sent with it.
+        :param message: the message.
+        :param at_once: whether to send it without waiting for others to batch it with.
         """
         if at_once:
-            self.broadcast.publish_now(told)
+            self.broadcast.publish_now(message)
         else:
-            self.broadcast.publish(told)
-        self._on_holds(self.name, told, None)
+            self.broadcast.publish(message)
+        self._on_holdings(self.name, message, None)
 
-    def _repeat(self) -> None:
-        """Tell again and again what callers wait for, while they do."""
+    def _report_periodically(self) -> None:
+        """Report waiting callers again and again for as long as there are any."""
         while True:
-            self.waited_for.wait()
-            gevent.sleep(REPEAT_S)
-            for target, line in list(self.line_by_target.items()):
-                self._tell(target, line)
-            if not self.line_by_target:
-                self.waited_for.clear()
-
-    def _tell(self, target: asked.Target, line: _Line) -> None:
-        left_s = line.objective_at - time.monotonic()
-        told = Wanted(
+            self.has_waiters.wait()
+            gevent.sleep(REPORT_INTERVAL_S)
+            for target, waiters in list(self.waiters_by_target.items()):
+                self._report(target, waiters)
+            if not self.waiters_by_target:
+                self.has_waiters.clear()
+
+    def _report(self, target: asked.Target, waiters: _Waiters) -> None:
+        left_s = waiters.objective_at - time.monotonic()
+        message = WaitingCallers(
             target.service,
             target.model,
             target.adapter,
-            line.count,
-            line.urgency,
+            waiters.count,
+            waiters.urgency,
             left_s,
         )
         holder = self.lease.holder()
         if holder == self.name:
-            self._on_wanted(self.name, told)
+            self._on_waiting(self.name, message)
         elif holder:
-            self.peers.post(holder, told)
+            self.peers.post(holder, message)
 
-    def _on_wanted(self, vm: str, told: Wanted) -> None:
-        for notify in self.on_wanted:
-            notify(vm, told)
+    def _on_waiting(self, vm: str, message: WaitingCallers) -> None:
+        for notify in self.on_waiting:
+            notify(vm, message)
 
-    def _on_missed(self, endpoint_id: str) -> None:
-        for notify in self.on_missed:
+    def _notify_not_held(self, endpoint_id: str) -> None:
+        for notify in self.on_not_held:
             notify(endpoint_id)
 
-    def _on_holds(self, _: str, told: Holds, __) -> None:
-        version = (told.fence, told.number)
-        if version <= self.newest_by_endpoint.get(told.endpoint, (0, 0)):
+    def _on_holdings(self, _: str, message: EndpointHoldings, __) -> None:
+        version = (message.fence, message.number)
+        if version <= self.version_by_endpoint.get(message.endpoint, (0, 0)):
             return
-        endpoint = self.registry.by_id.get(told.endpoint)
+        endpoint = self.registry.by_id.get(message.endpoint)
         if endpoint is None:
             return
-        self.newest_by_endpoint[told.endpoint] = version
+        self.version_by_endpoint[message.endpoint] = version
         endpoint.adapters_by_model = {
             model: frozenset(adapters)
-            for model, adapters in told.adapters_by_model.items()
+            for model, adapters in message.adapters_by_model.items()
         }
-        moved = self._note_coming(told)
-        for target, line in self.line_by_target.items():
-            if target.model in moved or _can_run(endpoint, target):
-                line.wake()
+        changed_models = self._update_ready_times(message)
+        for target, waiters in self.waiters_by_target.items():
+            if target.model in changed_models or _can_run(endpoint, target):
+                waiters.wake()
 
-    def _note_coming(self, told: Holds) -> set[str]:
-        """Take when models will be there; return those of which that changed.
+    def _update_ready_times(self, message: EndpointHoldings) -> set[str]:
+        """Update when models will be ready; return the models for which that changed.
 
-        All other callers that wait need not look: with a look at all endpoints for
-        each of some 70 messages a second, waiting took most of a VM's processor.
+        Only their callers are woken. When each of some 70 messages a second woke every
+        waiting caller to check all endpoints, waiting used most of a VM's processor
+        time.
         """
         now = time.monotonic()
         before = {
             model: self.ready_at_by_model.pop((endpoint, model))
             for endpoint, model in list(self.ready_at_by_model)
-            if endpoint == told.endpoint
+            if endpoint == message.endpoint
         }
         after = {
-            model: now + seconds for model, seconds in told.coming_s_by_model.items()
+            model: now + seconds for model, seconds in message.ready_s_by_model.items()
         }
         for model, ready_at in after.items():
-            self.ready_at_by_model[told.endpoint, model] = ready_at
-        never = math.inf
+            self.ready_at_by_model[message.endpoint, model] = ready_at
+        infinity = math.inf
         return {
             model
             for model in before.keys() | after.keys()
-            if abs(before.get(model, never) - after.get(model, -never)) > MOVED_S
+            if abs(before.get(model, infinity) - after.get(model, -infinity))
+            > READY_CHANGE_S
         }
 
-    def _wake(self) -> None:
-        """Let everybody who waits look again."""
+    def _wake_all(self) -> None:
+        """Wake all waiting callers."""
         self.changed.set()
         self.changed.clear()
-        for line in self.line_by_target.values():
-            line.wake()
+        for waiters in self.waiters_by_target.values():
+            waiters.wake()
 
 
 def _can_run(endpoint: registry.Endpoint, target: asked.Target) -> bool:
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -122,7 +122,7 @@
         self.spread_at_by_target: dict[asked.Target, float] = {}
         self.last_cover_at = 0.0
         self.woken = gevent.event.Event()
-        node_kernel.get(residency.Residency).on_wanted.append(
+        node_kernel.get(residency.Residency).on_waiting.append(
             lambda *_: self.woken.set()
         )
         self.lease.on_gained.append(self._on_lease_acquired)
--- a/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
@@ -329,7 +329,7 @@
         elif without is not None and without.adapter in held.get(without.model, ()):
             held[without.model].remove(without.adapter)
         self.published += 1
-        message = residency.Holds(
+        message = residency.EndpointHoldings(
             self.lease.fence,
             self.published,
             state.endpoint.id,
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -83,7 +83,7 @@
             load.Load: self.load,
             ordering.Ordering: self.ordering,
             site_orders.SiteOrders: types.SimpleNamespace(may_load=lambda *_: True),
-            residency.Residency: types.SimpleNamespace(on_wanted=[]),
+            residency.Residency: types.SimpleNamespace(on_waiting=[]),
             heartbeat.Heartbeats: types.SimpleNamespace(on_received=[]),
             lease.Lease: types.SimpleNamespace(on_gained=[], fence=1),
             declarations.Declarations: None,
--- a/packages/mothworks_gateway/tests/test_adapters_in_demand.py
+++ b/packages/mothworks_gateway/tests/test_adapters_in_demand.py
@@ -72,7 +72,7 @@
         load.Load: Load(),
         demand.Demand: Demand(),
         site_orders.SiteOrders: None,
-        residency.Residency: types.SimpleNamespace(on_missed=[]),
+        residency.Residency: types.SimpleNamespace(on_not_held=[]),
     }
     return ordering.Ordering(gateway_builders.Kernel(parts))
 
--- a/packages/mothworks_gateway/tests/test_large_looks.py
+++ b/packages/mothworks_gateway/tests/test_large_looks.py
@@ -56,8 +56,10 @@
         return will_hold(state, model, adapter)
 
     for number, name in enumerate(MODELS[:12]):
-        waiting = residency.Wanted(scheduling_builders.SERVICE, name, "", 3, 1, 0.4)
-        made.demand._on_wanted(f"vm-{number}", waiting)
+        waiting = residency.WaitingCallers(
+            scheduling_builders.SERVICE, name, "", 3, 1, 0.4
+        )
+        made.demand._on_waiting(f"vm-{number}", waiting)
     monkeypatch.setattr(sites.EndpointState, "will_hold", counting_will_hold)
     made.scheduler._schedule(made.declaration)
     # A pass that checks each endpoint at most once per model takes a hundredth of a
--- a/packages/mothworks_gateway/tests/test_ordering.py
+++ b/packages/mothworks_gateway/tests/test_ordering.py
@@ -62,7 +62,7 @@
             load.Load: scheduling_builders.Load(),
             demand.Demand: None,
             site_orders.SiteOrders: self.orders,
-            residency.Residency: types.SimpleNamespace(on_missed=[]),
+            residency.Residency: types.SimpleNamespace(on_not_held=[]),
         }
         self.ordering = ordering.Ordering(gateway_builders.Kernel(parts))
         accelerator = scheduling_builders.accelerator_for(("m",), 8)
--- a/packages/mothworks_gateway/tests/test_residency.py
+++ b/packages/mothworks_gateway/tests/test_residency.py
@@ -1,7 +1,7 @@
-"""Residency: who waits for a model looks again when that model is concerned.
+"""Residency: callers that wait for a model are woken only when it is concerned.
 
-The pattern is a deployment before 60 endpoints and 191 models: 100 callers wait at a
-VM, each for a model of its own, while the holder tells of adapters and loads 70 times
+The case is a deployment with 60 endpoints and 191 models: 100 callers wait at a VM,
+each for a different model, while the lease holder publishes adapters and loads 70 times
 a second.
 """
 
@@ -26,21 +26,21 @@
 ENDPOINTS = [f"i-{number}" for number in range(60)]
 
 
-def waits(made, model, looks, service="s", adapter=""):
-    """Let a caller wait for a model until it is held somewhere."""
+def spawn_waiter(made, model, checks, service="s", adapter=""):
+    """Start a caller that waits until an endpoint holds a model."""
     target = asked.Target(service, model, adapter)
     request = gateway_builders.request(target=target, arrived=0.0)
 
     def wait():
         while True:
-            looks.append(model)
-            held = [
+            checks.append(model)
+            holders = [
                 item
                 for item in made.registry.by_id.values()
                 if item.entry.service == service and item.holds(model, adapter)
             ]
-            if held:
-                return held[0].id
+            if holders:
+                return holders[0].id
             made.wait(request, 5.0)
 
     return gevent.spawn(wait)
@@ -61,60 +61,60 @@
     return residency_module.Residency(gateway_builders.Kernel(parts))
 
 
-def tell(made, number, endpoint, held=(), coming=()):
-    told = residency_module.Holds(
-        1, number, endpoint, {name: [] for name in held}, dict(coming)
+def publish(made, number, endpoint, held=(), loading=()):
+    message = residency_module.EndpointHoldings(
+        1, number, endpoint, {name: [] for name in held}, dict(loading)
     )
-    made._on_holds("vm-2", told, None)
+    made._on_holdings("vm-2", message, None)
     gevent.sleep(0)
 
 
-def test_who_waits_for_other_models_does_not_look(made):
-    # Each message let each of 100 callers look at 60 endpoints: 26,000 questions a
-    # second at a VM that got 8 requests a second, and the day could not be played.
-    looks = []
-    jobs = [waits(made, f"m-{number}", looks) for number in range(100)]
+def test_callers_of_other_models_are_not_woken(made):
+    # Each message made each of 100 callers check 60 endpoints: 26,000 checks a second
+    # on a VM with 8 requests a second, too many to replay the recorded day.
+    checks = []
+    callers = [spawn_waiter(made, f"m-{number}", checks) for number in range(100)]
     gevent.sleep(0)
-    looks.clear()
+    checks.clear()
     for number in range(1, 71):
-        tell(made, number, ENDPOINTS[number % 60], ["m-200"], {"m-201": 1.0})
-    assert looks == []
-    tell(made, 71, ENDPOINTS[0], ["m-7", "m-200"])
-    assert looks == ["m-7"]
-    assert jobs[7].value == ENDPOINTS[0]
-    gevent.killall(jobs)
+        publish(made, number, ENDPOINTS[number % 60], ["m-200"], {"m-201": 1.0})
+    assert checks == []
+    publish(made, 71, ENDPOINTS[0], ["m-7", "m-200"])
+    assert checks == ["m-7"]
+    assert callers[7].value == ENDPOINTS[0]
+    gevent.killall(callers)
 
 
-def test_who_waits_hears_when_its_model_comes_and_when_that_fails(made):
-    looks = []
-    job = waits(made, "m-1", looks)
+def test_callers_are_woken_when_their_load_is_queued_and_when_it_fails(made):
+    checks = []
+    caller = spawn_waiter(made, "m-1", checks)
     gevent.sleep(0)
-    looks.clear()
-    tell(made, 1, "i-1", coming={"m-1": 2.0})
-    assert looks == ["m-1"]
-    tell(made, 2, "i-1", ["m-9"], coming={"m-1": 2.0})
-    assert looks == ["m-1"]
-    tell(made, 3, "i-1", ["m-9"])
-    assert looks == ["m-1", "m-1"]
-    job.kill()
-
-
-def test_a_model_at_an_endpoint_of_another_service_wakes_nobody(made):
-    looks = []
-    job = waits(made, "m-1", looks, service="other")
+    checks.clear()
+    publish(made, 1, "i-1", loading={"m-1": 2.0})
+    assert checks == ["m-1"]
+    publish(made, 2, "i-1", ["m-9"], loading={"m-1": 2.0})
+    assert checks == ["m-1"]
+    publish(made, 3, "i-1", ["m-9"])
+    assert checks == ["m-1", "m-1"]
+    caller.kill()
+
+
+def test_a_model_on_an_endpoint_of_another_service_wakes_no_caller(made):
+    checks = []
+    caller = spawn_waiter(made, "m-1", checks, service="other")
     gevent.sleep(0)
-    looks.clear()
-    tell(made, 1, "i-1", ["m-1"])
-    assert looks == []
-    job.kill()
+    checks.clear()
+    publish(made, 1, "i-1", ["m-1"])
+    assert checks == []
+    caller.kill()
 
 
-def test_who_waits_looks_again_when_endpoints_come_or_go(made):
-    looks = []
-    job = waits(made, "m-1", looks)
+def test_callers_are_woken_when_endpoints_are_added_or_removed(made):
+    checks = []
+    caller = spawn_waiter(made, "m-1", checks)
     gevent.sleep(0)
-    looks.clear()
+    checks.clear()
     made.registry.changed()
     gevent.sleep(0)
-    assert looks == ["m-1"]
-    job.kill()
+    assert checks == ["m-1"]
+    caller.kill()
