--- a/packages/mothworks_gateway/src/mothworks_gateway/load.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/load.py
@@ -1,7 +1,7 @@
-"""Load: requests that run at each endpoint, as far as this VM knows.
+"""Load: the number of requests running on each endpoint, as known to this VM.
 
-Its own are exact; those of its peers are as old as their last heartbeat, or, where
-peers are many, as the totals of a collector.
+This VM's own requests are counted exactly. Those of its peers are as of their last
+heartbeat or, with many peers, of the last totals from a collector.
 """
 
 import collections
@@ -14,18 +14,17 @@
 from mothworks import kernel
 from mothworks_gateway import asked, heartbeat, registry
 
-#: Seconds between looks for peers that have been silent for too long (2 s).
-EXPIRE_S = 0.5
-#: Time in which a model is usually loaded again from an endpoint's memory or
-#: disk, seconds.
-RELOAD_S = 0.8
+#: Seconds between checks for peers without a heartbeat for too long (2 s).
+EXPIRY_INTERVAL_S = 0.5
+#: Usual time to reload a model from an endpoint's memory or disk, seconds.
+USUAL_RELOAD_S = 0.8
 
-#: Tokens that a prompt counts at most: its length is the caller's word.
-MOST_TOKENS = 200_000
+#: Maximum number of tokens counted for a prompt: its length is stated by the caller.
+MAX_PROMPT_TOKENS = 200_000
 
 
-class _Tally:
-    """Running requests, counted by all that is asked for them."""
+class _RunningCounts:
+    """Running requests, counted by endpoint, by model and by adapter."""
 
     def __init__(self):
         self.by_endpoint: collections.Counter[str] = collections.Counter()
@@ -35,7 +34,7 @@
         )
 
     def add(self, endpoint_id: str, model: str, adapter: str, count: int) -> None:
-        """Count requests; a negative count takes them away."""
+        """Add to the counts; a negative count subtracts."""
         for counter, key in (
             (self.by_endpoint, endpoint_id),
             (self.by_model, (endpoint_id, model)),
@@ -48,11 +47,11 @@
 
 @attrs.frozen
 class _Totals:
-    """What a collector told.
+    """The totals last received from a collector.
 
-    :param running_by_endpoint: requests of all VMs, by endpoint's id.
-    :param own_by_endpoint: this VM's own at that moment.
-    :param at: monotonic time of that moment.
+    :param running_by_endpoint: requests of all VMs, by endpoint id.
+    :param own_by_endpoint: this VM's own requests at that time.
+    :param at: monotonic time of receipt.
     """
 
     running_by_endpoint: dict[str, int]
@@ -61,7 +60,7 @@
 
 
 class Load(kernel.Part):
-    """Counts running and waiting requests.
+    """Counts requests that run, arrive and are late, for the heartbeats.
 
     :param node_kernel: the node's kernel.
     """
@@ -71,53 +70,55 @@
         self.heartbeats = node_kernel.get(heartbeat.Heartbeats)
         self.heartbeats.on_heartbeat.append(self._fill)
         self.heartbeats.on_received.append(self._on_heartbeat)
-        self.running = _Tally()
+        self.running = _RunningCounts()
         self.arrived: collections.defaultdict[asked.Target, float] = (
             collections.defaultdict(float)
         )
         self.tokens: collections.Counter[asked.Target] = collections.Counter()
-        #: Answers that came too slowly since the last heartbeat, by target.
+        #: Late responses since the last heartbeat, by target.
         self.late: collections.Counter[asked.Target] = collections.Counter()
-        #: What peers run, from the heartbeats in `heartbeat_by_vm`.
-        self.of_peers = _Tally()
+        #: Running requests of the peers in `heartbeat_by_vm`.
+        self.peer_counts = _RunningCounts()
         self.heartbeat_by_vm: dict[str, heartbeat.Heartbeat] = {}
         self.totals: _Totals | None = None
 
     def start(self) -> None:
-        """Start to leave out peers that fell silent."""
-        self.tasks.every(EXPIRE_S, self._expire)
+        """Start to remove peers whose heartbeats have stopped."""
+        self.tasks.every(EXPIRY_INTERVAL_S, self._expire)
 
     def arrive(self, request: asked.Asked) -> None:
-        """Count a request that came in.
+        """Count a request that arrived.
 
-        One that may wait for longer than its model takes to load again weighs
-        less: it is hardly harmed if its model is not there.
+        A request that may wait for longer than it takes to reload its model counts
+        less: it is hardly affected if its model is not loaded.
 
         :param request: the request.
         """
-        self.arrived[request.target] += min(1.0, RELOAD_S / request.route.objective_s)
-        self.tokens[request.target] += min(MOST_TOKENS, request.own_tokens)
+        self.arrived[request.target] += min(
+            1.0, USUAL_RELOAD_S / request.route.objective_s
+        )
+        self.tokens[request.target] += min(MAX_PROMPT_TOKENS, request.own_tokens)
 
     def note_late(self, target: asked.Target) -> None:
-        """Count an answer whose endpoint was too slow for the caller's objective.
+        """Count a response whose endpoint was too slow for the latency objective.
 
-        :param target: what was asked for.
+        :param target: the request's target.
         """
         self.late[target.base] += 1
 
     def begin(self, endpoint: registry.Endpoint, target: asked.Target) -> None:
-        """Count a request that is sent.
+        """Count a request as running.
 
-        :param endpoint: where to.
-        :param target: what it asks for.
+        :param endpoint: the endpoint that it is sent to.
+        :param target: its target.
         """
         self.running.add(endpoint.id, target.model, target.adapter, 1)
 
     def end(self, endpoint: registry.Endpoint, target: asked.Target) -> None:
-        """Count a request that ended.
+        """Count a request as ended.
 
-        :param endpoint: where it ran.
-        :param target: what it asked for.
+        :param endpoint: the endpoint that it ran on.
+        :param target: its target.
         """
         self.running.add(endpoint.id, target.model, target.adapter, -1)
 
@@ -125,13 +126,14 @@
     def counted(
         self, endpoint: registry.Endpoint, target: asked.Target
     ) -> collections.abc.Iterator[None]:
-        """Count a request that will be sent, while it waits for its turn.
+        """Count a request as running while it waits to be sent.
 
-        Not counted, its adapter looked unused, made way for another one in the
-        meantime and was loaded anew: up to 172 times in 1.5 s for one adapter.
+        When such requests were not counted, their adapter appeared unused, was evicted
+        for another one and had to be reloaded: up to 172 times in 1.5 s for one
+        adapter.
 
-        :param endpoint: where to.
-        :param target: what it asks for.
+        :param endpoint: the endpoint that it will be sent to.
+        :param target: its target.
         """
         self.begin(endpoint, target)
         try:
@@ -140,67 +142,71 @@
             self.end(endpoint, target)
 
     def of_endpoint(self, endpoint_id: str) -> int:
-        """Return the requests that run at an endpoint, from all VMs.
+        """Return the number of requests of all VMs that run on an endpoint.
 
         :param endpoint_id: the endpoint's id.
         """
         own = self.running.by_endpoint[endpoint_id]
         if self.totals is None:
-            return own + self.of_peers.by_endpoint[endpoint_id]
+            return own + self.peer_counts.by_endpoint[endpoint_id]
         since_then = own - self.totals.own_by_endpoint[endpoint_id]
-        told = self.totals.running_by_endpoint.get(endpoint_id, 0)
-        return max(own, told + since_then)
+        total = self.totals.running_by_endpoint.get(endpoint_id, 0)
+        return max(own, total + since_then)
 
     def running_by_endpoint(self) -> dict[str, int]:
-        """Return the requests that run at each endpoint, from all VMs."""
-        known = self.running.by_endpoint.keys() | self.of_peers.by_endpoint.keys()
-        return {endpoint_id: self.of_endpoint(endpoint_id) for endpoint_id in known}
+        """Return the number of running requests of all VMs, by endpoint id."""
+        endpoint_ids = (
+            self.running.by_endpoint.keys() | self.peer_counts.by_endpoint.keys()
+        )
+        return {
+            endpoint_id: self.of_endpoint(endpoint_id) for endpoint_id in endpoint_ids
+        }
 
     def take_totals(self, running_by_endpoint: dict[str, int]) -> None:
-        """Take what runs in all, this VM's own requests included.
+        """Set the totals of all VMs, this one included.
 
-        :param running_by_endpoint: requests by endpoint's id.
+        :param running_by_endpoint: running requests by endpoint id.
         """
         own = collections.Counter(self.running.by_endpoint)
         self.totals = _Totals(running_by_endpoint, own, time.monotonic())
 
     def of_model(self, endpoint_id: str, model: str) -> int:
-        """Return the requests for a model that run at an endpoint, from all VMs.
+        """Return the number of requests for a model that run on an endpoint.
 
         :param endpoint_id: the endpoint's id.
-        :param model: the model, with whichever adapter.
+        :param model: the model, with any adapter.
         """
-        own, peers = self.running.by_model, self.of_peers.by_model
+        own, peers = self.running.by_model, self.peer_counts.by_model
         return own[endpoint_id, model] + peers[endpoint_id, model]
 
     def of_adapter(self, endpoint_id: str, model: str, adapter: str) -> int:
-        """Return the requests for an adapter that run at an endpoint, from all VMs.
+        """Return the number of requests for an adapter that run on an endpoint.
 
         :param endpoint_id: the endpoint's id.
         :param model: the adapter's model.
         :param adapter: the adapter.
         """
         key = (endpoint_id, model, adapter)
-        return self.running.by_adapter[key] + self.of_peers.by_adapter[key]
+        return self.running.by_adapter[key] + self.peer_counts.by_adapter[key]
 
-    def _on_heartbeat(self, vm: str, told: heartbeat.Heartbeat) -> None:
+    def _on_heartbeat(self, vm: str, message: heartbeat.Heartbeat) -> None:
         if vm != self.kernel.settings.name:
-            self._forget(vm)
-            self.heartbeat_by_vm[vm] = told
-            for endpoint_id, model, adapter, count in told.running:
-                self.of_peers.add(endpoint_id, model, adapter, count)
+            self._remove_peer(vm)
+            self.heartbeat_by_vm[vm] = message
+            for endpoint_id, model, adapter, count in message.running:
+                self.peer_counts.add(endpoint_id, model, adapter, count)
 
-    def _forget(self, vm: str) -> None:
-        """Take away what a peer told last."""
-        told = self.heartbeat_by_vm.pop(vm, None)
-        for endpoint_id, model, adapter, count in told.running if told else ():
-            self.of_peers.add(endpoint_id, model, adapter, -count)
+    def _remove_peer(self, vm: str) -> None:
+        """Remove the counts of a peer's last heartbeat."""
+        message = self.heartbeat_by_vm.pop(vm, None)
+        for endpoint_id, model, adapter, count in message.running if message else ():
+            self.peer_counts.add(endpoint_id, model, adapter, -count)
 
     def _expire(self) -> None:
         if self.totals and time.monotonic() - self.totals.at > heartbeat.STALE_S:
             self.totals = None
         for vm in self.heartbeat_by_vm.keys() - self.heartbeats.fresh().keys():
-            self._forget(vm)
+            self._remove_peer(vm)
 
     def _fill(self) -> dict:
         running = tuple((*key, count) for key, count in self.running.by_adapter.items())
--- a/packages/mothworks_gateway/tests/test_load.py
+++ b/packages/mothworks_gateway/tests/test_load.py
@@ -1,4 +1,4 @@
-"""Load: own requests count at once, those of peers with their next heartbeat."""
+"""Load: this VM's requests count at once, those of peers with their next heartbeat."""
 
 import pytest
 
@@ -7,19 +7,19 @@
 
 
 class Heartbeats(gateway_builders.Heartbeats):
-    """Stands for heartbeats, of which some are recent."""
+    """Stub of the heartbeats, of which some are recent."""
 
     def __init__(self):
         super().__init__()
-        self.told_by_vm = {}
+        self.heartbeat_by_vm = {}
 
     def fresh(self):
-        return self.told_by_vm
+        return self.heartbeat_by_vm
 
     def receive(self, vm, *running):
-        self.told_by_vm[vm] = heartbeat.Heartbeat(1, 1, 0, running)
+        self.heartbeat_by_vm[vm] = heartbeat.Heartbeat(1, 1, 0, running)
         for notify in self.on_received:
-            notify(vm, self.told_by_vm[vm])
+            notify(vm, self.heartbeat_by_vm[vm])
 
 
 @pytest.fixture
@@ -41,7 +41,7 @@
     assert made.of_endpoint("i-3") == 0
 
 
-def test_own_requests_that_ended_leave_nothing(made):
+def test_own_requests_that_ended_are_not_counted(made):
     endpoint, target = gateway_builders.endpoint("i-9"), asked.Target("s", "m", "a")
     made.begin(endpoint, target)
     made.begin(endpoint, target)
@@ -49,16 +49,19 @@
     assert made.of_adapter("i-9", "m", "a") == 1
     made.end(endpoint, target)
     assert made.of_endpoint("i-9") == made.of_model("i-9", "m") == 0
-    (fill,) = made.heartbeats.on_heartbeat
-    assert fill()["running"] == ()
+    (heartbeat_fields,) = made.heartbeats.on_heartbeat
+    assert heartbeat_fields()["running"] == ()
 
 
-def test_a_heartbeat_tells_what_runs_here(made):
+def test_a_heartbeat_lists_this_vms_running_requests(made):
     endpoint = gateway_builders.endpoint("i-1")
     for adapter in ("", "a", "a"):
         made.begin(endpoint, asked.Target("s", "m", adapter))
-    (fill,) = made.heartbeats.on_heartbeat
-    assert set(fill()["running"]) == {("i-1", "m", "", 1), ("i-1", "m", "a", 2)}
+    (heartbeat_fields,) = made.heartbeats.on_heartbeat
+    assert set(heartbeat_fields()["running"]) == {
+        ("i-1", "m", "", 1),
+        ("i-1", "m", "a", 2),
+    }
 
 
 def test_this_vms_own_heartbeat_is_not_counted_twice(made):
@@ -73,17 +76,17 @@
     assert made.of_endpoint("i-2") == 0
 
 
-def test_a_peer_that_fell_silent_counts_no_longer(made):
+def test_a_peer_without_heartbeats_is_not_counted(made):
     made.heartbeats.receive("vm-3", ("i-1", "m", "", 4))
-    del made.heartbeats.told_by_vm["vm-2"]
+    del made.heartbeats.heartbeat_by_vm["vm-2"]
     made._expire()
     assert made.of_model("i-1", "m") == 4
     assert made.of_endpoint("i-2") == 0
 
 
-def test_a_request_counts_while_it_waits_for_its_turn(made):
-    # Its adapter looked unused meanwhile, made way for another one, and had to be
-    # loaded anew before the request could be sent.
+def test_a_request_counts_while_it_waits_for_a_prefill_slot(made):
+    # Otherwise its adapter appeared unused, was evicted for another one, and had to be
+    # reloaded before the request could be sent.
     endpoint, target = gateway_builders.endpoint("i-9"), asked.Target("s", "m", "a")
     with made.counted(endpoint, target):
         assert made.of_adapter("i-9", "m", "a") == 1
