--- a/packages/mothworks_gateway/src/mothworks_gateway/reading.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/reading.py
@@ -1,10 +1,10 @@
-"""Reading: how many prompt tokens a second the endpoints of a service read.
+"""Reading: estimates the prefill speed of a service's endpoints, tokens per second.
 
-Learnt from answers, since it differs several times between deployments and nobody
-declares it. The time to the first piece of an answer grows with the prompt's
-length; what it has beside that (the way, the endpoint's own overhead) is the same
-for short prompts. So the difference between long and short prompts, of those
-that hardly waited, shows the speed.
+The speed is learned from responses, since it differs several times between deployments
+and is not declared. The time to the first token grows with the prompt's length; its
+other components (network, the endpoint's overhead) do not depend on it. So the
+difference between long and short prompts, among those that hardly queued, gives the
+speed.
 """
 
 import collections
@@ -18,30 +18,31 @@
 
 log = logbook.Logger("reading")
 
-#: Tokens a second that are assumed before enough answers came: half of what
-#: current accelerators read.
-USUAL_TOKENS_PER_S = 20_000.0
-#: Bounds of what is believed: below, endpoints could not meet the objectives of
-#: any route known; above, prompts hardly matter.
-LEAST_TOKENS_PER_S = 4_000.0
-MOST_TOKENS_PER_S = 80_000.0
-#: Answers that are remembered for a service, and the fewest that say something.
-SAMPLES = 160
-LEAST_SAMPLES = 32
-#: Answers between two estimates: each sorts all samples.
-ESTIMATE_EVERY = 16
-#: Change of the speed, as a share, from which on it is logged.
-NOTABLE = 0.1
-#: Part of the answers, by their time, that hardly waited: the lower quartile.
-HARDLY_WAITED = 0.25
+#: Prefill speed assumed until there are enough samples, tokens per second: half of that
+#: of current accelerators.
+DEFAULT_TOKENS_PER_S = 20_000.0
+#: Bounds of the estimate, tokens per second. Below, endpoints could not meet the
+#: objective of any known route; above, prompts hardly matter.
+MIN_TOKENS_PER_S = 4_000.0
+MAX_TOKENS_PER_S = 80_000.0
+#: Maximum number of samples per service, and the minimum for an estimate.
+MAX_SAMPLES = 160
+MIN_SAMPLES = 32
+#: Samples between two estimates: each estimate sorts all samples.
+SAMPLES_PER_ESTIMATE = 16
+#: Relative change of the speed above which it is logged.
+LOGGED_CHANGE = 0.1
+#: Quantile of the response times that stands for requests that hardly queued: the lower
+#: quartile.
+QUICK_QUANTILE = 0.25
 
 
 @attrs.frozen
 class _Sample:
-    """One answer.
+    """One response.
 
-    :param tokens: tokens of its prompt that no other request shares.
-    :param seconds: time from sending it to its first piece.
+    :param tokens: prompt tokens that no other request shares.
+    :param seconds: time to the first token.
     """
 
     tokens: int
@@ -49,7 +50,7 @@
 
 
 class Reading(kernel.Part):
-    """Learns the speed at which endpoints read prompts.
+    """Estimates the speed at which endpoints prefill prompts.
 
     :param node_kernel: the node's kernel.
     """
@@ -59,19 +60,21 @@
         self.speed_by_service: dict[str, float] = {}
         self.samples_by_service: collections.defaultdict[
             str, collections.deque[_Sample]
-        ] = collections.defaultdict(lambda: collections.deque(maxlen=SAMPLES))
-        self.unused_by_service: collections.Counter[str] = collections.Counter()
+        ] = collections.defaultdict(lambda: collections.deque(maxlen=MAX_SAMPLES))
+        self.new_samples_by_service: collections.Counter[str] = collections.Counter()
 
-    def tokens_per_s(self, service: str, usual: float = USUAL_TOKENS_PER_S) -> float:
-        """Return how fast one endpoint of a service reads.
+    def tokens_per_s(
+        self, service: str, default: float = DEFAULT_TOKENS_PER_S
+    ) -> float:
+        """Return the prefill speed of one endpoint of a service, tokens per second.
 
         :param service: the service.
-        :param usual: what is assumed before enough answers came.
+        :param default: the speed assumed until there are enough samples.
         """
-        return self.speed_by_service.get(service, usual)
+        return self.speed_by_service.get(service, default)
 
     def note(self, request: asked.Asked, seconds: float) -> None:
-        """Learn from an answer that began.
+        """Add a sample from a response that began.
 
         :param request: the request.
         :param seconds: time from sending it until then.
@@ -81,18 +84,18 @@
         service = request.target.service
         samples = self.samples_by_service[service]
         samples.append(_Sample(request.own_tokens, seconds))
-        self.unused_by_service[service] += 1
-        enough = len(samples) >= LEAST_SAMPLES
-        if enough and self.unused_by_service[service] >= ESTIMATE_EVERY:
-            self.unused_by_service[service] = 0
+        self.new_samples_by_service[service] += 1
+        enough = len(samples) >= MIN_SAMPLES
+        if enough and self.new_samples_by_service[service] >= SAMPLES_PER_ESTIMATE:
+            self.new_samples_by_service[service] = 0
             speed = estimate(list(samples))
             if speed is not None:
-                self._learn(service, speed, len(samples))
+                self._set_speed(service, speed, len(samples))
 
-    def _learn(self, service: str, speed: float, samples: int) -> None:
+    def _set_speed(self, service: str, speed: float, samples: int) -> None:
         before = self.tokens_per_s(service)
         self.speed_by_service[service] = speed
-        if abs(speed - before) > NOTABLE * before:
+        if abs(speed - before) > LOGGED_CHANGE * before:
             logs.event(
                 log,
                 "reading speed",
@@ -104,7 +107,7 @@
 
 
 def estimate(samples: list[_Sample]) -> float | None:
-    """Return the tokens a second that answers show; None if they show none.
+    """Return the prefill speed that samples show; None if they show none.
 
     >>> short, long = _Sample(100, 0.10), _Sample(2100, 0.20)
     >>> round(estimate([short] * 20 + [long] * 20))
@@ -113,11 +116,11 @@
     by_length = sorted(samples, key=lambda sample: sample.tokens)
     third = len(by_length) // 3
     short, long = by_length[:third], by_length[-third:]
-    more_tokens = _mean_tokens(long) - _mean_tokens(short)
-    more_s = _quick_s(long) - _quick_s(short)
-    if more_tokens <= 0 or more_s <= 0:
+    extra_tokens = _mean_tokens(long) - _mean_tokens(short)
+    extra_s = _quick_s(long) - _quick_s(short)
+    if extra_tokens <= 0 or extra_s <= 0:
         return None
-    return min(MOST_TOKENS_PER_S, max(LEAST_TOKENS_PER_S, more_tokens / more_s))
+    return min(MAX_TOKENS_PER_S, max(MIN_TOKENS_PER_S, extra_tokens / extra_s))
 
 
 def _mean_tokens(samples: list[_Sample]) -> float:
@@ -126,4 +129,4 @@
 
 def _quick_s(samples: list[_Sample]) -> float:
     seconds = sorted(sample.seconds for sample in samples)
-    return seconds[int(HARDLY_WAITED * len(seconds))]
+    return seconds[int(QUICK_QUANTILE * len(seconds))]
--- a/packages/mothworks_gateway/tests/test_moving_demand.py
+++ b/packages/mothworks_gateway/tests/test_moving_demand.py
@@ -32,7 +32,7 @@
     # were added one per second, and each only once the last was full. After two seconds
     # three quarters of the new rate are observed.
     made.ask("rising", PER_S, TOKENS, seconds=2.0)
-    needed = PER_S * TOKENS / (reading.USUAL_TOKENS_PER_S * offers.PREFILL_SHARE)
+    needed = PER_S * TOKENS / (reading.DEFAULT_TOKENS_PER_S * offers.PREFILL_SHARE)
     assert made.holders("rising") >= 0.75 * needed
 
 
