--- a/packages/mothworks_gateway/src/mothworks_gateway/events.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/events.py
@@ -1,23 +1,23 @@
-"""Server-sent events: cuts a byte stream at the ends of events.
+"""Server-sent events: splits a byte stream into complete events.
 
-A resumable stream is passed on in whole events only, so that another run can
-go on after the last one that the caller has.
+A resumable stream is forwarded in complete events only, so that another run can
+continue after the last event that the caller has received.
 """
 
 import re
 
 #: The empty line that ends an event.
 END = re.compile(rb"\r\n\r\n|\n\n|\r\r")
-#: The line that carries an event's id.
+#: The line with an event's id.
 ID = re.compile(rb"^id:[ ]?([^\r\n]*)", re.MULTILINE)
 
 
-class OutOfOrder(ConnectionError):
-    """A stream repeated an event, so that it is not the run that it was."""
+class OutOfOrderError(ConnectionError):
+    """A stream repeated an event, so it does not continue the previous run."""
 
 
 class Cutter:
-    """Gathers bytes into whole events.
+    """Buffers bytes until they form complete events.
 
     >>> cutter = Cutter()
     >>> cutter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda")
@@ -27,32 +27,32 @@
     """
 
     def __init__(self):
-        #: The id of the last whole event.
+        #: The id of the last complete event.
         self.last_id = ""
-        #: Bytes of an event that is not whole yet.
+        #: Bytes of an incomplete event.
         self.rest = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events that bytes complete.
+        """Return the complete events once some bytes are appended.
 
-        :param data: the bytes that came.
+        :param data: the bytes received.
         """
         data = self.rest + data
         end = 0
         for match in END.finditer(data):
             end = match.end()
-        whole, self.rest = data[:end], data[end:]
-        for found in ID.findall(whole):
-            self._follow(found.decode("latin-1"))
-        return whole
+        complete, self.rest = data[:end], data[end:]
+        for event_id in ID.findall(complete):
+            self._set_last_id(event_id.decode("latin-1"))
+        return complete
 
-    def _follow(self, event_id: str) -> None:
-        """Take the next event's id, which grows within a stream.
+    def _set_last_id(self, event_id: str) -> None:
+        """Check and store the next event's id, which must grow within a stream.
 
-        A run that was to go on after the last event, and begins anew instead,
-        would give the caller events twice.
+        A run that starts over instead of continuing after the last event would send the
+        caller events twice.
         """
-        numbers = event_id.isdecimal() and self.last_id.isdecimal()
-        if numbers and int(event_id) <= int(self.last_id):
-            raise OutOfOrder(f"event {event_id} after {self.last_id}")
+        numeric = event_id.isdecimal() and self.last_id.isdecimal()
+        if numeric and int(event_id) <= int(self.last_id):
+            raise OutOfOrderError(f"event {event_id} after {self.last_id}")
         self.last_id = event_id
--- a/packages/mothworks_gateway/tests/test_events.py
+++ b/packages/mothworks_gateway/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Cutting streams at the ends of events, however their bytes come."""
+"""Splitting a stream into events, however its bytes are divided."""
 
 import hypothesis
 import hypothesis.strategies as st
@@ -11,15 +11,15 @@
 
 @hypothesis.given(st.lists(st.integers(0, len(STREAM)), max_size=12))
 @hypothesis.settings(max_examples=200, deadline=None)
-def test_events_come_whole_and_in_order(cuts):
+def test_events_are_complete_and_in_order(cuts):
     ends = [0, *sorted(cuts), len(STREAM)]
     cutter = events.Cutter()
-    passed = b""
+    forwarded = b""
     for begin, end in zip(ends, ends[1:], strict=False):
-        whole = cutter.feed(STREAM[begin:end])
-        assert whole == b"" or whole.endswith(b"\n\n")
-        passed += whole
-    assert passed == STREAM
+        complete = cutter.feed(STREAM[begin:end])
+        assert complete == b"" or complete.endswith(b"\n\n")
+        forwarded += complete
+    assert forwarded == STREAM
     assert cutter.last_id == "8"
     assert cutter.rest == b""
 
@@ -27,23 +27,23 @@
 @hypothesis.given(st.binary(max_size=300))
 @hypothesis.settings(max_examples=300, deadline=None)
 def test_any_bytes_are_kept(data):
-    # An engine may send bytes that are no events; none is lost or doubled.
+    # An engine may send bytes that are not events; none is lost or duplicated.
     cutter = events.Cutter()
     try:
-        whole = cutter.feed(data)
-    except events.OutOfOrder:
+        complete = cutter.feed(data)
+    except events.OutOfOrderError:
         return
-    assert whole + cutter.rest == data
+    assert complete + cutter.rest == data
 
 
-def test_an_event_that_comes_again_breaks_the_stream():
+def test_a_repeated_event_breaks_the_stream():
     cutter = events.Cutter()
     cutter.feed(b"id: 2\ndata: b\n\n")
-    with pytest.raises(events.OutOfOrder):
+    with pytest.raises(events.OutOfOrderError):
         cutter.feed(b"id: 1\ndata: a\n\n")
 
 
-def test_line_ends_may_be_of_either_kind():
+def test_both_kinds_of_line_ends_are_accepted():
     cutter = events.Cutter()
     assert cutter.feed(b"id: 1\r\ndata: a\r\n\r\nid: 2") == b"id: 1\r\ndata: a\r\n\r\n"
     assert cutter.last_id == "1"
