--- a/packages/mothworks_gateway/src/mothworks_gateway/ranking.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/ranking.py
@@ -1,7 +1,7 @@
-"""Ranking: the order in which VMs stand in line for a duty.
+"""Ranking: the order in which VMs are assigned a role.
 
 All VMs compute the same order from the same membership, by rendezvous hashing. It is
-kept until membership changes, since every heartbeat needs it.
+cached until membership changes, since every heartbeat needs it.
 """
 
 import functools
@@ -10,25 +10,25 @@
 
 
 class Ranking:
-    """One VM's view of who stands in line.
+    """One VM's view of the order.
 
-    :param duty: names the duty; each has an order of its own.
-    :param name: that VM.
-    :param known: its membership.
+    :param role: the role; each role has its own order.
+    :param name: the VM.
+    :param members: its membership.
     """
 
-    def __init__(self, duty: str, name: str, known: membership.Membership):
-        self.duty = duty
+    def __init__(self, role: str, name: str, members: membership.Membership):
+        self.role = role
         self.name = name
-        self.membership = known
-        known.on_change.append(lambda: self.__dict__.pop("vms", None))
+        self.membership = members
+        members.on_change.append(lambda: self.__dict__.pop("vms", None))
 
     @functools.cached_property
     def vms(self) -> list[str]:
-        """Return the live VMs that stay, this one among them, the first first."""
+        """Return the live VMs that stay, this one included, highest rank first."""
         staying = [item.name for item in self.membership.near() if not item.leaving]
         return sorted(
             [*staying, self.name],
-            key=lambda vm: ownership.weight(self.duty, vm),
+            key=lambda vm: ownership.weight(self.role, vm),
             reverse=True,
         )
