--- a/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
@@ -1,9 +1,9 @@
 """Interfaces that a platform adapter implements.
 
 An adapter only translates: between the platform's documents and the types of
-:mod:`declared` and :mod:`registry`, and between requests and what endpoints
-speak. It registers itself under the kinds named here; the setting ``adapter``
-names the module to import and the key.
+:mod:`declared` and :mod:`registry`, and between requests and the endpoints' protocol.
+It registers its classes under the plug-in kinds below. The setting ``adapter`` names
+both the module to import and the key to register under.
 """
 
 import enum
@@ -14,7 +14,7 @@
 from mothworks import calls, endpoints, transport
 from mothworks_gateway import asked, client_accounts, declared, registry
 
-#: Kinds of plug-ins, beside those of :mod:`mothworks.plugins`.
+#: Kinds of plug-ins, in addition to those of :mod:`mothworks.plugins`.
 FEEDS = "feeds"
 CALLERS = "callers"
 ENDPOINTS = "endpoint protocol"
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class FeedDown:
-    """The platform did not answer.
+    """The platform did not respond.
 
     :param reason: what failed.
     """
@@ -37,10 +37,10 @@
 
 @attrs.frozen
 class Listing:
-    """All objects of one kind at one moment.
+    """All objects of one kind at one revision.
 
-    :param cursor: the platform's revision of that moment; grows.
-    :param document_by_name: each object as the platform spells it.
+    :param cursor: the platform's revision; it grows.
+    :param document_by_name: each object in the platform's format.
     """
 
     cursor: int
@@ -52,7 +52,7 @@
     """An object that was written or removed.
 
     :param name: its name.
-    :param document: the object as the platform spells it; None if removed.
+    :param document: the object in the platform's format; None if removed.
     """
 
     name: str
@@ -61,7 +61,7 @@
 
 @attrs.frozen
 class Changes:
-    """What changed since a cursor.
+    """The changes since a cursor.
 
     :param cursor: the platform's revision after the changes.
     :param changes: in the order in which they happened.
@@ -72,19 +72,19 @@
 
 
 class Feed:
-    """Objects of one kind, read whole or followed."""
+    """Objects of one kind, to be listed or followed."""
 
     def read(self) -> result.Result[Listing, FeedDown]:
-        """Read all objects; never answered from a stale copy."""
+        """List all objects; never answered from a stale copy."""
         raise NotImplementedError
 
     def wait(
         self, cursor: int, wait_s: float
     ) -> result.Result[Changes, FeedDown | FeedExpired]:
-        """Wait for changes, by one long poll.
+        """Wait for changes with one long poll.
 
-        :param cursor: from the last reading.
-        :param wait_s: longest wait, seconds.
+        :param cursor: the cursor of the last response.
+        :param wait_s: maximum wait, seconds.
         """
         raise NotImplementedError
 
@@ -94,7 +94,7 @@
 
     declarations: Feed
     endpoints: Feed
-    #: The name, in the feed of declarations, of the operator's document.
+    #: Name of the operator's document in the feed of declarations.
     declaration_name: str
 
     def declaration(self, document: bytes) -> result.Result[declared.Declaration, str]:
@@ -108,7 +108,7 @@
     def endpoint(
         self, name: str, document: bytes
     ) -> result.Result[registry.Entry, str]:
-        """Decode what an endpoint says of itself.
+        """Decode the object that an endpoint registers.
 
         :param name: the object's name.
         :param document: the object.
@@ -118,7 +118,7 @@
 
 
 class Callers:
-    """How callers speak: what a request's head says, and refusals."""
+    """The callers' protocol: decodes the requests of callers."""
 
     def read(
         self,
@@ -135,21 +135,21 @@
         :param route: the route that it matched.
         :param service: the service chosen for it.
         :param body: its whole body.
-        :param version: of the declaration that has the route.
-        :param account: whose key it carries; None where callers need no keys.
+        :param version: version of the declaration that has the route.
+        :param account: the client account of its key; None where callers need no keys.
         :returns: the request, or what is wrong with it.
         """
         raise NotImplementedError
 
     def request_id(self, call: calls.Call) -> str:
-        """Return the caller's id of a request, or an empty text.
+        """Return the caller's id of a request, or an empty string.
 
         :param call: the call.
         """
         raise NotImplementedError
 
     def key(self, call: calls.Call) -> str:
-        """Return the key that a request carries, or an empty text.
+        """Return the key that a request carries, or an empty string.
 
         :param call: the call.
         """
@@ -157,19 +157,19 @@
 
 
 class Verdict(enum.Enum):
-    """What the head of an endpoint's answer says."""
+    """Classification of an endpoint's response by its head."""
 
-    #: The request runs or has run, and this is its answer.
+    #: The request is running or has run, and this is its response.
     ANSWER = "answer"
-    #: The endpoint failed at running it and says so.
+    #: The endpoint tried to run the request and reports a failure.
     FAILED = "failed"
-    #: The endpoint did not run it: it is full or leaving.
+    #: The endpoint did not run the request: it is full or leaving.
     BUSY = "busy"
-    #: The endpoint did not run it: it does not hold the model or adapter.
+    #: The endpoint did not run the request: it does not hold the model or adapter.
     ABSENT = "absent"
-    #: The endpoint did not run it: it is another one than the one meant.
+    #: The endpoint did not run the request: it is not the intended endpoint.
     MISDIRECTED = "misdirected"
-    #: Not an answer to this request; whether it ran is not known.
+    #: Not a response to this request; whether the request ran is unknown.
     FOREIGN = "foreign"
 
 
@@ -178,7 +178,7 @@
     """A model that an endpoint holds.
 
     :param model: its name.
-    :param adapters: the adapters that it holds with it.
+    :param adapters: the adapters held with it.
     """
 
     model: str
@@ -187,15 +187,15 @@
 
 @attrs.frozen
 class Inventory:
-    """What an endpoint reports of its memory; lags by some hundred ms.
+    """What an endpoint reports that it holds; some hundred milliseconds old.
 
-    :param accepted: orders that it accepted since its start.
-    :param ordered: whether it is carrying out an order now.
+    :param accepted: number of orders that it has accepted since its start.
+    :param ordered: whether it is executing an order now.
     :param holdings: the models that it holds.
     :param arriving: adapters that it is loading, as (model, adapter).
-    :param running: requests that run.
-    :param queued: requests that wait at it.
-    :param born: when it started; see :class:`registry.Entry`.
+    :param running: number of running requests.
+    :param queued: number of requests queued on it.
+    :param born: its start time; see :class:`registry.Entry`.
     """
 
     accepted: int
@@ -208,23 +208,23 @@
 
 
 class OrderOutcome(enum.Enum):
-    """What an endpoint answered to an order."""
+    """An endpoint's response to an order."""
 
-    #: It carries the order out now.
+    #: The endpoint is executing the order now.
     ACCEPTED = "accepted"
-    #: What was ordered holds already.
+    #: The endpoint is already in the ordered state.
     DONE = "done"
-    #: Another order is under way, or it accepted another number of orders.
+    #: It is executing another order, or has accepted a different number of orders.
     CONFLICT = "conflict"
     #: It has seen a newer fencing token.
     FENCED = "fenced"
-    #: It refuses the order for good.
+    #: It refuses the order permanently.
     REFUSED = "refused"
-    #: Another endpoint has its address now.
+    #: Another endpoint now has its address.
     MISDIRECTED = "misdirected"
-    #: No connection to it opened, or the lease ended before one did.
+    #: No connection to it was opened, or the lease ended before one was.
     UNSENT = "unsent"
-    #: No answer: it may carry the order out now, later or never.
+    #: No response: it may execute the order now, later or never.
     UNKNOWN = "unknown"
 
 
@@ -235,8 +235,8 @@
     :param load: whether to load; otherwise unload.
     :param model: the model.
     :param adapter: an adapter of it; empty for the model itself.
-    :param accepted: orders that the endpoint must have accepted so far.
-    :param holder: the VM that orders.
+    :param accepted: number of orders that the endpoint must have accepted so far.
+    :param holder: the VM that sends the order.
     :param fence: the fencing token of its lease.
     """
 
@@ -249,7 +249,7 @@
 
 
 class EndpointProtocol:
-    """How endpoints speak.
+    """The protocol of the endpoints.
 
     :param connections: the connections to endpoints.
     """
@@ -265,36 +265,38 @@
         deadline: float,
         after_event: str = "",
     ) -> result.Result[transport.HttpAnswer, endpoints.SendFailure]:
-        """Send a request once and wait for the head of the answer.
+        """Send a request once and wait for the head of the response.
 
-        :param endpoint: where to.
+        :param endpoint: the endpoint to send it to.
         :param request: the request.
-        :param left_s: time that the endpoint is told to have, seconds.
-        :param deadline: monotonic time to wait for the head until.
-        :param after_event: the last event that the caller has, to resume.
+        :param left_s: time limit stated to the endpoint, seconds.
+        :param deadline: monotonic time until which to wait for the head.
+        :param after_event: id of the last event that the caller has received, to resume
+            after.
         """
         raise NotImplementedError
 
     def judge(self, request: asked.Asked, answer: transport.HttpAnswer) -> Verdict:
-        """Return what the head of an answer says.
+        """Classify a response by its head.
 
-        :param request: what was sent.
-        :param answer: its answer, the body not read.
+        :param request: the request that was sent.
+        :param answer: the response, its body not read.
         """
         raise NotImplementedError
 
     def limit(self, answer: transport.HttpAnswer) -> result.Result[float | None, str]:
-        """Return the most requests a second that an endpoint says it takes now.
+        """Return the rate limit that a response advertises, in requests per second.
 
-        It counts for all VMs together, for as long as the endpoint says so.
+        The limit covers the requests of all VMs together, for as long as the endpoint
+        advertises it.
 
-        :param answer: any answer of it, the body not read.
-        :returns: None where it names no limit; why a limit is unreadable.
+        :param answer: any response of the endpoint, its body not read.
+        :returns: the limit, None if there is none; or why it is unreadable.
         """
         raise NotImplementedError
 
     def inventory(self, endpoint: registry.Endpoint) -> result.Result[Inventory, str]:
-        """Ask a model endpoint what it holds.
+        """Request what a model endpoint holds.
 
         :param endpoint: the endpoint.
         """
@@ -303,9 +305,9 @@
     def order(self, endpoint: registry.Endpoint, order: Order, valid) -> OrderOutcome:
         """Send one copy of an order.
 
-        :param endpoint: where to.
+        :param endpoint: the endpoint to send it to.
         :param order: the order.
-        :param valid: called right before the first byte leaves; the order is
-            not sent unless it returns true.
+        :param valid: called right before the first byte is sent; the order is sent only
+            if it returns true.
         """
         raise NotImplementedError
