--- a/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
@@ -39,14 +39,14 @@
     model: str
     adapter: str
 
-    def changes(self, held: dict[str, set[str]]) -> bool:
+    def changes(self, holdings: dict[str, set[str]]) -> bool:
         """Return whether the order would change what an endpoint holds.
 
-        :param held: what the endpoint holds, adapters by model.
+        :param holdings: what the endpoint holds, adapters by model.
         """
-        has_model = self.model in held
+        has_model = self.model in holdings
         if self.adapter:
-            has_adapter = has_model and self.adapter in held[self.model]
+            has_adapter = has_model and self.adapter in holdings[self.model]
             return has_adapter != self.load and has_model
         return has_model != self.load
 
@@ -65,22 +65,22 @@
 def all_fit(
     late: list[UnansweredOrder],
     state: sites.EndpointState,
-    held: dict[str, set[str]],
+    holdings: dict[str, set[str]],
     accepted: int,
 ) -> bool:
     """Return whether late orders fit in memory, in each sequence that may happen.
 
     :param late: the late orders.
     :param state: the endpoint's state.
-    :param held: what the endpoint holds; see :meth:`sites.EndpointState.in_memory`.
+    :param holdings: what the endpoint holds; see :meth:`sites.EndpointState.in_memory`.
     :param accepted: number of orders that it has accepted.
     """
     for order in late:
-        if order.accepted != accepted or not order.changes(held):
+        if order.accepted != accepted or not order.changes(holdings):
             continue
-        if order.load and not state.fits(order.model, order.adapter, held):
+        if order.load and not state.fits(order.model, order.adapter, holdings):
             return False
-        after = sites.holdings_after(held, order.load, order.model, order.adapter)
+        after = sites.holdings_after(holdings, order.load, order.model, order.adapter)
         if not all_fit(late, state, after, accepted + 1):
             return False
     return True
--- a/packages/mothworks_gateway/src/mothworks_gateway/offers.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/offers.py
@@ -72,14 +72,14 @@
     :param state: the endpoint's state.
     :param evictions: names of the models to evict first.
     :param eviction_cost: cost of evicting them, in requests.
-    :param seconds: time until the model would be ready.
+    :param ready_in_s: time until the model would be ready, seconds.
     :param forced: whether running requests use a model to evict.
     """
 
     state: sites.EndpointState
     evictions: tuple[str, ...]
     eviction_cost: float
-    seconds: float
+    ready_in_s: float
     forced: bool
 
     def total_cost(self, callers: int) -> float:
@@ -89,7 +89,7 @@
         """
         return (
             self.eviction_cost
-            + COST_PER_WAITING_S * max(MIN_CALLERS, callers) * self.seconds
+            + COST_PER_WAITING_S * max(MIN_CALLERS, callers) * self.ready_in_s
         )
 
 
@@ -286,13 +286,13 @@
         names = tuple(eviction.model for eviction in evictions)
         running = sum(self.running(name, [state]) for name in names)
         share = self.load.of_endpoint(state.endpoint.id) / state.accelerator.batch
-        seconds = (
+        ready_in_s = (
             state.load_s(model)
             + FULL_BATCH_DELAY_S * share
             + sites.expected_unload_s(running)
         )
-        seconds += max(state.ready_s_by_model().values(), default=0.0)
-        return Candidate(state, names, eviction_cost, seconds, running > 0)
+        ready_in_s += max(state.ready_s_by_model().values(), default=0.0)
+        return Candidate(state, names, eviction_cost, ready_in_s, running > 0)
 
     def eviction_cost(self, state: sites.EndpointState, name: str) -> float:
         """Return the cost of evicting a model from an endpoint, in requests.
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -96,10 +96,10 @@
 HOLDER_BATCH_S = 0.05
 
 #: Reasons for a load, as logged.
-WANTED = "wanted"
+CALLERS_WAITING = "wanted"
 DEMAND = "its prompts need more endpoints"
 SLOW = "its endpoints are slow or nearly full"
-UNHELD = "no endpoint holds it"
+NOT_HELD = "no endpoint holds it"
 COPY = "too few endpoints have a copy"
 
 
@@ -188,7 +188,7 @@
         )
         target, count = unmet.target.base, unmet.count
         any_model = offers.Evictable.ANY
-        self._place_model(target, model, WANTED, cost_limit, count, any_model)
+        self._place_model(target, model, CALLERS_WAITING, cost_limit, count, any_model)
 
     def _place_adapter(
         self, unmet: demand.UnmetDemand, states: list[sites.EndpointState]
@@ -204,7 +204,7 @@
         if with_slot:
             state = min(with_slot, key=self._pressure)
             self._queue_job(state, sites.Job(unmet.target.model, unmet.target.adapter))
-            self._log_decision(unmet.target, state, WANTED)
+            self._log_decision(unmet.target, state, CALLERS_WAITING)
 
     def _pressure(self, state: sites.EndpointState) -> float:
         batch_share = self.load.of_endpoint(state.endpoint.id) / state.accelerator.batch
@@ -228,7 +228,7 @@
         evictable: offers.Evictable = offers.Evictable.UNUSED,
     ) -> offers.Candidate | None:
         """Queue a load on the cheapest endpoint whose evictions cost little enough."""
-        share = COPY_STORE_SHARE if reason in (UNHELD, COPY) else 1.0
+        share = COPY_STORE_SHARE if reason in (NOT_HELD, COPY) else 1.0
         candidates = [
             candidate
             for candidate in self.placement.candidates(target.service, model, evictable)
@@ -319,7 +319,9 @@
             model = accelerator.model_by_name[name]
             target = asked.Target(service, name)
             spare_only = offers.Evictable.SPARE
-            self._place_model(target, model, UNHELD, cost_by_model[name], 0, spare_only)
+            self._place_model(
+                target, model, NOT_HELD, cost_by_model[name], 0, spare_only
+            )
 
     def _copy(self, service: str, accelerator: declared.Accelerator) -> None:
         """Load each model with too few copies once on another endpoint.
@@ -363,7 +365,7 @@
             needed=round(self.placement.endpoints_needed(target.base), 2),
             drops=list(candidate.evictions) if candidate else [],
             harm=round(candidate.eviction_cost, 2) if candidate else 0,
-            seconds=round(candidate.seconds, 2) if candidate else 0,
+            seconds=round(candidate.ready_in_s, 2) if candidate else 0,
             fence=self.lease.fence,
             outcome="queued",
         )
--- a/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
@@ -319,21 +319,21 @@
         :param state: the endpoint's state.
         :param without: an unload that is about to be ordered.
         """
-        held = {
-            name: sorted(held)
-            for name, held in state.adapters_by_model.items()
+        holdings = {
+            name: sorted(held_adapters)
+            for name, held_adapters in state.adapters_by_model.items()
             if name != state.leaving
         }
         if without is not None and not without.adapter:
-            held.pop(without.model, None)
-        elif without is not None and without.adapter in held.get(without.model, ()):
-            held[without.model].remove(without.adapter)
+            holdings.pop(without.model, None)
+        elif without is not None and without.adapter in holdings.get(without.model, ()):
+            holdings[without.model].remove(without.adapter)
         self.published += 1
         message = residency.EndpointHoldings(
             self.lease.fence,
             self.published,
             state.endpoint.id,
-            held,
+            holdings,
             state.ready_s_by_model(),
         )
         # Few requests reach an adapter that is being unloaded, and the endpoint does
--- a/packages/mothworks_gateway/src/mothworks_gateway/sites.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/sites.py
@@ -33,11 +33,11 @@
 
 
 def holdings_after(
-    held: dict[str, set[str]], load: bool, model: str, adapter: str
+    holdings: dict[str, set[str]], load: bool, model: str, adapter: str
 ) -> dict[str, set[str]]:
     """Return what an endpoint holds once an order is executed.
 
-    :param held: what it holds before, adapters by model.
+    :param holdings: what it holds before, adapters by model.
     :param load: whether the order loads; otherwise it unloads.
     :param model: the model.
     :param adapter: its adapter; empty for the model itself.
@@ -45,7 +45,7 @@
     >>> holdings_after({"m": {"a1"}}, True, "n", "")
     {'m': {'a1'}, 'n': set()}
     """
-    after = {name: set(held_adapters) for name, held_adapters in held.items()}
+    after = {name: set(held_adapters) for name, held_adapters in holdings.items()}
     if load and adapter:
         after.setdefault(model, set()).add(adapter)
     elif load:
@@ -164,7 +164,9 @@
 
     def adapter_count(self) -> int:
         """Return the number of adapter slots in use."""
-        return sum(len(held) for held in self.adapters_by_model.values())
+        return sum(
+            len(held_adapters) for held_adapters in self.adapters_by_model.values()
+        )
 
     def memory_mb(self, name: str) -> float:
         """Return the memory that a model uses here with its adapters, MB.
@@ -312,9 +314,9 @@
         """Return the models that it loads without the weight store."""
         entry = self.endpoint.entry
         queued = {job.model for job in self.jobs if not job.adapter}
-        held = self.adapters_by_model.keys() | queued | {self.loading}
+        local_models = self.adapters_by_model.keys() | queued | {self.loading}
         # Not every endpoint reports its copies.
-        return held | entry.in_host_memory | entry.on_disk | self.copied
+        return local_models | entry.in_host_memory | entry.on_disk | self.copied
 
     def pause(self) -> None:
         """Send no orders for a while, and request the inventory before the next one.
@@ -327,14 +329,14 @@
 
     def holdings_after_jobs(self) -> dict[str, set[str]]:
         """Return what it holds once its jobs are done."""
-        held = dict(self.adapters_by_model)
+        holdings = dict(self.adapters_by_model)
         if self.loading:
-            held.setdefault(self.loading, set())
+            holdings.setdefault(self.loading, set())
         for job in self.jobs:
             for name in job.evictions:
-                held.pop(name, None)
-            held.setdefault(job.model, set())
-        return held
+                holdings.pop(name, None)
+            holdings.setdefault(job.model, set())
+        return holdings
 
     def add(self, job: Job) -> None:
         """Queue a job; it is discarded if the queue is full.
--- a/packages/mothworks_gateway/tests/modelled_endpoint.py
+++ b/packages/mothworks_gateway/tests/modelled_endpoint.py
@@ -65,8 +65,8 @@
 
     def inventory(self, _):
         holdings = tuple(
-            adapters.Holding(name, frozenset(held))
-            for name, held in self.adapters_by_model.items()
+            adapters.Holding(name, frozenset(held_adapters))
+            for name, held_adapters in self.adapters_by_model.items()
         )
         return result.Ok(
             adapters.Inventory(self.accepted, self.busy, holdings, born=self.born)
@@ -86,14 +86,16 @@
         """Handle an order, now or late."""
         if self.busy or order.accepted != self.accepted:
             return adapters.OrderOutcome.CONFLICT
-        held = self.adapters_by_model.get(order.model)
-        holds = held is not None and (not order.adapter or order.adapter in held)
+        held_adapters = self.adapters_by_model.get(order.model)
+        holds = held_adapters is not None and (
+            not order.adapter or order.adapter in held_adapters
+        )
         if holds == order.load:
             return adapters.OrderOutcome.DONE
-        if order.adapter and held is None:
+        if order.adapter and held_adapters is None:
             return adapters.OrderOutcome.REFUSED
         self.accepted += 1
-        self._change(order, held)
+        self._change(order, held_adapters)
         self.busy = not order.adapter
         if self.overfull():
             self.crashes += 1
@@ -109,23 +111,24 @@
     def overfull(self):
         """Return whether it holds more than fits."""
         models = self.declared_as.model_by_name
-        held = self.adapters_by_model
-        adapter_count = sum(map(len, held.values()))
+        adapters_by_model = self.adapters_by_model
+        adapter_count = sum(map(len, adapters_by_model.values()))
         used_mb = (
-            sum(models[name].memory_mb for name in held) + adapter_count * ADAPTER_MB
+            sum(models[name].memory_mb for name in adapters_by_model)
+            + adapter_count * ADAPTER_MB
         )
         return used_mb > self.declared_as.memory_mb or adapter_count > ADAPTER_SLOTS
 
-    def _change(self, order, held):
+    def _change(self, order, held_adapters):
         match order:
             case adapters.Order(load=True, adapter=""):
                 self.adapters_by_model[order.model] = set()
             case adapters.Order(load=True):
-                held.add(order.adapter)
+                held_adapters.add(order.adapter)
             case adapters.Order(adapter=""):
                 del self.adapters_by_model[order.model]
             case _:
-                held.discard(order.adapter)
+                held_adapters.discard(order.adapter)
 
 
 @attrs.define
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -125,10 +125,10 @@
     endpoint = gateway_builders.endpoint(name, SERVICE, models=models)
     on_disk = frozenset(accelerator.model_by_name)
     endpoint.entry = attrs.evolve(endpoint.entry, on_disk=on_disk)
-    made = sites.EndpointState(endpoint, accelerator)
-    made.accepted = 0
-    made.adapters_by_model = {model: set() for model in models}
-    return made
+    state = sites.EndpointState(endpoint, accelerator)
+    state.accepted = 0
+    state.adapters_by_model = {model: set() for model in models}
+    return state
 
 
 def accelerator_for(names, batch):
--- a/packages/mothworks_gateway/tests/test_adapters_in_demand.py
+++ b/packages/mothworks_gateway/tests/test_adapters_in_demand.py
@@ -38,9 +38,9 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    made = scheduling_builders.Clock(monkeypatch)
-    monkeypatch.setattr(ordering, "time", made)
-    return made
+    clock_stub = scheduling_builders.Clock(monkeypatch)
+    monkeypatch.setattr(ordering, "time", clock_stub)
+    return clock_stub
 
 
 class Demand:
@@ -65,7 +65,7 @@
 
 
 @pytest.fixture
-def made(clock):
+def part(clock):
     parts = {
         discovery.Discovery: types.SimpleNamespace(registry=registry.Registry()),
         lease.Lease: None,
@@ -85,27 +85,27 @@
     return state
 
 
-def test_an_adapter_stays_until_its_callers_use_it(made, clock):
+def test_an_adapter_stays_until_its_callers_use_it(part, clock):
     # All slots were filled a moment ago, for callers that wait for a prefill slot, so
     # none of these adapters is in use yet. The next caller's adapter must not replace
     # one of them: that one would be reloaded at once.
     state = full_state(loaded_at=clock.now - 0.3)
-    assert made._adapter_to_evict(state) is None
-    assert not made.has_adapter_slot(state)
+    assert part._adapter_to_evict(state) is None
+    assert not part.has_adapter_slot(state)
     clock.now += 0.5
-    assert made.has_adapter_slot(state)
+    assert part.has_adapter_slot(state)
 
 
-def test_the_adapter_with_the_fewest_requests_is_evicted(made, clock):
+def test_the_adapter_with_the_fewest_requests_is_evicted(part, clock):
     # Adapters with many requests but none at this very moment were evicted for rare
     # ones if they had been loaded longest ago.
     state = full_state(loaded_at=clock.now - 5.0)
     state.loaded_at_by_adapter["m", "a3"] = clock.now - 60.0
-    made.demand.rate_by_adapter = {f"a{n}": 2.0 for n in range(ADAPTER_SLOTS) if n != 5}
-    assert made._adapter_to_evict(state) == ("m", "a5")
+    part.demand.rate_by_adapter = {f"a{n}": 2.0 for n in range(ADAPTER_SLOTS) if n != 5}
+    assert part._adapter_to_evict(state) == ("m", "a5")
 
 
-def test_an_adapter_in_use_is_never_evicted(made, clock):
+def test_an_adapter_in_use_is_never_evicted(part, clock):
     state = full_state(loaded_at=clock.now - 5.0)
-    made.load.used = {f"a{number}" for number in range(ADAPTER_SLOTS) if number != 2}
-    assert made._adapter_to_evict(state) == ("m", "a2")
+    part.load.used = {f"a{number}" for number in range(ADAPTER_SLOTS) if number != 2}
+    assert part._adapter_to_evict(state) == ("m", "a2")
--- a/packages/mothworks_gateway/tests/test_large_looks.py
+++ b/packages/mothworks_gateway/tests/test_large_looks.py
@@ -26,7 +26,7 @@
 
 
 @pytest.fixture
-def made(monkeypatch):
+def scheduling(monkeypatch):
     rng = random.Random(1)
     holding = [rng.sample(MODELS, rng.choice([2, 3])) for _ in range(59)]
     clock = scheduling_builders.Clock(monkeypatch)
@@ -34,20 +34,22 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_holders_equal_a_check_of_all_endpoints(made, seed):
+def test_holders_equal_a_check_of_all_endpoints(scheduling, seed):
     rng = random.Random(seed)
-    for state in made.sites:
+    for state in scheduling.sites:
         state.loading = rng.choice(["", "", *MODELS])
         for _ in range(rng.choice([0, 0, 1, 2])):
             evictions = tuple(rng.sample(sorted(state.adapters_by_model), 1))
             adapter = rng.choice(["", "a1"])
             state.jobs.append(sites.Job(rng.choice(MODELS), adapter, evictions))
     for name in MODELS:
-        expected = [state for state in made.sites if state.will_hold(name, "")]
-        assert made.placement.holders(scheduling_builders.target(name)) == expected
+        expected = [state for state in scheduling.sites if state.will_hold(name, "")]
+        assert (
+            scheduling.placement.holders(scheduling_builders.target(name)) == expected
+        )
 
 
-def test_a_pass_checks_few_endpoints(made, monkeypatch):
+def test_a_pass_checks_few_endpoints(scheduling, monkeypatch):
     checks_by_model = collections.Counter()
     will_hold = sites.EndpointState.will_hold
 
@@ -59,9 +61,9 @@
         waiting = residency.WaitingCallers(
             scheduling_builders.SERVICE, name, "", 3, 1, 0.4
         )
-        made.demand._on_waiting(f"vm-{number}", waiting)
+        scheduling.demand._on_waiting(f"vm-{number}", waiting)
     monkeypatch.setattr(sites.EndpointState, "will_hold", counting_will_hold)
-    made.scheduler._schedule(made.declaration)
+    scheduling.scheduler._schedule(scheduling.declaration)
     # A pass that checks each endpoint at most once per model takes a hundredth of a
     # second or two; it used to make twenty times as many checks.
-    assert checks_by_model.total() < len(made.sites) * len(MODELS)
+    assert checks_by_model.total() < len(scheduling.sites) * len(MODELS)
--- a/packages/mothworks_gateway/tests/test_late_orders.py
+++ b/packages/mothworks_gateway/tests/test_late_orders.py
@@ -21,8 +21,8 @@
         name: frozenset(adapters_held)
         for name, adapters_held in endpoint.adapters_by_model.items()
     }
-    made = gateway_builders.endpoint(NAME).entry
-    return attrs.evolve(made, born=endpoint.born, adapters_by_model=held)
+    registered = gateway_builders.endpoint(NAME).entry
+    return attrs.evolve(registered, born=endpoint.born, adapters_by_model=held)
 
 
 def started():
@@ -69,10 +69,10 @@
         self.state_by_holder = {0: None, 1: None}
 
     def state_for(self, holder):
-        known = self.view.named(NAME)
+        endpoint = self.view.named(NAME)
         state = self.state_by_holder[holder]
-        if state is None or state.endpoint is not known:
-            state = sites.EndpointState(known, self.endpoint.declared_as)
+        if state is None or state.endpoint is not endpoint:
+            state = sites.EndpointState(endpoint, self.endpoint.declared_as)
             self.state_by_holder[holder] = state
         return state
 
@@ -81,8 +81,8 @@
         if not state.known:
             self.holders[holder].refresh(state)
             state = self.state_for(holder)
-        held = state.adapters_by_model.get(model)
-        holds = held is not None and (not adapter or adapter in held)
+        held_adapters = state.adapters_by_model.get(model)
+        holds = held_adapters is not None and (not adapter or adapter in held_adapters)
         if state.known and holds != load:
             self.endpoint.faults = [fault]
             order = adapters.Order(load, model, adapter, state.accepted, "vm", 1)
--- a/packages/mothworks_gateway/tests/test_load.py
+++ b/packages/mothworks_gateway/tests/test_load.py
@@ -23,71 +23,71 @@
 
 
 @pytest.fixture
-def made():
-    made = load.Load(gateway_builders.Kernel({heartbeat.Heartbeats: Heartbeats()}))
+def part():
+    part = load.Load(gateway_builders.Kernel({heartbeat.Heartbeats: Heartbeats()}))
     rows = (("i-1", "m", "", 2), ("i-1", "m", "a", 3), ("i-2", "m", "a", 5))
-    made.heartbeats.receive("vm-2", *rows)
-    return made
+    part.heartbeats.receive("vm-2", *rows)
+    return part
 
 
-def test_counts_cover_own_requests_and_peers(made):
-    made.begin(gateway_builders.endpoint("i-1"), asked.Target("s", "m", "a"))
-    made.begin(gateway_builders.endpoint("i-1"), asked.Target("s", "n"))
-    assert made.of_endpoint("i-1") == 7
-    assert made.of_model("i-1", "m") == 6
-    assert made.of_model("i-1", "n") == 1
-    assert made.of_adapter("i-1", "m", "a") == 4
-    assert made.of_adapter("i-2", "m", "a") == 5
-    assert made.of_endpoint("i-3") == 0
+def test_counts_cover_own_requests_and_peers(part):
+    part.begin(gateway_builders.endpoint("i-1"), asked.Target("s", "m", "a"))
+    part.begin(gateway_builders.endpoint("i-1"), asked.Target("s", "n"))
+    assert part.of_endpoint("i-1") == 7
+    assert part.of_model("i-1", "m") == 6
+    assert part.of_model("i-1", "n") == 1
+    assert part.of_adapter("i-1", "m", "a") == 4
+    assert part.of_adapter("i-2", "m", "a") == 5
+    assert part.of_endpoint("i-3") == 0
 
 
-def test_own_requests_that_ended_are_not_counted(made):
+def test_own_requests_that_ended_are_not_counted(part):
     endpoint, target = gateway_builders.endpoint("i-9"), asked.Target("s", "m", "a")
-    made.begin(endpoint, target)
-    made.begin(endpoint, target)
-    made.end(endpoint, target)
-    assert made.of_adapter("i-9", "m", "a") == 1
-    made.end(endpoint, target)
-    assert made.of_endpoint("i-9") == made.of_model("i-9", "m") == 0
-    (heartbeat_fields,) = made.heartbeats.on_heartbeat
+    part.begin(endpoint, target)
+    part.begin(endpoint, target)
+    part.end(endpoint, target)
+    assert part.of_adapter("i-9", "m", "a") == 1
+    part.end(endpoint, target)
+    assert part.of_endpoint("i-9") == part.of_model("i-9", "m") == 0
+    (heartbeat_fields,) = part.heartbeats.on_heartbeat
     assert heartbeat_fields()["running"] == ()
 
 
-def test_a_heartbeat_lists_this_vms_running_requests(made):
+def test_a_heartbeat_lists_this_vms_running_requests(part):
     endpoint = gateway_builders.endpoint("i-1")
     for adapter in ("", "a", "a"):
-        made.begin(endpoint, asked.Target("s", "m", adapter))
-    (heartbeat_fields,) = made.heartbeats.on_heartbeat
+        part.begin(endpoint, asked.Target("s", "m", adapter))
+    (heartbeat_fields,) = part.heartbeats.on_heartbeat
     assert set(heartbeat_fields()["running"]) == {
         ("i-1", "m", "", 1),
         ("i-1", "m", "a", 2),
     }
 
 
-def test_this_vms_own_heartbeat_is_not_counted_twice(made):
-    made.begin(gateway_builders.endpoint("i-1"), asked.Target("s", "n"))
-    made.heartbeats.receive(made.kernel.settings.name, ("i-1", "n", "", 1))
-    assert made.of_model("i-1", "n") == 1
+def test_this_vms_own_heartbeat_is_not_counted_twice(part):
+    part.begin(gateway_builders.endpoint("i-1"), asked.Target("s", "n"))
+    part.heartbeats.receive(part.kernel.settings.name, ("i-1", "n", "", 1))
+    assert part.of_model("i-1", "n") == 1
 
 
-def test_a_newer_heartbeat_replaces_the_last(made):
-    made.heartbeats.receive("vm-2", ("i-1", "m", "", 1))
-    assert made.of_model("i-1", "m") == 1
-    assert made.of_endpoint("i-2") == 0
+def test_a_newer_heartbeat_replaces_the_last(part):
+    part.heartbeats.receive("vm-2", ("i-1", "m", "", 1))
+    assert part.of_model("i-1", "m") == 1
+    assert part.of_endpoint("i-2") == 0
 
 
-def test_a_peer_without_heartbeats_is_not_counted(made):
-    made.heartbeats.receive("vm-3", ("i-1", "m", "", 4))
-    del made.heartbeats.heartbeat_by_vm["vm-2"]
-    made._expire()
-    assert made.of_model("i-1", "m") == 4
-    assert made.of_endpoint("i-2") == 0
+def test_a_peer_without_heartbeats_is_not_counted(part):
+    part.heartbeats.receive("vm-3", ("i-1", "m", "", 4))
+    del part.heartbeats.heartbeat_by_vm["vm-2"]
+    part._expire()
+    assert part.of_model("i-1", "m") == 4
+    assert part.of_endpoint("i-2") == 0
 
 
-def test_a_request_counts_while_it_waits_for_a_prefill_slot(made):
+def test_a_request_counts_while_it_waits_for_a_prefill_slot(part):
     # Otherwise its adapter appeared unused, was evicted for another one, and had to be
     # reloaded before the request could be sent.
     endpoint, target = gateway_builders.endpoint("i-9"), asked.Target("s", "m", "a")
-    with made.counted(endpoint, target):
-        assert made.of_adapter("i-9", "m", "a") == 1
-    assert made.of_adapter("i-9", "m", "a") == 0
+    with part.counted(endpoint, target):
+        assert part.of_adapter("i-9", "m", "a") == 1
+    assert part.of_adapter("i-9", "m", "a") == 0
--- a/packages/mothworks_gateway/tests/test_moving_demand.py
+++ b/packages/mothworks_gateway/tests/test_moving_demand.py
@@ -19,49 +19,51 @@
 
 
 @pytest.fixture
-def made(monkeypatch):
+def scheduling(monkeypatch):
     names = ["rising", "fallen", *(f"rare-{number}" for number in range(9))]
     accelerator = scheduling_builders.accelerator_for(names, batch=96)
     clock = scheduling_builders.Clock(monkeypatch)
     return scheduling_builders.Scheduling(clock, accelerator, HOLDING)
 
 
-def test_demand_that_moved_gets_its_endpoints_within_two_seconds(made):
+def test_demand_that_moved_gets_its_endpoints_within_two_seconds(scheduling):
     # Callers move to a model that one endpoint holds. They queued for seconds behind
     # each other's prompts while eight endpoints were idle, because further endpoints
     # were added one per second, and each only once the last was full. After two seconds
     # three quarters of the new rate are observed.
-    made.ask("rising", PER_S, TOKENS, seconds=2.0)
+    scheduling.ask("rising", PER_S, TOKENS, seconds=2.0)
     needed = PER_S * TOKENS / (reading.DEFAULT_TOKENS_PER_S * offers.PREFILL_SHARE)
-    assert made.holders("rising") >= 0.75 * needed
+    assert scheduling.holders("rising") >= 0.75 * needed
 
 
-def test_a_model_that_one_endpoint_suffices_for_gets_no_other(made):
-    made.ask("rising", 3.0, TOKENS, seconds=4.0)
-    assert made.holders("rising") == 1
+def test_a_model_that_one_endpoint_suffices_for_gets_no_other(scheduling):
+    scheduling.ask("rising", 3.0, TOKENS, seconds=4.0)
+    assert scheduling.holders("rising") == 1
 
 
-def test_two_rising_models_share_the_endpoints(made):
+def test_two_rising_models_share_the_endpoints(scheduling):
     # Half of the endpoints each: neither evicts the other's replicas again and again,
     # since each load takes seconds.
     for _ in range(16):
-        made.ask("rising", 16.0, TOKENS, seconds=0.25)
-        made.ask("rare-3", 16.0, TOKENS, seconds=0.25)
-    assert made.holders("rising") >= 2
-    assert made.holders("rare-3") >= 2
+        scheduling.ask("rising", 16.0, TOKENS, seconds=0.25)
+        scheduling.ask("rare-3", 16.0, TOKENS, seconds=0.25)
+    assert scheduling.holders("rising") >= 2
+    assert scheduling.holders("rare-3") >= 2
 
 
-def test_rarely_requested_models_stay_loaded(made):
-    made.ask("rising", 8.0, TOKENS, seconds=4.0)
-    assert all(made.holders(f"rare-{number}") for number in range(9))
+def test_rarely_requested_models_stay_loaded(scheduling):
+    scheduling.ask("rising", 8.0, TOKENS, seconds=4.0)
+    assert all(scheduling.holders(f"rare-{number}") for number in range(9))
 
 
-def test_holders_are_determined_anew_in_each_pass(made):
+def test_holders_are_determined_anew_in_each_pass(scheduling):
     # Holders are requested thousands of times in a pass and cached for it. An endpoint
     # that unloads its model between two passes must no longer be listed.
-    made.ask("rising", 1.0, TOKENS, seconds=0.25)
-    assert made.holders("rising") == 1
-    made.sites[0].adapters_by_model.pop("rising")
-    made.scheduler._schedule(made.declaration)
-    holder = made.sites[0]
-    assert holder not in made.placement.holders(scheduling_builders.target("rising"))
+    scheduling.ask("rising", 1.0, TOKENS, seconds=0.25)
+    assert scheduling.holders("rising") == 1
+    scheduling.sites[0].adapters_by_model.pop("rising")
+    scheduling.scheduler._schedule(scheduling.declaration)
+    holder = scheduling.sites[0]
+    assert holder not in scheduling.placement.holders(
+        scheduling_builders.target("rising")
+    )
--- a/packages/mothworks_gateway/tests/test_ordering.py
+++ b/packages/mothworks_gateway/tests/test_ordering.py
@@ -88,9 +88,9 @@
 
 @pytest.fixture
 def fleet():
-    made = Fleet(ENDPOINTS)
-    yield made
-    made.ordering.tasks.stop()
+    new_fleet = Fleet(ENDPOINTS)
+    yield new_fleet
+    new_fleet.ordering.tasks.stop()
 
 
 # Guards against a new lease holder that requests thousands of inventories at once and
--- a/packages/mothworks_gateway/tests/test_reading.py
+++ b/packages/mothworks_gateway/tests/test_reading.py
@@ -11,37 +11,37 @@
 OVERHEAD_S = 0.08
 
 
-def add_sample(made, tokens, seconds):
+def add_sample(part, tokens, seconds):
     prompt = (asked.PromptPart("shared", 500), asked.PromptPart("own", tokens))
     request = gateway_builders.request(prompt=prompt, input_tokens=tokens + 500)
-    made.note(request, seconds)
+    part.note(request, seconds)
 
 
 @pytest.fixture
-def made():
+def part():
     return reading.Reading(gateway_builders.Kernel({}))
 
 
-def test_the_speed_is_estimated_even_if_some_prompts_queue(made):
+def test_the_speed_is_estimated_even_if_some_prompts_queue(part):
     # Prompts of mixed lengths; a third of them wait behind others.
     rng = random.Random(1)
     for _ in range(200):
         tokens = rng.choice([200, 600, 1_800, 4_000, 6_800])
         queued_s = rng.choice([0.0, 0.0, rng.uniform(0.0, 0.4)])
-        add_sample(made, tokens, OVERHEAD_S + tokens / SPEED + queued_s)
-    assert made.tokens_per_s("s") == pytest.approx(SPEED, rel=0.25)
+        add_sample(part, tokens, OVERHEAD_S + tokens / SPEED + queued_s)
+    assert part.tokens_per_s("s") == pytest.approx(SPEED, rel=0.25)
 
 
-def test_too_few_samples_give_no_estimate(made):
+def test_too_few_samples_give_no_estimate(part):
     for _ in range(reading.MIN_SAMPLES - 1):
-        add_sample(made, 100, 9.0)
-    assert made.tokens_per_s("s") == reading.DEFAULT_TOKENS_PER_S
+        add_sample(part, 100, 9.0)
+    assert part.tokens_per_s("s") == reading.DEFAULT_TOKENS_PER_S
 
 
-def test_implausible_samples_give_no_estimate(made):
+def test_implausible_samples_give_no_estimate(part):
     # Long prompts are answered sooner than short ones, so no speed can be estimated. A
     # negative length may be stated by a caller.
     for number in range(100):
-        add_sample(made, 1_000 - number, 0.1 + number)
-        add_sample(made, -5, 0.1)
-    assert made.tokens_per_s("s") == reading.DEFAULT_TOKENS_PER_S
+        add_sample(part, 1_000 - number, 0.1 + number)
+        add_sample(part, -5, 0.1)
+    assert part.tokens_per_s("s") == reading.DEFAULT_TOKENS_PER_S
--- a/packages/mothworks_gateway/tests/test_scheduler.py
+++ b/packages/mothworks_gateway/tests/test_scheduler.py
@@ -52,8 +52,8 @@
 
 
 @pytest.fixture
-def make():
-    def made(loaded, loading, running):
+def make_scheduler():
+    def build(loaded, loading, running):
         holders = [state(True) for _ in range(loaded)]
         holders += [state(False) for _ in range(loading)]
         stub = types.SimpleNamespace(on_gained=[], on_waiting=[], follower=None)
@@ -75,37 +75,39 @@
         }
         return scheduler.Scheduler(gateway_builders.Kernel(parts))
 
-    return made
+    return build
 
 
 def state(loaded):
     models = ("m",) if loaded else ()
-    made = sites.EndpointState(
+    endpoint_state = sites.EndpointState(
         gateway_builders.endpoint("i-1", models=models), ACCELERATOR
     )
-    made.adapters_by_model = {name: set() for name in models}
-    return made
+    endpoint_state.adapters_by_model = {name: set() for name in models}
+    return endpoint_state
 
 
-def needs_more(made):
-    return made._needs_more(TARGET, ACCELERATOR)
+def needs_more(part):
+    return part._needs_more(TARGET, ACCELERATOR)
 
 
-def test_a_model_with_nearly_full_batches_gets_another_endpoint(make):
-    assert needs_more(make(loaded=1, loading=0, running=12))
-    assert not needs_more(make(loaded=1, loading=0, running=5))
+def test_a_model_with_nearly_full_batches_gets_another_endpoint(make_scheduler):
+    assert needs_more(make_scheduler(loaded=1, loading=0, running=12))
+    assert not needs_more(make_scheduler(loaded=1, loading=0, running=5))
 
 
-def test_a_model_waits_for_an_endpoint_that_is_loading_it(make):
-    assert not needs_more(make(loaded=1, loading=1, running=20))
+def test_a_model_waits_for_an_endpoint_that_is_loading_it(make_scheduler):
+    assert not needs_more(make_scheduler(loaded=1, loading=1, running=20))
 
 
-def test_a_burst_does_not_wait_for_an_endpoint_that_is_loading_the_model(make):
+def test_a_burst_does_not_wait_for_an_endpoint_that_is_loading_the_model(
+    make_scheduler,
+):
     # Forty requests run on an endpoint with a batch of 32, and the next endpoint is
     # ready in four seconds. Until then responses begin 0.3 to 0.8 s late, unless an
     # endpoint with the weights on its disk takes over within a second.
-    assert needs_more(make(loaded=1, loading=1, running=40))
+    assert needs_more(make_scheduler(loaded=1, loading=1, running=40))
 
 
-def test_a_model_without_holders_is_not_spread(make):
-    assert not needs_more(make(loaded=0, loading=0, running=40))
+def test_a_model_without_holders_is_not_spread(make_scheduler):
+    assert not needs_more(make_scheduler(loaded=0, loading=0, running=40))
--- a/packages/mothworks_gateway/tests/test_site_orders.py
+++ b/packages/mothworks_gateway/tests/test_site_orders.py
@@ -16,24 +16,26 @@
 
 
 @pytest.fixture
-def held():
+def stub_lease():
     return modelled_endpoint.Lease()
 
 
 @pytest.fixture
-def orders(endpoint, held):
+def orders(endpoint, stub_lease):
     return modelled_endpoint.make_site_orders(
-        endpoint, registry.Registry(), modelled_endpoint.Peers(), held
+        endpoint, registry.Registry(), modelled_endpoint.Peers(), stub_lease
     )
 
 
 def state_of(endpoint, *holding):
     endpoint.start(holding)
-    known = gateway_builders.endpoint("i-1", models=holding)
-    return sites.EndpointState(known, endpoint.declared_as)
+    registered = gateway_builders.endpoint("i-1", models=holding)
+    return sites.EndpointState(registered, endpoint.declared_as)
 
 
-def test_a_load_that_outlasts_the_lease_still_counts_as_memory(orders, endpoint, held):
+def test_a_load_that_outlasts_the_lease_still_counts_as_memory(
+    orders, endpoint, stub_lease
+):
     # The platform's store stops responding while a load of 34 GB runs, and the lease
     # lapses before the load is done. Eight seconds later the same VM holds the lease
     # again and evicts a small model for another large one. The memory of the load whose
@@ -42,11 +44,11 @@
     state = state_of(endpoint, "small", "slight", "spare")
     loading = gevent.spawn(orders.order, state, True, "busy", "")
     gevent.sleep(0.01)
-    held.lapsed = True
+    stub_lease.lapsed = True
     state.woken.set()
     assert not loading.get(timeout=2)
     endpoint.finish()
-    held.lapsed = False
+    stub_lease.lapsed = False
     assert orders.order(state, False, "small", "")
     endpoint.finish()
     loading = gevent.spawn(orders.order, state, True, "wanted", "")
--- a/packages/mothworks_gateway/tests/test_unloads.py
+++ b/packages/mothworks_gateway/tests/test_unloads.py
@@ -51,9 +51,9 @@
 @pytest.fixture
 def endpoint(monkeypatch):
     declared_as = modelled_endpoint.accelerator(one=40.0, other=40.0)
-    made = CountingEndpoint(declared_as)
-    made.clock = Clock(monkeypatch, made)
-    return made
+    counting_endpoint = CountingEndpoint(declared_as)
+    counting_endpoint.clock = Clock(monkeypatch, counting_endpoint)
+    return counting_endpoint
 
 
 def test_a_load_after_an_unload_is_rarely_refused(endpoint, monkeypatch):
