--- a/packages/mothworks_gateway/src/mothworks_gateway/demand.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/demand.py
@@ -137,7 +137,7 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.requests = _DemandRate()
-        self.prompts = _DemandRate()
+        self.prompt_tokens = _DemandRate()
         self.late = _DecayingRate(LATE_HALF_LIFE_S)
         self.report_by_source: dict[
             tuple[str, asked.Target], tuple[float, residency.WaitingCallers]
@@ -152,12 +152,12 @@
         """
         return self.requests.rate(target)
 
-    def tokens(self, target: asked.Target) -> float:
+    def prompt_tokens_per_s(self, target: asked.Target) -> float:
         """Return the prompt tokens per second to prefill for a model.
 
         :param target: the model.
         """
-        return self.prompts.rate(target)
+        return self.prompt_tokens.rate(target)
 
     def total(self) -> float:
         """Return the requests per second for all models."""
@@ -195,7 +195,7 @@
             target = asked.Target(service, model, adapter)
             for item in {target, target.base}:
                 self.requests.add(item, count)
-            self.prompts.add(target.base, tokens)
+            self.prompt_tokens.add(target.base, tokens)
         for service, model, count in message.late:
             self.late.add(asked.Target(service, model), count)
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/offers.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/offers.py
@@ -129,7 +129,7 @@
         :param target: the model.
         """
         per_s = self.reading.tokens_per_s(target.service) * PREFILL_SHARE
-        return self.demand.tokens(target) / per_s
+        return self.demand.prompt_tokens_per_s(target) / per_s
 
     def capacity(self, states: list[sites.EndpointState]) -> float:
         """Return the capacity of some endpoints, in endpoints without a rate limit.
--- a/packages/mothworks_gateway/tests/modelled_endpoint.py
+++ b/packages/mothworks_gateway/tests/modelled_endpoint.py
@@ -87,10 +87,10 @@
         if self.busy or order.accepted != self.accepted:
             return adapters.OrderOutcome.CONFLICT
         held_adapters = self.adapters_by_model.get(order.model)
-        holds = held_adapters is not None and (
+        has = held_adapters is not None and (
             not order.adapter or order.adapter in held_adapters
         )
-        if holds == order.load:
+        if has == order.load:
             return adapters.OrderOutcome.DONE
         if order.adapter and held_adapters is None:
             return adapters.OrderOutcome.REFUSED
