--- a/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
@@ -156,7 +156,7 @@
         for as long as one whose entry lapsed in an outage, since it may write its
         entry again.
         """
-        suspect_until = time.monotonic() + feeding.SUSPECT_S
+        suspect_until = time.monotonic() + feeding.SUSPECT_REMOVAL_S
         self.registry.remove(name, suspect_until, "its entry can't be read")
         if self.unreadable_by_name.get(name) == document:
             return
--- a/packages/mothworks_gateway/src/mothworks_gateway/feed_reports.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/feed_reports.py
@@ -44,13 +44,13 @@
         for name, follower in self.feeding.follower_by_name.items():
             labels = {"feed": name}
             self.unanswered_seconds.set(labels, round(follower.unanswered_s, 3))
-            self.poll_seconds.set(labels, round(follower.polling_s, 3))
+            self.poll_seconds.set(labels, round(follower.poll_duration_s, 3))
             self.followed.set(labels, int(follower.followed))
             self._note_age(follower)
 
     def _note_age(self, follower: feeding.Follower) -> None:
         """Log when the view of a feed that is followed here becomes stale, or fresh."""
-        limit_s = follower.poll_s + STALE_MARGIN_S
+        limit_s = follower.max_poll_s + STALE_MARGIN_S
         stale = follower.followed and follower.unanswered_s > limit_s
         if stale == (follower.name in self._stale):
             return
@@ -67,7 +67,7 @@
         "feed": follower.name,
         "cursor": follower.cursor,
         "unanswered_s": round(follower.unanswered_s, 3),
-        "polling_s": round(follower.polling_s, 3),
+        "polling_s": round(follower.poll_duration_s, 3),
         "lost": follower.lost_at is not None,
     }
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/watching.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/watching.py
@@ -42,7 +42,7 @@
 STATUS_S = 0.5
 #: Longest poll of the declaration where callers need keys, seconds: what a poll shows
 #: is only as new as its beginning (:mod:`freshness`).
-FRESH_POLL_S = 0.5
+MAX_KEYED_POLL_S = 0.5
 #: Time that published changes may take on their way before this VM reads them, seconds.
 CATCH_UP_DELAY_S = 0.35
 #: Time in which a new declaration is usually published, and over which the VMs that
@@ -98,7 +98,7 @@
         self.discovery.on_platform_changes.append(self._publish_changes)
         self.declarations.on_change.append(lambda _: self._publish_status())
         store = node_kernel.get(relayed_objects.RelayedObjects)
-        store.on_return.append(self._poll_anew)
+        store.on_return.append(self._restart_polls)
 
     def start(self) -> None:
         """Start to check who watches, and to publish."""
@@ -152,10 +152,10 @@
     def _set_poll_times(self, alone: bool) -> None:
         current = self.declarations.current
         keyed = current is not None and current.accounts is not None
-        poll_s = feeding.LONE_POLL_S if alone else feeding.POLL_S
+        max_poll_s = feeding.MAX_LONE_VM_POLL_S if alone else feeding.MAX_POLL_S
         by_name = self.feeding.follower_by_name
-        by_name["endpoints"].poll_for(poll_s)
-        by_name["declarations"].poll_for(FRESH_POLL_S if keyed else poll_s)
+        by_name["endpoints"].set_max_poll(max_poll_s)
+        by_name["declarations"].set_max_poll(MAX_KEYED_POLL_S if keyed else max_poll_s)
 
     def _is_elected(self, ranked: list[str], now: float) -> bool:
         if self.kernel.draining:
@@ -175,11 +175,11 @@
             and all(item.healthy for item in self.feeding.follower_by_name.values())
         )
 
-    def _poll_anew(self) -> None:
+    def _restart_polls(self) -> None:
         """Give up polls that were sent during an outage: they may never be answered."""
         for follower in self.feeding.follower_by_name.values():
             if follower.followed:
-                follower.poll_anew()
+                follower.restart_poll()
 
     def _on_health(self) -> None:
         """Publish at once that the platform stopped answering, or answers again."""
--- a/packages/mothworks_gateway/tests/test_feed_reports.py
+++ b/packages/mothworks_gateway/tests/test_feed_reports.py
@@ -13,7 +13,7 @@
 from mothworks_gateway import adapters, feed_reports, feeding
 
 #: Time without an answer after which a feed is stale that is polled as usual, seconds.
-STALE_S = feeding.POLL_S + feed_reports.STALE_MARGIN_S
+STALE_S = feeding.MAX_POLL_S + feed_reports.STALE_MARGIN_S
 
 
 @pytest.fixture
@@ -56,8 +56,10 @@
 
 
 def test_a_long_poll_without_changes_is_not_stale(reports, clock):
-    reports.feeding.follower_by_name["declarations"].poll_for(feeding.LONE_POLL_S)
-    clock.advance(feeding.LONE_POLL_S)
+    reports.feeding.follower_by_name["declarations"].set_max_poll(
+        feeding.MAX_LONE_VM_POLL_S
+    )
+    clock.advance(feeding.MAX_LONE_VM_POLL_S)
     assert report(reports) == []
 
 
@@ -92,5 +94,5 @@
 
     follower = feeding.Follower("declarations", Feed(), None, None)
     clock.advance(5)
-    follower._wait(1.0)
+    follower._fetch_changes(1.0)
     assert follower.unanswered_s == 0
--- a/packages/mothworks_gateway/tests/test_freshness.py
+++ b/packages/mothworks_gateway/tests/test_freshness.py
@@ -136,7 +136,7 @@
         self.declarations.version = max(version, self.declarations.version)
 
     def poll(self):
-        self.follower._read()
+        self.follower._fetch_listing()
 
 
 class Pair:
--- a/packages/mothworks_gateway/tests/test_published_changes.py
+++ b/packages/mothworks_gateway/tests/test_published_changes.py
@@ -156,14 +156,14 @@
 
 
 def test_a_feed_that_others_follow_is_not_asked(monkeypatch):
-    monkeypatch.setattr(feeding, "SETTLE_S", 0.0)
+    monkeypatch.setattr(feeding, "FIRST_POLL_DELAY_S", 0.0)
     feed = Feed()
     follower = feeding.Follower("endpoints", feed, lambda _: None, lambda _: None)
     task = feeding.gevent.spawn(follower.run)
     try:
         _until(lambda: feed.waits > 3)
         follower.follow(False)
-        _until(lambda: not follower.polls)
+        _until(lambda: not follower.is_polling)
         waits = feed.waits
         feeding.gevent.sleep(0.05)
         assert feed.waits <= waits + 1
--- a/packages/mothworks_gateway/tests/test_silent_polls.py
+++ b/packages/mothworks_gateway/tests/test_silent_polls.py
@@ -74,7 +74,7 @@
 
 @pytest.fixture
 def follower(feed, monkeypatch):
-    monkeypatch.setattr(feeding, "SETTLE_S", 0.0)
+    monkeypatch.setattr(feeding, "FIRST_POLL_DELAY_S", 0.0)
     made = feeding.Follower("declarations", feed, lambda _: None, lambda _: None)
     task = gevent.spawn(made.run)
     yield made
@@ -102,9 +102,11 @@
 
 # Guards against polls of a slow platform that are given up before their answers come.
 def test_polls_wait_for_a_platform_that_answers_slowly(monkeypatch):
-    monkeypatch.setattr(feeding, "SETTLE_S", 0.0)
+    monkeypatch.setattr(feeding, "FIRST_POLL_DELAY_S", 0.0)
     feed = SlowFeed(answer_s=1.6)
-    follower = feeding.Follower("f", feed, lambda _: None, lambda _: None, poll_s=0.1)
+    follower = feeding.Follower(
+        "f", feed, lambda _: None, lambda _: None, max_poll_s=0.1
+    )
     task = gevent.spawn(follower.run)
     try:
         until(lambda: feed.answered >= 3, seconds=10)
@@ -116,15 +118,15 @@
 
 # Guards against long polls that go unanswered for longer where the platform is slow.
 def test_a_poll_ends_in_time_however_slow_the_platform_is(follower, monkeypatch):
-    monkeypatch.setattr(follower, "poll_s", feeding.LONE_POLL_S)
+    monkeypatch.setattr(follower, "max_poll_s", feeding.MAX_LONE_VM_POLL_S)
     for follower.latency_s in (0.0, 0.3, 0.6, 0.9, 5.0):
-        assert follower.wait_s >= feeding.POLL_S
-        assert follower.wait_s + follower.grace_s <= feeding.MOST_SILENCE_S
+        assert follower.wait_s >= feeding.MAX_POLL_S
+        assert follower.wait_s + follower.grace_s <= feeding.MAX_UNANSWERED_POLL_S
 
 
 # Guards against an outage after which a poll from before its end holds up the next.
 def test_polls_of_a_silent_platform_end_in_time(follower, feed):
-    follower.poll_s = 0.1
+    follower.max_poll_s = 0.1
     feed.answers.set()
     until(lambda: len(feed.calls) > 2)
     feed.answers.clear()
@@ -134,7 +136,7 @@
         began = feeding.time.monotonic()
         until(lambda calls=calls: len(feed.calls) > calls)
         ended_s = feeding.time.monotonic() - began
-        assert ended_s < feeding.MOST_GRACE_S + feeding.MOST_PAUSE_S + 0.1
+        assert ended_s < feeding.MAX_GRACE_S + feeding.MAX_RETRY_DELAY_S + 0.1
 
 
 # Guards against following from a revision at which nothing was ever read.
@@ -191,7 +193,7 @@
         for name in names:
             feed = self.feed_by_name[name]
             feed.answers.set()
-            self.part.feeding.follower_by_name[name]._wait(0.0)
+            self.part.feeding.follower_by_name[name]._fetch_changes(0.0)
             feed.answers.clear()
 
     def good(self):
