--- a/packages/mothworks_gateway/src/mothworks_gateway/watcher_election.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/watcher_election.py
@@ -1,9 +1,9 @@
 """Watcher election: which VMs follow the platform's feeds and publish to the others.
 
-Each VM decides for itself, from the order in which all VMs rank and from the statuses
-that it receives: the first few that are not known to fail are watchers. VMs can
-disagree for a moment, which costs some calls: one that knows no healthy watcher follows
-the feeds by itself.
+Each VM decides locally, from the ranking that all VMs share and from the statuses that
+it receives: the first VMs in rank that are not known to be unhealthy are watchers. VMs
+may disagree briefly, which costs some extra calls, since a VM that knows no healthy
+watcher follows the feeds itself.
 """
 
 import enum
@@ -12,28 +12,28 @@
 
 from mothworks import messages
 
-#: Watchers beside the holder of the lease, which follows the registry closely in any
-#: case: so one of them may vanish without a gap.
-WATCHERS = 1
-#: VMs that are tried as watchers, one after the other. Where so many fail, the platform
-#: does, and more statuses would only be more messages.
-CANDIDATES = 8
-#: Time without a status after which a watcher counts as silent, seconds. Whoever relied
-#: on it must then still learn in time of an endpoint that leaves.
+#: Watchers in addition to the lease holder, which always follows the registry. With two
+#: in total, one may fail without a gap.
+ELECTED_WATCHERS = 1
+#: Most VMs that are tried as watchers, in rank order. If that many are unhealthy, the
+#: platform itself is down, and more watchers would only send more statuses.
+MAX_CANDIDATES = 8
+#: Time without a status after which a watcher counts as unhealthy, seconds. It leaves
+#: the other VMs enough time to learn of an endpoint that leaves.
 STATUS_TIMEOUT_S = 1.1
-#: Time after which a silent VM is tried again, seconds.
-RETRY_S = 4.0
+#: Time after which a VM that sent no status is tried again, seconds.
+RETRY_DELAY_S = 4.0
 
 
 @messages.message(124)
 @attrs.frozen
 class Status:
-    """What a watcher knows from the platform, for all VMs.
+    """A watcher's health and versions, published to all VMs.
 
-    :param healthy: whether the platform answers it about each feed.
-    :param cursor: the platform's revision as of which it knows the registry.
+    :param healthy: whether the platform answers the watcher's calls for each feed.
+    :param cursor: the platform's revision up to which its registry is complete.
     :param changed_at: revision of the last change in its registry.
-    :param declaration_version: its declaration.
+    :param declaration_version: version of its declaration.
     """
 
     healthy: bool
@@ -43,32 +43,33 @@
 
 
 class State(enum.Enum):
-    """What one VM knows of another one as a watcher."""
+    """State of another VM as a watcher."""
 
     HEALTHY = "healthy"
-    #: Its first status may still be on its way.
+    #: Its first status may still be in transit.
     EXPECTED = "expected"
     UNHEALTHY = "unhealthy"
 
 
 @attrs.define
-class _Known:
-    """What was received from one VM.
+class _StatusRecord:
+    """The last status of one VM.
 
-    :param status: its last status; None for none.
-    :param received_at: monotonic time of that status.
-    :param expected_at: monotonic time since when statuses are expected.
+    :param status: the status; None before the first one.
+    :param received_at: monotonic time at which it was received.
+    :param expected_since: monotonic time since which a status is expected; None if
+        none is.
     """
 
     status: Status | None = None
     received_at: float = 0.0
-    expected_at: float | None = None
+    expected_since: float | None = None
 
 
 class WatcherElection:
-    """Which VMs are watchers, as one VM sees it.
+    """Decides on one VM which VMs are watchers.
 
-    :param name: that VM.
+    :param name: the VM that decides.
 
     >>> election = WatcherElection("vm-3")
     >>> election.watchers(["vm-1", "vm-2", "vm-3"], now=10.0)
@@ -79,66 +80,67 @@
 
     def __init__(self, name: str):
         self.name = name
-        self.known_by_vm: dict[str, _Known] = {}
+        self.record_by_vm: dict[str, _StatusRecord] = {}
 
     def receive(self, vm: str, status: Status, now: float) -> None:
-        """Take a status.
+        """Record a status.
 
-        :param vm: who sent it.
+        :param vm: the sender.
         :param status: the status.
         :param now: monotonic time.
         """
-        known = self.known_by_vm.setdefault(vm, _Known())
-        known.status = status
-        known.received_at = now
+        record = self.record_by_vm.setdefault(vm, _StatusRecord())
+        record.status = status
+        record.received_at = now
 
     def watchers(self, ranked: list[str], now: float) -> list[str]:
-        """Return the VMs that should watch now; this VM counts as able to.
+        """Return the VMs that should be watchers now.
 
-        :param ranked: the live VMs but the holder of the lease, the first in line
-            first.
+        This VM always counts as a possible watcher.
+
+        :param ranked: the live VMs in rank order, without the lease holder.
         :param now: monotonic time.
         """
-        chosen: list[str] = []
-        for vm in ranked[:CANDIDATES]:
+        watchers: list[str] = []
+        for vm in ranked[:MAX_CANDIDATES]:
             if vm == self.name or self._state(vm, now) is not State.UNHEALTHY:
-                chosen.append(vm)
-            if len(chosen) == WATCHERS:
+                watchers.append(vm)
+            if len(watchers) == ELECTED_WATCHERS:
                 break
-        return chosen
+        return watchers
 
     def healthy_watchers(self, now: float) -> dict[str, Status]:
-        """Return the recent statuses of watchers that the platform answers, by VM.
+        """Return the recent statuses of healthy watchers, by VM.
 
         :param now: monotonic time.
         """
         return {
-            vm: known.status
-            for vm, known in self.known_by_vm.items()
-            if _is_healthy(known, now)
+            vm: record.status
+            for vm, record in self.record_by_vm.items()
+            if _is_healthy(record, now)
         }
 
-    def forget(self, vms: set[str]) -> None:
-        """Drop what is known of VMs that are gone.
+    def retain(self, vms: set[str]) -> None:
+        """Drop the records of all other VMs.
 
-        :param vms: the VMs that are still there.
+        :param vms: the VMs that are still live.
         """
-        for vm in self.known_by_vm.keys() - vms:
-            del self.known_by_vm[vm]
+        for vm in self.record_by_vm.keys() - vms:
+            del self.record_by_vm[vm]
 
     def _state(self, vm: str, now: float) -> State:
-        known = self.known_by_vm.setdefault(vm, _Known())
-        if _is_healthy(known, now):
-            known.expected_at = None
+        record = self.record_by_vm.setdefault(vm, _StatusRecord())
+        if _is_healthy(record, now):
+            record.expected_since = None
             return State.HEALTHY
-        if known.status is not None and now - known.received_at <= STATUS_TIMEOUT_S:
+        if record.status is not None and now - record.received_at <= STATUS_TIMEOUT_S:
             return State.UNHEALTHY
-        if known.expected_at is None or now - known.expected_at > RETRY_S:
-            known.expected_at = now
-        waited = now - max(known.expected_at, known.received_at)
-        return State.EXPECTED if waited <= STATUS_TIMEOUT_S else State.UNHEALTHY
+        if record.expected_since is None or now - record.expected_since > RETRY_DELAY_S:
+            record.expected_since = now
+        waited_s = now - max(record.expected_since, record.received_at)
+        return State.EXPECTED if waited_s <= STATUS_TIMEOUT_S else State.UNHEALTHY
 
 
-def _is_healthy(known: _Known, now: float) -> bool:
-    recent = now - known.received_at <= STATUS_TIMEOUT_S
-    return known.status is not None and recent and known.status.healthy
+def _is_healthy(record: _StatusRecord, now: float) -> bool:
+    recent = now - record.received_at <= STATUS_TIMEOUT_S
+    return record.status is not None and recent and record.status.healthy
--- a/packages/mothworks_gateway/src/mothworks_gateway/watching.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/watching.py
@@ -110,7 +110,7 @@
         """Decide whether this VM watches, and which feeds it follows."""
         now = time.monotonic()
         ranked = self.ranking.vms
-        self.election.forget(set(ranked))
+        self.election.retain(set(ranked))
         healthy = self.election.healthy_watchers(now)
         elected = self._is_elected(ranked, now)
         took_over = elected and not self.is_watcher
