--- a/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery: keeps the registry in line with the platform's."""
+"""Discovery: keeps this VM's registry in step with the platform's."""
 
 import time
 
@@ -10,17 +10,17 @@
 
 log = logbook.Logger("discovery")
 
-#: Part of the time in which an endpoint that leaves must be known that changes
-#: are collected before the next poll of a VM that follows the registry: each poll that
-#: returns is a priced call. Where all that follow it vanish at once, the others
-#: notice within 1.1 s and poll by themselves; the rest is for that.
+#: Share of the time limit for noticing a leaving endpoint in which changes accumulate
+#: before the next poll, since each poll that returns is a billed call. The rest of the
+#: limit covers the failure of all watchers at once, which the other VMs notice within
+#: 1.1 s before they poll themselves.
 BATCH_SHARE = 0.25
-#: Seconds between checks for entries that lapsed and did not come back.
-EXPIRE_S = 0.25
+#: Seconds between checks for lapsed entries to remove.
+EXPIRE_CHECK_S = 0.25
 
 
 class Discovery(kernel.Part):
-    """Holds the registry and feeds it.
+    """Owns the registry and updates it from the platform and from peers.
 
     :param node_kernel: the node's kernel.
     """
@@ -28,67 +28,67 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.registry = registry.Registry()
-        owner = node_kernel.get(feeding.Feeding)
-        self.feeds = owner.feeds
+        followers = node_kernel.get(feeding.Feeding)
+        self.feeds = followers.feeds
         self.follower = feeding.Follower(
             "endpoints",
             self.feeds.endpoints,
-            self._take_all,
-            self._take_changes,
+            self._apply_listing,
+            self._apply_platform_changes,
             self.batch_s,
         )
-        owner.add(self.follower)
-        #: Entries that were left out and said so, to say it once.
+        followers.add(self.follower)
+        #: Unreadable entries that were logged, so that each is logged once.
         self.unreadable_by_name: dict[str, bytes] = {}
         #: Whether the registry was read, from the platform or a peer.
         self.loaded = False
-        self.taken_at = time.monotonic()
-        #: Revision of the last change that this VM knows.
+        self.updated_at = time.monotonic()
+        #: Revision of the last change that this VM has applied.
         self.changed_at = 0
-        #: Functions to call with the revision of the change before, and the
-        #: changes that the platform itself told this VM.
+        #: Functions to call with the revision of the previous change and with changes
+        #: that this VM received from the platform itself.
         self.on_platform_changes: list = []
 
     @property
     def batch_s(self) -> float:
-        """Return how long changes are collected before the next poll, seconds."""
+        """Return how long changes accumulate before the next poll, seconds."""
         return BATCH_SHARE * self.kernel.settings.bounds.leave_ms / 1000
 
     def start(self) -> None:
-        """Follow the platform's registry."""
+        """Start to follow the platform's registry."""
         self.tasks.spawn(self.follower.run)
-        self.tasks.every(EXPIRE_S, self.registry.expire)
+        self.tasks.every(EXPIRE_CHECK_S, self.registry.expire)
 
     def take_peer(self, cursor: int, document_by_name: dict[str, bytes]) -> None:
-        """Take a peer's registry, if it is newer than this VM's.
+        """Apply a peer's registry if it is newer than this VM's.
 
-        :param cursor: the platform's revision that it is as new as.
+        :param cursor: the platform's revision up to which it is complete.
         :param document_by_name: the entries.
         """
         if cursor > self.registry.cursor:
-            self._take_all(adapters.Listing(cursor, document_by_name))
+            self._apply_listing(adapters.Listing(cursor, document_by_name))
 
-    def take_published(
-        self, before: int, changes: adapters.Changes, suspect_until: float
+    def apply_published(
+        self, base_revision: int, changes: adapters.Changes, suspect_until: float
     ) -> None:
-        """Take changes that a peer publishes, if they follow on what is known here.
+        """Apply changes that a peer published, if none is missing before them.
 
-        :param before: revision of the change before them.
+        :param base_revision: revision of the last change before these.
         :param changes: the changes, the last of each entry.
         :param suspect_until: monotonic time until which removals are suspect.
         """
-        if before <= self.registry.cursor < changes.cursor:
-            self._apply(changes, suspect_until)
+        if base_revision <= self.registry.cursor < changes.cursor:
+            self._apply_changes(changes, suspect_until)
             self.follower.cursor = max(self.follower.cursor, changes.cursor)
 
-    def confirm(self, changed_at: int, cursor: int) -> None:
-        """Note that a peer knows of no later change.
+    def confirm_unchanged(self, changed_at: int, cursor: int) -> None:
+        """Advance the cursor, since a peer knows of no later change.
 
-        Without it the cursor would stay at the last change, and a poll that begins
-        there meets a history that the platform has dropped.
+        Otherwise the cursor would stay at the last change, and the platform may have
+        dropped the history from there by the next poll.
 
         :param changed_at: revision of the last change that the peer knows.
-        :param cursor: revision as of which it is the last.
+        :param cursor: revision up to which it is the last change.
         """
         if self.loaded and changed_at <= self.registry.cursor < cursor:
             self.registry.cursor = cursor
@@ -98,9 +98,9 @@
         """Return all entries, for a peer."""
         return {item.entry.name: item.document for item in self.registry.by_id.values()}
 
-    def _take_all(self, listing: adapters.Listing) -> None:
+    def _apply_listing(self, listing: adapters.Listing) -> None:
         if listing.cursor < self.registry.cursor:
-            # A peer has told of more than this reading saw.
+            # Changes published by a peer are newer than this listing.
             return
         self.registry.cursor = listing.cursor
         if listing.document_by_name != {**self.documents(), **self.unreadable_by_name}:
@@ -112,22 +112,22 @@
             del self.unreadable_by_name[name]
         for name, document in listing.document_by_name.items():
             self._put(name, document)
-        self._done()
+        self._notify_changed()
 
-    def _take_changes(self, changes: adapters.Changes) -> None:
+    def _apply_platform_changes(self, changes: adapters.Changes) -> None:
         if changes.cursor < self.registry.cursor:
             return
-        before = self.changed_at
-        self._apply(changes, self.follower.suspect_until)
+        base_revision = self.changed_at
+        self._apply_changes(changes, self.follower.suspect_until)
         if changes.changes:
             for notify in self.on_platform_changes:
-                notify(before, changes)
+                notify(base_revision, changes)
 
-    def _apply(self, changes: adapters.Changes, suspect_until: float) -> None:
-        """Take changes, of which some may be known already.
+    def _apply_changes(self, changes: adapters.Changes, suspect_until: float) -> None:
+        """Apply changes, some of which may have been applied before.
 
-        Only the last of each entry counts: changes that were taken before and come
-        once more, among newer ones, would otherwise bring older states back.
+        Only the last change of each entry is applied. Otherwise, earlier changes that
+        arrive again with newer ones would briefly restore older states.
         """
         self.registry.cursor = changes.cursor
         last_by_name = {change.name: change.document for change in changes.changes}
@@ -139,7 +139,7 @@
                 self._put(name, document)
         if last_by_name:
             self.changed_at = changes.cursor
-            self._done()
+            self._notify_changed()
 
     def _put(self, name: str, document: bytes) -> None:
         match self.feeds.endpoint(name, document):
@@ -147,14 +147,14 @@
                 self.unreadable_by_name.pop(name, None)
                 self.registry.put(entry, document)
             case result.Err(reason):
-                self._leave_out(name, document, reason)
+                self._skip_entry(name, document, reason)
 
-    def _leave_out(self, name: str, document: bytes, reason: str) -> None:
-        """Do without an entry that names no endpoint to use.
+    def _skip_entry(self, name: str, document: bytes, reason: str) -> None:
+        """Skip an entry that can't be decoded.
 
-        Another writer may have written it over a good one. The endpoint is used
-        for as long as one whose entry lapsed in an outage, since it may write its
-        entry again.
+        Another writer may have overwritten a valid entry. The endpoint stays in use for
+        as long as one whose entry lapsed during an outage, since it may write its entry
+        again.
         """
         suspect_until = time.monotonic() + feeding.SUSPECT_REMOVAL_S
         self.registry.remove(name, suspect_until, "its entry can't be read")
@@ -169,7 +169,7 @@
             outcome="left out",
         )
 
-    def _done(self) -> None:
+    def _notify_changed(self) -> None:
         self.loaded = True
-        self.taken_at = time.monotonic()
+        self.updated_at = time.monotonic()
         self.registry.changed()
--- a/packages/mothworks_gateway/src/mothworks_gateway/watching.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/watching.py
@@ -1,12 +1,12 @@
 """Watching: a few VMs follow the platform's feeds and publish changes to all others.
 
-If every VM followed by itself, calls to the platform would grow with VMs times changes.
-So the holder of the lease and one more VM follow the feeds (:mod:`watcher_election`).
-They publish changes of the registry as they are, and a status twice a second: whether
-the platform answers them, and how new their view is. A VM that is behind a status reads
-what it misses by one call; one that knows no healthy watcher follows by itself. So a
-message or a watcher that is lost delays a change by the time of a status, and hides
-none.
+If every VM followed the feeds, the number of platform calls would grow with VMs times
+changes. Instead, the lease holder and one more VM follow them
+(:mod:`watcher_election`). These watchers publish registry changes as they arrive, and
+a status twice a second: whether the platform answers them, and how recent their view
+is. A VM that is behind a status fetches the missing changes with one call; a VM that
+knows no healthy watcher follows the feeds itself. A lost message or watcher therefore
+delays a change by one status interval, but never hides it.
 """
 
 import collections.abc
@@ -37,39 +37,39 @@
 
 StatusByVm = dict[str, watcher_election.Status]
 
-#: Seconds between checks of who watches, and between statuses of those that do.
-CHECK_S = 0.25
-STATUS_S = 0.5
-#: Longest poll of the declaration where callers need keys, seconds: what a poll shows
-#: is only as new as its beginning (:mod:`freshness`).
+#: Seconds between checks of which VMs are watchers, and between a watcher's statuses.
+CHECK_INTERVAL_S = 0.25
+STATUS_INTERVAL_S = 0.5
+#: Longest poll of the declaration where callers need keys, seconds. The result of a
+#: poll only proves the state as of the poll's start (:mod:`freshness`).
 MAX_KEYED_POLL_S = 0.5
-#: Time that published changes may take on their way before this VM reads them, seconds.
+#: Time for published changes to arrive before this VM fetches them itself, seconds.
 CATCH_UP_DELAY_S = 0.35
-#: Time in which a new declaration is usually published, and over which the VMs that
-#: miss it spread their readings, seconds.
+#: Time within which a new declaration is usually published, and the random delay over
+#: which VMs that missed it spread their calls, seconds.
 PUBLISH_DELAY_S = 0.1
-SPREAD_S = 0.25
+READ_JITTER_S = 0.25
 
 
 @messages.message(125)
 @attrs.frozen
 class RegistryUpdate:
-    """Changes in the registry, for all VMs.
+    """Changes of the registry, published to all VMs.
 
-    :param before: revision of the change before the first of these.
-    :param cursor: revision as of which these are all changes since.
-    :param documents: each entry as the platform spells it, by name; None if removed.
-    :param suspect_s: seconds for which removals may come from an outage.
+    :param base_revision: revision of the last change before these.
+    :param cursor: revision up to which these are all changes after that one.
+    :param document_by_name: the platform's document of each entry; None if removed.
+    :param suspect_s: time for which removals may be caused by an outage, seconds.
     """
 
-    before: int
+    base_revision: int
     cursor: int
-    documents: dict[str, bytes | None]
+    document_by_name: dict[str, bytes | None]
     suspect_s: float = 0.0
 
 
 class Watching(kernel.Part):
-    """Follows the feeds for all VMs, or takes what watchers publish.
+    """Follows the feeds for all VMs, or applies what watchers publish.
 
     :param node_kernel: the node's kernel.
     """
@@ -87,11 +87,11 @@
         self.election = watcher_election.WatcherElection(self.name)
         self.ranking = ranking.Ranking("watch", self.name, self.membership)
         self.is_watcher = True
-        self.published_at = 0.0
-        #: What this VM's last status said of the platform; None before one.
+        self.status_published_at = 0.0
+        #: Health in this VM's last status; None before the first one.
         self.published_health: bool | None = None
         self.behind_since: float | None = None
-        self._reading: set[collections.abc.Callable[[], bool]] = set()
+        self._reads_in_progress: set[collections.abc.Callable[[], bool]] = set()
         node_peers = node_kernel.get(peers.Peers)
         node_peers.handle(watcher_election.Status, self._on_status)
         node_peers.handle(RegistryUpdate, self._on_registry_update)
@@ -101,13 +101,13 @@
         store.on_return.append(self._restart_polls)
 
     def start(self) -> None:
-        """Start to check who watches, and to publish."""
+        """Start the periodic check of watchers, and publishing."""
         for follower in self.feeding.follower_by_name.values():
             follower.on_health = self._on_health
-        self.tasks.every(CHECK_S, self._check)
+        self.tasks.every(CHECK_INTERVAL_S, self._check)
 
     def _check(self) -> None:
-        """Decide whether this VM watches, and which feeds it follows."""
+        """Decide whether this VM is a watcher, and which feeds it follows."""
         now = time.monotonic()
         ranked = self.ranking.vms
         self.election.retain(set(ranked))
@@ -115,21 +115,23 @@
         elected = self._is_elected(ranked, now)
         took_over = elected and not self.is_watcher
         if elected != self.is_watcher:
-            self._set_duty(elected, healthy)
-        self._set_poll_times(alone=len(ranked) == 1)
+            self._set_watching(elected, healthy)
+        self._set_max_polls(alone=len(ranked) == 1)
         self._follow_feeds(healthy)
         if not elected:
             self._catch_up_registry(healthy, now)
         elif not took_over:
-            # One that has just taken over has had no time for an answer.
+            # A new watcher has not had time for an answer of the platform.
             self._publish_status_if_due(now)
 
     def _publish_status_if_due(self, now: float) -> None:
-        due = now - self.published_at > STATUS_S - CHECK_S / 2
-        if due or self.healthy != self.published_health:
+        status_due = (
+            now - self.status_published_at > STATUS_INTERVAL_S - CHECK_INTERVAL_S / 2
+        )
+        if status_due or self.healthy != self.published_health:
             self._publish_status()
 
-    def _set_duty(self, elected: bool, healthy: StatusByVm) -> None:
+    def _set_watching(self, elected: bool, healthy: StatusByVm) -> None:
         self.is_watcher = elected
         self.published_health = None
         logs.event(
@@ -145,17 +147,19 @@
 
         :param healthy: the recent statuses of healthy watchers, by VM.
         """
-        read = self.discovery.loaded and self.declarations.version > 0
+        loaded = self.discovery.loaded and self.declarations.version > 0
         for follower in self.feeding.follower_by_name.values():
-            follower.follow(self.is_watcher or not healthy or not read)
+            follower.follow(self.is_watcher or not healthy or not loaded)
 
-    def _set_poll_times(self, alone: bool) -> None:
+    def _set_max_polls(self, alone: bool) -> None:
         current = self.declarations.current
-        keyed = current is not None and current.accounts is not None
+        keys_required = current is not None and current.accounts is not None
         max_poll_s = feeding.MAX_LONE_VM_POLL_S if alone else feeding.MAX_POLL_S
         by_name = self.feeding.follower_by_name
         by_name["endpoints"].set_max_poll(max_poll_s)
-        by_name["declarations"].set_max_poll(MAX_KEYED_POLL_S if keyed else max_poll_s)
+        by_name["declarations"].set_max_poll(
+            MAX_KEYED_POLL_S if keys_required else max_poll_s
+        )
 
     def _is_elected(self, ranked: list[str], now: float) -> bool:
         if self.kernel.draining:
@@ -168,7 +172,7 @@
 
     @property
     def healthy(self) -> bool:
-        """Return whether the platform answers this VM about all that others rely on."""
+        """Return whether all feeds were loaded and the platform answers for each."""
         return (
             self.discovery.loaded
             and self.declarations.version > 0
@@ -176,22 +180,22 @@
         )
 
     def _restart_polls(self) -> None:
-        """Give up polls that were sent during an outage: they may never be answered."""
+        """Restart polls sent during an outage, which may never be answered."""
         for follower in self.feeding.follower_by_name.values():
             if follower.followed:
                 follower.restart_poll()
 
     def _on_health(self) -> None:
-        """Publish at once that the platform stopped answering, or answers again."""
+        """Publish a change of health without waiting for the next status."""
         if self.healthy != bool(self.published_health):
             self._publish_status()
 
     def _publish_status(self) -> None:
         if not self.is_watcher:
             return
-        self.published_at = time.monotonic()
+        self.status_published_at = time.monotonic()
         healthy = self.healthy
-        self._note_health(healthy)
+        self._log_health(healthy)
         self.broadcast.publish(
             watcher_election.Status(
                 healthy,
@@ -201,8 +205,8 @@
             )
         )
 
-    def _note_health(self, healthy: bool) -> None:
-        """Log a change of what this VM publishes of the platform, feed by feed."""
+    def _log_health(self, healthy: bool) -> None:
+        """Log a change of the published health, with the state of each feed."""
         if healthy == self.published_health:
             return
         self.published_health = healthy
@@ -215,22 +219,28 @@
                 outcome="healthy" if healthy else "unhealthy",
             )
 
-    def _publish_changes(self, before: int, changes: adapters.Changes) -> None:
-        """Publish changes that the platform returned to this VM."""
+    def _publish_changes(self, base_revision: int, changes: adapters.Changes) -> None:
+        """Publish changes received from the platform, if this VM is a watcher."""
         if not self.is_watcher:
             return
         suspect_s = self.discovery.follower.suspect_until - time.monotonic()
-        documents = {item.name: item.document for item in changes.changes}
-        update = RegistryUpdate(before, changes.cursor, documents, max(0.0, suspect_s))
+        document_by_name = {item.name: item.document for item in changes.changes}
+        update = RegistryUpdate(
+            base_revision, changes.cursor, document_by_name, max(0.0, suspect_s)
+        )
         self.broadcast.publish(update)
 
     def _on_registry_update(
         self, _: str, update: RegistryUpdate, __: peers.Answer
     ) -> None:
-        changes = tuple(itertools.starmap(adapters.Change, update.documents.items()))
+        changes = tuple(
+            itertools.starmap(adapters.Change, update.document_by_name.items())
+        )
         suspect_until = time.monotonic() + update.suspect_s if update.suspect_s else 0.0
-        self.discovery.take_published(
-            update.before, adapters.Changes(update.cursor, changes), suspect_until
+        self.discovery.apply_published(
+            update.base_revision,
+            adapters.Changes(update.cursor, changes),
+            suspect_until,
         )
 
     def _on_status(
@@ -241,14 +251,14 @@
         if not status.healthy:
             self._follow_feeds(self.election.healthy_watchers(now))
             return
-        self.discovery.confirm(status.changed_at, status.cursor)
+        self.discovery.confirm_unchanged(status.changed_at, status.cursor)
         if self.is_watcher:
             self._interrupt_stale_polls(status)
         elif status.declaration_version > self.declarations.version:
-            self._read_soon(self._read_declaration, vm)
+            self._start_read(self._read_declaration, vm)
 
     def _interrupt_stale_polls(self, status: watcher_election.Status) -> None:
-        """End polls of this VM's own that miss what another one has seen."""
+        """Cancel polls of this VM that lack changes which another watcher has."""
         by_name = self.feeding.follower_by_name
         if status.declaration_version > self.declarations.version:
             by_name["declarations"].interrupt_if_behind(
@@ -260,7 +270,7 @@
             )
 
     def _catch_up_registry(self, healthy: StatusByVm, now: float) -> None:
-        """Read the registry once where an update did not arrive."""
+        """Fetch the registry's changes once if a published update did not arrive."""
         newest = max(
             healthy.values(), key=lambda status: status.changed_at, default=None
         )
@@ -272,23 +282,29 @@
         if now - self.behind_since > CATCH_UP_DELAY_S:
             self.behind_since = None
             vm = next(vm for vm, status in healthy.items() if status is newest)
-            self._read_soon(self._read_registry, vm)
+            self._start_read(self._read_registry, vm)
 
-    def _read_soon(self, read: collections.abc.Callable[[], bool], vm: str) -> None:
-        if read not in self._reading:
-            self._reading.add(read)
-            self.tasks.spawn(self._read, read, vm)
+    def _start_read(self, read: collections.abc.Callable[[], bool], vm: str) -> None:
+        if read not in self._reads_in_progress:
+            self._reads_in_progress.add(read)
+            self.tasks.spawn(self._read_or_ask_peer, read, vm)
 
-    def _read(self, read: collections.abc.Callable[[], bool], vm: str) -> None:
-        """Read what is new; from a peer where the platform is silent."""
+    def _read_or_ask_peer(
+        self, read: collections.abc.Callable[[], bool], vm: str
+    ) -> None:
+        """Read from the platform, or from a peer if the platform does not answer.
+
+        :param read: reads from the platform; returns whether it answered.
+        :param vm: the peer.
+        """
         try:
             if not read():
                 self.heartbeats.ask(vm)
         finally:
-            self._reading.discard(read)
+            self._reads_in_progress.discard(read)
 
     def _read_declaration(self) -> bool:
-        gevent.sleep(PUBLISH_DELAY_S + random.uniform(0.0, SPREAD_S))
+        gevent.sleep(PUBLISH_DELAY_S + random.uniform(0.0, READ_JITTER_S))
         healthy = self.election.healthy_watchers(time.monotonic()).values()
         newest = max((status.declaration_version for status in healthy), default=0)
         if newest <= self.declarations.version:
--- a/packages/mothworks_gateway/tests/test_silent_polls.py
+++ b/packages/mothworks_gateway/tests/test_silent_polls.py
@@ -1,4 +1,4 @@
-"""Polls that the platform does not answer: silence is never taken for health."""
+"""Polls that the platform does not answer: no answer never counts as healthy."""
 
 import types
 
@@ -24,8 +24,8 @@
 )
 
 
-class SilentFeed(adapters.Feed):
-    """A feed that counts calls and answers none until its event is set."""
+class UnresponsiveFeed(adapters.Feed):
+    """A feed that records calls and answers them only while its event is set."""
 
     def __init__(self):
         self.calls = []
@@ -44,15 +44,15 @@
 
 
 class SlowFeed(adapters.Feed):
-    """A feed whose answers take some time.
+    """A feed that answers slowly.
 
-    :param answer_s: the time, seconds.
+    :param answer_s: latency of each answer, seconds.
     """
 
     def __init__(self, answer_s):
         self.answer_s = answer_s
         self.answered = 0
-        self.given_up = 0
+        self.cancelled = 0
 
     def read(self):
         return result.Ok(adapters.Listing(5, {}))
@@ -61,7 +61,7 @@
         try:
             gevent.sleep(wait_s + self.answer_s)
         except gevent.GreenletExit:
-            self.given_up += 1
+            self.cancelled += 1
             raise
         self.answered += 1
         return result.Ok(adapters.Changes(cursor, ()))
@@ -69,7 +69,7 @@
 
 @pytest.fixture
 def feed():
-    return SilentFeed()
+    return UnresponsiveFeed()
 
 
 @pytest.fixture
@@ -87,8 +87,8 @@
             gevent.sleep(0.002)
 
 
-# Guards against a VM that the platform refuses and that publishes health.
-def test_a_poll_that_is_interrupted_is_no_answer(follower, feed):
+# Guards against a VM that publishes good health although the platform refuses it.
+def test_an_interrupted_poll_does_not_count_as_an_answer(follower, feed):
     feed.answers.set()
     until(lambda: len(feed.calls) > 2)
     feed.answers.clear()
@@ -100,8 +100,8 @@
     assert follower.lost_at is not None
 
 
-# Guards against polls of a slow platform that are given up before their answers come.
-def test_polls_wait_for_a_platform_that_answers_slowly(monkeypatch):
+# Guards against polls of a slow platform that are cancelled before the answers arrive.
+def test_polls_wait_for_a_slow_platform(monkeypatch):
     monkeypatch.setattr(feeding, "FIRST_POLL_DELAY_S", 0.0)
     feed = SlowFeed(answer_s=1.6)
     follower = feeding.Follower(
@@ -111,12 +111,12 @@
     try:
         until(lambda: feed.answered >= 3, seconds=10)
         assert follower.healthy
-        assert feed.given_up <= 1
+        assert feed.cancelled <= 1
     finally:
         task.kill()
 
 
-# Guards against long polls that go unanswered for longer where the platform is slow.
+# Guards against poll timeouts that grow without limit with a slow platform's latency.
 def test_a_poll_ends_in_time_however_slow_the_platform_is(follower, monkeypatch):
     monkeypatch.setattr(follower, "max_poll_s", feeding.MAX_LONE_VM_POLL_S)
     for follower.latency_s in (0.0, 0.3, 0.6, 0.9, 5.0):
@@ -124,8 +124,8 @@
         assert follower.wait_s + follower.grace_s <= feeding.MAX_UNANSWERED_POLL_S
 
 
-# Guards against an outage after which a poll from before its end holds up the next.
-def test_polls_of_a_silent_platform_end_in_time(follower, feed):
+# Guards against a poll sent during an outage that delays the next one after it.
+def test_polls_of_an_unresponsive_platform_time_out(follower, feed):
     follower.max_poll_s = 0.1
     feed.answers.set()
     until(lambda: len(feed.calls) > 2)
@@ -133,14 +133,14 @@
     until(lambda: follower.lost_at is not None)
     for _ in range(2):
         calls = len(feed.calls)
-        began = feeding.time.monotonic()
+        started_at = feeding.time.monotonic()
         until(lambda calls=calls: len(feed.calls) > calls)
-        ended_s = feeding.time.monotonic() - began
-        assert ended_s < feeding.MAX_GRACE_S + feeding.MAX_RETRY_DELAY_S + 0.1
+        elapsed_s = feeding.time.monotonic() - started_at
+        assert elapsed_s < feeding.MAX_GRACE_S + feeding.MAX_RETRY_DELAY_S + 0.1
 
 
-# Guards against following from a revision at which nothing was ever read.
-def test_a_first_reading_that_is_interrupted_is_made_again(follower, feed):
+# Guards against polling from a revision for which no listing was ever read.
+def test_an_interrupted_first_listing_is_retried(follower, feed):
     until(lambda: feed.calls == ["read"])
     follower.interrupt_if_behind(1, 0.0)
     until(lambda: len(feed.calls) > 1)
@@ -148,7 +148,7 @@
 
 
 class Watcher:
-    """One VM that watches for all, in virtual time, without network.
+    """One watcher in virtual time, without network.
 
     :param monkeypatch: pytest's fixture.
     """
@@ -156,51 +156,56 @@
     def __init__(self, monkeypatch):
         self.clock = virtual_time.Clock(monkeypatch, feeding, watching)
         self.published = []
-        self.feed_by_name = {"declarations": SilentFeed(), "endpoints": SilentFeed()}
+        self.feed_by_name = {
+            "declarations": UnresponsiveFeed(),
+            "endpoints": UnresponsiveFeed(),
+        }
         monkeypatch.setattr(plugins, "find", lambda *_: lambda *_: None)
         kernel = gateway_builders.Kernel({})
         kernel.parts.update(self._parts(kernel))
         self.part = watching.Watching(kernel)
 
     def _parts(self, kernel):
-        owner = feeding.Feeding(kernel)
+        followers = feeding.Feeding(kernel)
         for name, feed in self.feed_by_name.items():
-            owner.add(feeding.Follower(name, feed, lambda _: None, lambda _: None))
-        view = types.SimpleNamespace(near=lambda: [], on_change=[])
-        link = types.SimpleNamespace(handle=lambda *_: None)
-        declared = types.SimpleNamespace(version=1, current=None, on_change=[])
-        found = types.SimpleNamespace(
+            followers.add(feeding.Follower(name, feed, lambda _: None, lambda _: None))
+        node_membership = types.SimpleNamespace(near=lambda: [], on_change=[])
+        node_peers = types.SimpleNamespace(handle=lambda *_: None)
+        node_declarations = types.SimpleNamespace(version=1, current=None, on_change=[])
+        node_discovery = types.SimpleNamespace(
             loaded=True,
             changed_at=1,
             registry=types.SimpleNamespace(cursor=1),
             on_platform_changes=[],
-            follower=owner.follower_by_name["endpoints"],
+            follower=followers.follower_by_name["endpoints"],
         )
         return {
-            feeding.Feeding: owner,
-            membership.Membership: view,
-            peers.Peers: link,
+            feeding.Feeding: followers,
+            membership.Membership: node_membership,
+            peers.Peers: node_peers,
             broadcast.Broadcast: types.SimpleNamespace(publish=self.published.append),
             lease.Lease: types.SimpleNamespace(held=lambda: True),
             heartbeat.Heartbeats: None,
             relayed_objects.RelayedObjects: types.SimpleNamespace(on_return=[]),
-            declarations.Declarations: declared,
-            discovery.Discovery: found,
+            declarations.Declarations: node_declarations,
+            discovery.Discovery: node_discovery,
         }
 
     def answer(self, *names):
-        """Let the platform answer a poll of some feeds."""
+        """Answer one poll of each of the named feeds."""
         for name in names:
             feed = self.feed_by_name[name]
             feed.answers.set()
             self.part.feeding.follower_by_name[name]._fetch_changes(0.0)
             feed.answers.clear()
 
-    def good(self):
-        """Return whether this VM publishes that the platform answers it."""
+    def publishes_healthy(self):
+        """Return whether this VM's next status is healthy."""
         self.part._publish_status()
         [status] = [
-            one for one in self.published if isinstance(one, watcher_election.Status)
+            message
+            for message in self.published
+            if isinstance(message, watcher_election.Status)
         ]
         self.published.clear()
         return status.healthy
@@ -211,20 +216,20 @@
     return Watcher(monkeypatch)
 
 
-# Guards against a feed that hangs behind another one that answers.
-def test_health_is_published_only_while_each_feed_is_answered(watcher):
+# Guards against an unanswered feed that is masked by another one that is answered.
+def test_health_is_published_only_while_every_feed_is_answered(watcher):
     watcher.answer("declarations", "endpoints")
-    assert watcher.good()
+    assert watcher.publishes_healthy()
     for _ in range(10):
         watcher.clock.advance(0.5)
         watcher.answer("endpoints")
-    assert not watcher.good()
+    assert not watcher.publishes_healthy()
 
 
 # Guards against watchers that take over while the platform refuses them.
-def test_a_vm_that_begins_to_watch_publishes_no_health_before_an_answer(watcher):
+def test_a_new_watcher_publishes_no_health_before_an_answer(watcher):
     watcher.clock.advance(20)
     watcher.part.is_watcher = True
-    assert not watcher.good()
+    assert not watcher.publishes_healthy()
     watcher.answer("declarations", "endpoints")
-    assert watcher.good()
+    assert watcher.publishes_healthy()
