--- a/packages/mothworks_gateway/src/mothworks_gateway/declaration_updates.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/declaration_updates.py
@@ -1,8 +1,8 @@
-"""Declaration updates: a new declaration is published, instead of each VM reading it.
+"""Declaration updates: the lease holder publishes a new declaration to all VMs.
 
-If each VM reads a new version from the platform by itself, a change costs as many
-priced calls as there are VMs. A document of usual size costs less on its way in
-groups (:mod:`broadcast`). A VM that misses it reads it.
+If each VM read a new version from the platform, each change would cost one billed call
+per VM. Broadcasting a document of usual size (:mod:`broadcast`) costs less. A VM that
+misses the broadcast reads the declaration from the platform.
 """
 
 import attrs
@@ -10,15 +10,15 @@
 from mothworks import kernel, messages, peers
 from mothworks_gateway import broadcast, declarations, lease
 
-#: Longest document that is published, bytes. The links of small VMs carry a longer one
-#: to a group no faster than the platform answers all of them.
-MOST_BYTES = 64 << 10
+#: Longest document that is published, bytes. Sending a longer one to a group over the
+#: links of small VMs is no faster than reading it from the platform on every VM.
+MAX_PUBLISHED_BYTES = 64 << 10
 
 
 @messages.message(132)
 @attrs.frozen
-class Declared:
-    """A new declaration, for all VMs.
+class DeclarationUpdate:
+    """A new declaration, published to all VMs.
 
     :param document: the operator's document.
     """
@@ -27,9 +27,9 @@
 
 
 class DeclarationUpdates(kernel.Part):
-    """Publishes what the platform declares, where this VM holds the lease.
+    """Publishes new declarations while this VM holds the lease.
 
-    Elsewhere it takes what the holder publishes.
+    On all other VMs it applies what the lease holder publishes.
 
     :param node_kernel: the node's kernel.
     """
@@ -39,12 +39,12 @@
         self.broadcast = node_kernel.get(broadcast.Broadcast)
         self.lease = node_kernel.get(lease.Lease)
         self.declarations = node_kernel.get(declarations.Declarations)
-        self.declarations.on_platform.append(self._publish)
-        node_kernel.get(peers.Peers).handle(Declared, self._on_update)
+        self.declarations.on_platform_document.append(self._publish)
+        node_kernel.get(peers.Peers).handle(DeclarationUpdate, self._on_update)
 
     def _publish(self, document: bytes) -> None:
-        if self.lease.held() and len(document) <= MOST_BYTES:
-            self.broadcast.publish(Declared(document))
+        if self.lease.held() and len(document) <= MAX_PUBLISHED_BYTES:
+            self.broadcast.publish(DeclarationUpdate(document))
 
-    def _on_update(self, vm: str, update: Declared, _: peers.Answer) -> None:
+    def _on_update(self, vm: str, update: DeclarationUpdate, _: peers.Answer) -> None:
         self.declarations.offer(update.document, f"peer {vm}")
--- a/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
@@ -1,7 +1,7 @@
-"""The declaration in force on this VM, and how it is followed.
+"""The declaration in force on this VM, and how it is kept up to date.
 
-It comes from the platform by a long poll, and from peers where the platform
-does not answer. Its version never goes back while the process lives.
+It comes from the platform through a long poll, and from peers if the platform does not
+answer. Its version never decreases during the life of the process.
 """
 
 import time
@@ -18,7 +18,7 @@
 
 
 class Declarations(kernel.Part):
-    """Holds the newest declaration that this VM has seen.
+    """Holds the newest declaration that this VM has received.
 
     :param node_kernel: the node's kernel.
     """
@@ -28,31 +28,34 @@
         self.feeds = node_kernel.get(feeding.Feeding).feeds
         self.current: declared.Declaration | None = None
         self.loaded = gevent.event.Event()
-        self.taken_at = 0.0
-        #: Whether the platform's last document was understood. While it was not,
-        #: what is in force is known to be old.
+        self.updated_at = 0.0
+        #: Whether the last document received could be decoded. If not, the declaration
+        #: in force is known to be outdated.
         self.readable = True
         #: Functions to call with a new declaration.
         self.on_change: list = []
-        #: Functions to call with a document that the platform itself told, and that
-        #: is in force now.
-        self.on_platform: list = []
+        #: Functions to call with a document that came from the platform itself and has
+        #: just taken effect.
+        self.on_platform_document: list = []
 
     @property
     def version(self) -> int:
-        """Return the version in force, or 0."""
+        """Return the version in force; 0 if there is none."""
         return self.current.version if self.current else 0
 
     def start(self) -> None:
-        """Follow the platform."""
+        """Start to follow the platform's declarations."""
         follower = feeding.Follower(
-            "declarations", self.feeds.declarations, self._take_all, self._take_changes
+            "declarations",
+            self.feeds.declarations,
+            self._apply_listing,
+            self._apply_changes,
         )
         self.kernel.get(feeding.Feeding).add(follower)
         self.tasks.spawn(follower.run)
 
     def offer(self, document: bytes, source: str) -> None:
-        """Take a declaration if it is newer than the one in force.
+        """Apply a declaration if it is newer than the one in force.
 
         :param document: the operator's document.
         :param source: where it came from, for the log.
@@ -60,7 +63,7 @@
         match self.feeds.declaration(document):
             case result.Ok(declaration):
                 self.readable = True
-                self._take(declaration, source)
+                self._apply(declaration, source)
             case result.Err(reason):
                 self.readable = False
                 logs.event(
@@ -71,38 +74,38 @@
                     outcome=f"version {self.version} stays in force",
                 )
 
-    def _take_all(self, listing: adapters.Listing) -> None:
-        self._take_document(listing.document_by_name.get(self.feeds.declaration_name))
+    def _apply_listing(self, listing: adapters.Listing) -> None:
+        self._apply_document(listing.document_by_name.get(self.feeds.declaration_name))
 
-    def _take_changes(self, changes: adapters.Changes) -> None:
+    def _apply_changes(self, changes: adapters.Changes) -> None:
         for change in changes.changes:
             if change.name == self.feeds.declaration_name:
-                self._take_document(change.document)
+                self._apply_document(change.document)
 
-    def _take_document(self, document: bytes | None) -> None:
-        # Before the operator has declared anything there is none, and one that
-        # was removed leaves the last version in force.
+    def _apply_document(self, document: bytes | None) -> None:
+        # There is no document before the first declaration. If the document is
+        # removed, the last version stays in force.
         if document is None:
             return
-        before = self.version
+        previous_version = self.version
         self.offer(document, "platform")
-        if self.version > before:
-            for notify in self.on_platform:
+        if self.version > previous_version:
+            for notify in self.on_platform_document:
                 notify(document)
 
-    def _take(self, declaration: declared.Declaration, source: str) -> None:
-        before = self.version
-        if declaration.version <= before:
-            # An older one may come late from a peer; in force it would undo
-            # what callers have already seen.
+    def _apply(self, declaration: declared.Declaration, source: str) -> None:
+        previous_version = self.version
+        if declaration.version <= previous_version:
+            # An older version may arrive late from a peer. Applying it would revert
+            # changes that callers have already observed.
             return
         self.current = declaration
-        self.taken_at = time.monotonic()
+        self.updated_at = time.monotonic()
         logs.event(
             log,
             "declaration",
             version=declaration.version,
-            before=before,
+            before=previous_version,
             source=source,
             routes=len(declaration.routes),
             outcome="in force",
--- a/packages/mothworks_gateway/tests/test_declaration_updates.py
+++ b/packages/mothworks_gateway/tests/test_declaration_updates.py
@@ -1,6 +1,6 @@
-"""A new declaration reaches all VMs with as few calls to the platform as tell it.
+"""A new declaration reaches all VMs without a platform call from each of them.
 
-The pattern is 60 VMs, of which two follow the platform, while the operator declares a
+The tests model 60 VMs, two of which follow the platform, while the operator declares a
 few versions within a minute.
 """
 
@@ -23,7 +23,7 @@
 
 
 class Feeds:
-    """Stands for an adapter: a document is a version and a filling."""
+    """A fake adapter whose documents are a version and filler text."""
 
     declaration_name = "main"
     declarations = None
@@ -37,13 +37,13 @@
 
 
 class Fleet:
-    """VMs whose messages arrive at once; one of them holds the lease."""
+    """VMs whose messages arrive immediately; one of them holds the lease."""
 
     def __init__(self, holder):
         self.wire = fleet_builders.Wire()
         self.names = fleet_builders.names_of(VMS)
         self.holder = holder
-        self.known_by_vm = {name: self._make(name) for name in self.names}
+        self.declarations_by_vm = {name: self._make(name) for name in self.names}
 
     def _make(self, name):
         parts = {
@@ -53,51 +53,56 @@
         kernel = fleet_builders.kernel_of(name, self.names, self.wire, parts)
         kernel.parts[broadcast.Broadcast] = sender = broadcast.Broadcast(kernel)
         sender.publish = sender.publish_now
-        known = declarations.Declarations(kernel)
-        kernel.parts[declarations.Declarations] = known
+        node_declarations = declarations.Declarations(kernel)
+        kernel.parts[declarations.Declarations] = node_declarations
         declaration_updates.DeclarationUpdates(kernel)
-        return known
+        return node_declarations
 
-    def platform_tells(self, name, document):
+    def receive_from_platform(self, name, document):
         listing = adapters.Listing(1, {"main": document})
-        self.known_by_vm[name]._take_all(listing)
+        self.declarations_by_vm[name]._apply_listing(listing)
 
     def versions(self):
-        return {known.version for known in self.known_by_vm.values()}
+        return {
+            node_declarations.version
+            for node_declarations in self.declarations_by_vm.values()
+        }
 
 
-def test_all_vms_hear_a_new_declaration():
-    # Each of 58 VMs read it from the platform: 58 priced calls for each version.
+def test_all_vms_receive_a_new_declaration():
+    # Without publishing, each of the other 58 VMs made one billed call per version.
     fleet = Fleet("vm-3")
-    fleet.platform_tells("vm-3", b"7 routes")
+    fleet.receive_from_platform("vm-3", b"7 routes")
     assert fleet.versions() == {7}
 
 
-def test_only_the_holder_tells():
-    # Two VMs follow the platform; told by both, each document would go out twice.
+def test_only_the_lease_holder_publishes():
+    # Two VMs follow the platform. If both published, each document would be sent twice.
     fleet = Fleet("vm-3")
-    fleet.platform_tells("vm-5", b"7 routes")
-    assert fleet.known_by_vm["vm-4"].version == 0
+    fleet.receive_from_platform("vm-5", b"7 routes")
+    assert fleet.declarations_by_vm["vm-4"].version == 0
     assert fleet.wire.sent_by_vm == {}
 
 
-def test_an_older_declaration_that_arrives_late_changes_nothing():
+def test_an_older_declaration_that_arrives_late_is_ignored():
     fleet = Fleet("vm-3")
-    fleet.known_by_vm["vm-4"].offer(b"9 routes", "test")
-    fleet.platform_tells("vm-3", b"7 routes")
-    assert fleet.known_by_vm["vm-4"].version == 9
+    fleet.declarations_by_vm["vm-4"].offer(b"9 routes", "test")
+    fleet.receive_from_platform("vm-3", b"7 routes")
+    assert fleet.declarations_by_vm["vm-4"].version == 9
 
 
-def test_what_was_told_is_not_told_on():
+def test_a_declaration_from_a_peer_is_not_published_again():
     fleet = Fleet("vm-3")
-    fleet.known_by_vm["vm-3"].offer(b"7 routes", "peer vm-5")
+    fleet.declarations_by_vm["vm-3"].offer(b"7 routes", "peer vm-5")
     assert fleet.wire.sent_by_vm == {}
 
 
-@pytest.mark.parametrize("rest", [0, 1])
-def test_a_long_document_is_left_to_the_platform(rest):
-    # 300 KB to each of 58 VMs would keep the links of small VMs busy for seconds.
-    document = b"7 " + b"x" * (declaration_updates.MOST_BYTES - 2 + rest)
+@pytest.mark.parametrize("excess_bytes", [0, 1])
+def test_a_long_document_is_not_published(excess_bytes):
+    # Sending 300 KB to each of 58 VMs would fill small VMs' links for seconds.
+    document = b"7 " + b"x" * (
+        declaration_updates.MAX_PUBLISHED_BYTES - 2 + excess_bytes
+    )
     fleet = Fleet("vm-3")
-    fleet.platform_tells("vm-3", document)
-    assert fleet.versions() == ({7} if not rest else {7, 0})
+    fleet.receive_from_platform("vm-3", document)
+    assert fleet.versions() == ({7} if not excess_bytes else {7, 0})
