--- a/packages/mothworks_gateway/src/mothworks_gateway/feed_reports.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/feed_reports.py
@@ -1,4 +1,4 @@
-"""Feed reports: how old this VM's view of each feed is, in logs and metrics."""
+"""Feed reports: the age of this VM's view of each feed, in logs and metrics."""
 
 import logbook
 
@@ -9,8 +9,8 @@
 
 #: Seconds between reports.
 REPORT_S = 0.5
-#: Time beyond a poll's longest wait after which the view of a feed that is followed
-#: here is logged as stale, seconds.
+#: Time beyond the longest poll after which a feed that this VM follows is logged as
+#: stale, seconds.
 STALE_MARGIN_S = 1.0
 
 
@@ -23,7 +23,7 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.feeding = node_kernel.get(feeding.Feeding)
-        self._stale: set[str] = set()
+        self._stale_feeds: set[str] = set()
         make_gauge = node_kernel.metrics.gauge
         self.unanswered_seconds = make_gauge(
             "feed_unanswered_seconds", "Seconds since the platform answered, by feed."
@@ -36,30 +36,30 @@
         )
 
     def start(self) -> None:
-        """Start to report."""
+        """Start the periodic reports."""
         self.tasks.every(REPORT_S, self.report)
 
     def report(self) -> None:
-        """Set the gauges, and log what changed."""
+        """Set the gauges, and log feeds that became stale or fresh."""
         for name, follower in self.feeding.follower_by_name.items():
             labels = {"feed": name}
             self.unanswered_seconds.set(labels, round(follower.unanswered_s, 3))
             self.poll_seconds.set(labels, round(follower.poll_duration_s, 3))
             self.followed.set(labels, int(follower.followed))
-            self._note_age(follower)
+            self._log_staleness(follower)
 
-    def _note_age(self, follower: feeding.Follower) -> None:
-        """Log when the view of a feed that is followed here becomes stale, or fresh."""
+    def _log_staleness(self, follower: feeding.Follower) -> None:
+        """Log when a feed becomes stale, fresh, or is left to other VMs."""
         limit_s = follower.max_poll_s + STALE_MARGIN_S
         stale = follower.followed and follower.unanswered_s > limit_s
-        if stale == (follower.name in self._stale):
+        if stale == (follower.name in self._stale_feeds):
             return
-        self._stale ^= {follower.name}
+        self._stale_feeds ^= {follower.name}
         logs.event(log, "feed", **describe(follower), outcome=_outcome(follower, stale))
 
 
 def describe(follower: feeding.Follower) -> dict[str, object]:
-    """Return what a log line says of a follower.
+    """Return the fields of a log line that describe a follower.
 
     :param follower: the follower.
     """
--- a/packages/mothworks_gateway/tests/test_feed_reports.py
+++ b/packages/mothworks_gateway/tests/test_feed_reports.py
@@ -1,6 +1,4 @@
-"""What a VM reports of the platform's feeds: from logs and metrics alone, on-call
-engineers tell a view that is old from one that has not changed.
-"""
+"""Feed reports: logs and metrics distinguish a stale view from an unchanged one."""
 
 import types
 
@@ -12,7 +10,7 @@
 from mothworks import plugins
 from mothworks_gateway import adapters, feed_reports, feeding
 
-#: Time without an answer after which a feed is stale that is polled as usual, seconds.
+#: Time without an answer after which a feed with the usual polls is stale, seconds.
 STALE_S = feeding.MAX_POLL_S + feed_reports.STALE_MARGIN_S
 
 
@@ -32,13 +30,16 @@
 
 
 def report(reports):
-    """Report once; returns the lines that were logged."""
+    """Report once.
+
+    :returns: the log lines.
+    """
     with logbook.TestHandler() as handler:
         reports.report()
     return [types.SimpleNamespace(**record.extra) for record in handler.records]
 
 
-def value(gauge):
+def gauge_value(gauge):
     return gauge.get({"feed": "declarations"})
 
 
@@ -63,7 +64,7 @@
     assert report(reports) == []
 
 
-def test_a_feed_that_others_follow_is_not_logged_as_stale(reports, clock):
+def test_a_feed_that_other_vms_follow_is_not_logged_as_stale(reports, clock):
     reports.feeding.follower_by_name["declarations"].follow(False)
     clock.advance(60)
     assert report(reports) == []
@@ -77,17 +78,17 @@
     assert line.outcome == "left to others"
 
 
-def test_the_age_of_a_feed_is_a_metric(reports, clock):
+def test_the_age_of_a_feed_is_exported_as_a_metric(reports, clock):
     clock.advance(0.25)
     report(reports)
-    assert value(reports.unanswered_seconds) == 0.25
-    assert value(reports.followed) == 1
+    assert gauge_value(reports.unanswered_seconds) == 0.25
+    assert gauge_value(reports.followed) == 1
     reports.feeding.follower_by_name["declarations"].follow(False)
     report(reports)
-    assert value(reports.followed) == 0
+    assert gauge_value(reports.followed) == 0
 
 
-def test_history_that_is_gone_is_an_answer(clock):
+def test_an_expired_history_counts_as_an_answer(clock):
     class Feed:
         def wait(self, cursor, wait_s):
             return feeding.result.Err(adapters.FeedExpired())
