--- a/packages/mothworks_gateway/src/mothworks_gateway/client_accounts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/client_accounts.py
@@ -1,8 +1,8 @@
-"""Client accounts: who may call, under which keys, and how much.
+"""Client accounts: who may call, with which keys, and how much.
 
-A key is never kept. What is looked up and compared is its keyed digest, whose secret
-is drawn anew by each process: a digest that leaks says nothing of the key, and cannot
-be looked for in a list of digests made beforehand.
+Keys are not stored. Lookups use a keyed digest whose secret is generated at random by
+each process, so that a leaked digest does not reveal the key and can't be looked up in
+a precomputed table.
 """
 
 import enum
@@ -19,34 +19,35 @@
 
 
 def digest(key: str) -> bytes:
-    """Return what stands for a key in this process.
+    """Return the keyed digest of an API key, valid within this process.
 
-    :param key: the key, as an HTTP header carries it.
+    :param key: the key, as sent in an HTTP header.
 
     >>> digest("k-1") == digest("k-1")
     True
     """
-    # Characters that no header carries name no key that could match.
-    spelled = key.encode("utf-8", "surrogatepass")
-    return hashlib.blake2b(spelled, key=_secret, digest_size=DIGEST_BYTES).digest()
+    # Lone surrogates can't occur in a header; they are encoded so that lookup fails
+    # without an exception.
+    encoded = key.encode("utf-8", "surrogatepass")
+    return hashlib.blake2b(encoded, key=_secret, digest_size=DIGEST_BYTES).digest()
 
 
 class CapUnit(enum.Enum):
     """What a usage cap counts."""
 
     REQUESTS = "requests"
-    #: Prompt tokens and most output tokens of each request.
+    #: Prompt tokens plus the maximum number of output tokens of each request.
     TOKENS = "tokens"
 
 
 @attrs.frozen
 class UsageCap:
-    """How much an account may use, over all VMs together.
+    """Rate limit of an account over all VMs together.
 
-    :param per_s: units a second.
-    :param burst: units that may gather while the account is idle.
+    :param per_s: units per second.
+    :param burst: units that may accumulate while the account is idle.
     :param unit: what is counted.
-    :param plain_tokens: tokens that a request counts which names none.
+    :param plain_tokens: tokens counted for a request that specifies none.
     """
 
     per_s: float
@@ -55,9 +56,9 @@
     plain_tokens: int = 1
 
     def cost(self, tokens: int) -> float:
-        """Return the units that a request takes.
+        """Return the units that a request consumes.
 
-        :param tokens: of its prompt, and most of its output; 0 where it names none.
+        :param tokens: prompt tokens plus maximum output tokens; 0 if it specifies none.
 
         >>> UsageCap(10.0, 10.0, CapUnit.TOKENS, plain_tokens=200).cost(0)
         200
@@ -67,18 +68,18 @@
         return tokens or self.plain_tokens
 
     def part(self, share: float) -> "UsageCap":
-        """Return a cap that allows a part of what this one does.
+        """Return this cap scaled down to a share of it.
 
-        :param share: the part, up to 1.
+        :param share: the share, at most 1.
         """
         if share == 1.0:
             return self
         return attrs.evolve(self, per_s=share * self.per_s, burst=share * self.burst)
 
     def most_in(self, seconds: float) -> float:
-        """Return the most units that an account may use in any window.
+        """Return the maximum number of units that an account may use in any window.
 
-        :param seconds: the window's length.
+        :param seconds: length of the window.
         """
         return self.per_s * seconds + self.burst
 
@@ -87,10 +88,10 @@
 class ClientAccount:
     """A client account.
 
-    :param name: its name, which endpoints are told.
-    :param key_digests: what stands for its keys, see :func:`digest`.
-    :param urgency: rank of its requests, which goes before their route's; None to
-        leave the route's in force.
+    :param name: its name, which is sent to endpoints.
+    :param key_digests: digests of its keys, see :func:`digest`.
+    :param urgency: urgency of its requests, which overrides their route's; None to use
+        the route's.
     :param cap: its usage cap; None for no limit.
     """
 
@@ -104,7 +105,7 @@
 class Accounts:
     """All accounts of a declaration.
 
-    :param by_name: the accounts.
+    :param by_name: the accounts, by name.
     """
 
     by_name: dict[str, ClientAccount]
@@ -112,14 +113,14 @@
     def find(self, key: str) -> ClientAccount | None:
         """Return the account that a key belongs to.
 
-        :param key: the key that a caller sent; empty for none.
+        :param key: the key that a caller sent; empty if it sent none.
         """
         return self._by_digest.get(digest(key)) if key else None
 
     @functools.cached_property
     def _by_digest(self) -> dict[bytes, ClientAccount]:
         return {
-            key: account
+            key_digest: account
             for account in self.by_name.values()
-            for key in account.key_digests
+            for key_digest in account.key_digests
         }
