--- a/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
@@ -1,16 +1,16 @@
-"""Freshness: up to which moment this VM's declaration is known to be the newest.
-
-A key that the operator takes away must stop to work everywhere within a bound, also on
-a VM that is cut off, was suspended, or is turned away by the platform: such a VM cannot
-hear of the change, so it must notice that it has not heard anything. Each VM therefore
-knows a moment *as of* which its declaration was the newest, and serves callers with
-keys only for so long after it.
-
-That moment comes from the platform, where this VM follows it; else from a VM that knows
-one. It is taken from before the question was sent, on this VM's own clock, less the age
-that the answer tells: an answer that lay in a socket while the VM was suspended, or
-on its way, only counts as older than it is. A message that nobody asked for proves
-nothing.
+"""Freshness: the time as of which this VM's declaration is proven to be the newest.
+
+A revoked key must stop working everywhere within a time bound, also on a VM that is
+partitioned, was suspended, or is rejected by the platform. Such a VM can't learn of the
+revocation, so it must detect that its declaration may be outdated. Each VM therefore
+tracks the time *as of* which its declaration was the newest, and honours keys only for
+a limited time after it.
+
+A VM that follows the platform gets this time from the platform, any other VM from a
+peer. It is the time on this VM's own clock just before the request was sent, less the
+age in the reply. A reply that was delayed in transit, or in a socket buffer while the
+VM was suspended, can therefore only make the declaration look older than it is.
+Unsolicited messages prove nothing.
 """
 
 import math
@@ -34,33 +34,33 @@
 
 log = logbook.Logger("freshness")
 
-#: Seconds between questions to another VM.
-ASK_S = 0.4
-#: Age at which a VM that follows the platform by itself asks others, too, seconds: two
-#: of its polls.
-OWN_AGE_S = 1.2
-#: Time for an answer, seconds.
-REPLY_S = 0.3
-#: Part of the bound that is kept back: the platform's watches may be mute for a
-#: second before it drops its history.
+#: Seconds between requests to another VM.
+REQUEST_INTERVAL_S = 0.4
+#: Age at which a watcher also requests freshness from its peers, seconds: two of its
+#: polls.
+MAX_WATCHER_AGE_S = 1.2
+#: Timeout for a reply, seconds.
+REPLY_TIMEOUT_S = 0.3
+#: Safety margin as a share of the bound: the platform's watches may return nothing for
+#: 1 s before it drops its history.
 MARGIN_SHARE = 0.2
-#: Time for which an answer shows that others are reached, seconds.
-REACHED_S = 2.0
+#: Time for which a reply proves that peers are reachable, seconds.
+REACHABLE_S = 2.0
 
 
 @messages.message(127)
 @attrs.frozen
-class AskFreshness:
-    """Asks a VM up to when its declaration was the newest."""
+class FreshnessRequest:
+    """Requests the version and age of a VM's declaration."""
 
 
 @messages.message(128)
 @attrs.frozen
-class Fresh:
-    """Tells it.
+class FreshnessReply:
+    """Reply to :class:`FreshnessRequest`.
 
-    :param version: its declaration.
-    :param age_s: seconds since that was known to be the newest.
+    :param version: version of the sender's declaration.
+    :param age_s: seconds since it was proven to be the newest.
     """
 
     version: int
@@ -68,7 +68,7 @@
 
 
 class Freshness(kernel.Part):
-    """Knows as of when this VM's declaration was the newest.
+    """Tracks as of when this VM's declaration was the newest.
 
     :param node_kernel: the node's kernel.
     """
@@ -82,114 +82,124 @@
         self.feeding = node_kernel.get(feeding.Feeding)
         self.watching = node_kernel.get(watching.Watching)
         self.owners = node_kernel.get(owners.Owners)
-        #: The moment that peers told, on the clock of :func:`suspension.now`.
-        self.told_as_of = -math.inf
-        #: The VM that answered last; empty where it failed to.
+        #: The time derived from peers' replies, on the clock of :func:`suspension.now`.
+        self.peer_as_of = -math.inf
+        #: The VM that the next request goes to, since its last reply advanced the time;
+        #: empty if the last request did not.
         self.source = ""
-        #: The VM that failed to answer last.
-        self.silent = ""
-        self.reached_at = -math.inf
+        #: The VM whose last request did not advance the time.
+        self.avoided_vm = ""
+        self.peer_reached_at = -math.inf
         self.fleet = node_kernel.get(fleet_size.FleetSize)
         self.proven = True
-        self.peers.handle(AskFreshness, self._serve)
+        self.peers.handle(FreshnessRequest, self._serve_request)
 
     def start(self) -> None:
-        """Start to ask."""
-        self.tasks.every(ASK_S, self._look)
+        """Start the periodic requests."""
+        self.tasks.every(REQUEST_INTERVAL_S, self._check)
 
     @property
     def as_of(self) -> float:
-        """Return the moment, on the clock of :func:`suspension.now`."""
+        """Return as of when the declaration was the newest.
+
+        The time is on the clock of :func:`suspension.now`.
+        """
         if not self.declarations.readable:
-            # A newer document is there and says what this VM does not understand.
+            # There is a newer document that this VM can't decode.
             return -math.inf
-        own = self.feeding.follower_by_name["declarations"].as_of
-        return max(own, self.told_as_of)
+        platform_as_of = self.feeding.follower_by_name["declarations"].as_of
+        return max(platform_as_of, self.peer_as_of)
 
     def age_s(self) -> float:
-        """Return the seconds since the declaration was known to be the newest."""
+        """Return the seconds since the declaration was proven to be the newest."""
         return suspension.now() - self.as_of
 
     @property
     def bound_s(self) -> float:
-        """Return the age up to which keys are honoured, seconds."""
+        """Return the maximum age at which keys are honoured, seconds."""
         revoke_s = self.kernel.settings.bounds.revoke_ms / 1000
         return revoke_s * (1 - MARGIN_SHARE) if revoke_s else math.inf
 
     def holds(self) -> bool:
-        """Return whether keys may be honoured now."""
+        """Return whether the declaration is recent enough to honour keys."""
         return self.age_s() <= self.bound_s
 
     def shared_by_all(self) -> bool:
-        """Return whether all VMs seem to be as this one is.
+        """Return whether a stale declaration seems to affect all VMs.
 
-        Where only this VM, or few others with it, reach neither the platform nor
-        the rest, callers are better off elsewhere.
+        If only this VM, or a minority with it, is cut off from the platform and from
+        the other VMs, callers should be sent to other VMs.
         """
         if 2 * self.fleet.live < self.fleet.most:
             return False
-        alone = self.fleet.live == 1
-        return alone or suspension.now() - self.reached_at <= REACHED_S
+        is_only_vm = self.fleet.live == 1
+        return is_only_vm or suspension.now() - self.peer_reached_at <= REACHABLE_S
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         if self.declarations.current is None:
             return
         if self.declarations.current.accounts is None:
             return
-        least_s = OWN_AGE_S if self.watching.is_watcher else 0.0
-        if self.age_s() > least_s:
-            self._ask(self._choose())
-        self._note()
-
-    def _choose(self) -> str:
-        """Return whom to ask: one that answers, and reaches the platform."""
-        sources = self._sources()
+        request_age_s = MAX_WATCHER_AGE_S if self.watching.is_watcher else 0.0
+        if self.age_s() > request_age_s:
+            self._request(self._choose_peer())
+        self._log_change()
+
+    def _choose_peer(self) -> str:
+        """Return the VM to send the next request to; empty if there is none.
+
+        A VM that answered is used again; one that did not is avoided.
+        """
+        sources = self._peer_candidates()
         if self.source in sources:
             return self.source
-        others = [vm for vm in sources if vm != self.silent]
+        others = [vm for vm in sources if vm != self.avoided_vm]
         return random.choice(others or sources or [""])
 
-    def _sources(self) -> list[str]:
-        """Return the VMs that should know.
+    def _peer_candidates(self) -> list[str]:
+        """Return the VMs that requests may be sent to.
 
-        The few that follow the platform are not asked by hundreds, but by the
-        collectors, which the others ask.
+        In a large fleet, only the collectors send requests to the watchers, and all
+        other VMs to the collectors. This bounds the requests that a watcher receives.
         """
         candidates = self.owners.candidates()
         watchers = list(self.watching.election.healthy_watchers(time.monotonic()))
-        everybody = collectors.are_few(self.membership.near())
-        if everybody or self.name in candidates:
+        few_vms = collectors.are_few(self.membership.near())
+        if few_vms or self.name in candidates:
             return watchers or [vm for vm in candidates if vm != self.name]
         return candidates
 
-    def _ask(self, vm: str) -> None:
-        self.source, self.silent = "", vm
+    def _request(self, vm: str) -> None:
+        self.source, self.avoided_vm = "", vm
         if not vm:
             return
         if not self.peers.linked(vm):
             self.peers.open(vm)
             return
-        sent = suspension.now()
-        match self.peers.call(vm, AskFreshness(), REPLY_S):
-            case result.Ok(Fresh(version, age_s)):
-                self.reached_at = suspension.now()
-                self._take(vm, version, sent - age_s)
-
-    def _take(self, vm: str, version: int, as_of: float) -> None:
-        """Take what a VM told.
-
-        What was the newest there proves nothing of an older one here. A newer one
-        here was written after that moment, and was the newest since.
+        sent_at = suspension.now()
+        match self.peers.call(vm, FreshnessRequest(), REPLY_TIMEOUT_S):
+            case result.Ok(FreshnessReply(version, age_s)):
+                self.peer_reached_at = suspension.now()
+                self._apply_reply(vm, version, sent_at - age_s)
+
+    def _apply_reply(self, vm: str, version: int, as_of: float) -> None:
+        """Apply the reply of a peer.
+
+        A newer version on the peer proves nothing about an older one here. If this
+        VM's version is newer than the peer's, it was written after the given time, so
+        that no newer one existed then.
         """
-        if version <= self.declarations.version and as_of > self.told_as_of:
-            self.told_as_of = as_of
-            self.source, self.silent = vm, ""
+        if version <= self.declarations.version and as_of > self.peer_as_of:
+            self.peer_as_of = as_of
+            self.source, self.avoided_vm = vm, ""
 
-    def _serve(self, _: str, __: AskFreshness, answer: peers.Answer) -> None:
-        answer(Fresh(self.declarations.version, self.age_s()))
+    def _serve_request(
+        self, _: str, __: FreshnessRequest, answer: peers.Answer
+    ) -> None:
+        answer(FreshnessReply(self.declarations.version, self.age_s()))
 
-    def _note(self) -> None:
-        """Log when callers with keys begin to be refused, and when no longer."""
+    def _log_change(self) -> None:
+        """Log when keys start to be refused, and when they are honoured again."""
         proven = self.holds()
         if proven != self.proven:
             self.proven = proven
--- a/packages/mothworks_gateway/tests/test_freshness.py
+++ b/packages/mothworks_gateway/tests/test_freshness.py
@@ -1,7 +1,7 @@
-"""Freshness: a key that was taken away works nowhere once its bound has passed.
+"""Freshness: a revoked key works nowhere after the time bound for revocations.
 
-The pattern is a VM that cannot hear of the change: cut off, suspended, turned away by
-the platform, or told by others that are.
+The tests model a VM that can't learn of the revocation: it is partitioned, suspended or
+rejected by the platform, or it only reaches VMs that are.
 """
 
 import types
@@ -30,7 +30,7 @@
 
 
 class Platform:
-    """The platform's declaration, and how calls to it fare.
+    """A fake platform with one declaration and adjustable delays.
 
     :param clock: the test's clock.
     """
@@ -39,34 +39,34 @@
         self.clock = clock
         self.version = 1
         #: When each version was acknowledged to the operator.
-        self.acked_at_by_version = {1: clock.now}
-        self.there_s = 0.0
-        self.back_s = 0.0
+        self.acknowledged_at_by_version = {1: clock.now}
+        self.request_delay_s = 0.0
+        self.reply_delay_s = 0.0
         self.answers = True
 
     def declare(self):
         self.version += 1
-        self.acked_at_by_version[self.version] = self.clock.now
+        self.acknowledged_at_by_version[self.version] = self.clock.now
 
     def read(self):
-        self.clock.advance(self.there_s)
+        self.clock.advance(self.request_delay_s)
         version = self.version
-        self.clock.advance(self.back_s)
+        self.clock.advance(self.reply_delay_s)
         if not self.answers:
             return result.Err(adapters.FeedDown("silent"))
         return result.Ok(adapters.Listing(version, {"main": b"%d" % version}))
 
 
 class Link:
-    """Carries one VM's questions to others, slowly where asked to."""
+    """Delivers one VM's requests to others, with adjustable delays."""
 
     def __init__(self, clock):
         self.clock = clock
         self.vm_by_name = {}
-        self.there_s = 0.0
-        self.back_s = 0.0
+        self.request_delay_s = 0.0
+        self.reply_delay_s = 0.0
         self.up = True
-        self.asked = 0
+        self.requests_sent = 0
 
     def handle(self, *_):
         pass
@@ -75,15 +75,15 @@
         return True
 
     def call(self, name, message, _):
-        self.asked += 1
-        self.clock.advance(self.there_s)
-        told = []
+        self.requests_sent += 1
+        self.clock.advance(self.request_delay_s)
+        replies = []
         if self.up:
-            self.vm_by_name[name].freshness._serve("", message, told.append)
-        self.clock.advance(self.back_s)
-        if not told:
+            self.vm_by_name[name].freshness._serve_request("", message, replies.append)
+        self.clock.advance(self.reply_delay_s)
+        if not replies:
             return result.Err(peers.PeerFailure(name, "no reply in time", True))
-        return result.Ok(told[0])
+        return result.Ok(replies[0])
 
 
 class Vm:
@@ -91,7 +91,7 @@
 
     :param name: its name.
     :param platform: the platform.
-    :param link: carries its questions.
+    :param link: delivers its requests.
     :param names: all VMs.
     """
 
@@ -103,16 +103,16 @@
             current=types.SimpleNamespace(accounts=object()),
         )
         self.follower = feeding.Follower(
-            "declarations", platform, self.take, lambda changes: None
+            "declarations", platform, self.apply_listing, lambda changes: None
         )
         near = [
             types.SimpleNamespace(name=vm, leaving=False) for vm in names if vm != name
         ]
-        view = types.SimpleNamespace(near=lambda: near, on_change=[])
+        node_membership = types.SimpleNamespace(near=lambda: near, on_change=[])
         election = types.SimpleNamespace(healthy_watchers=lambda now: {"watcher": None})
         kernel = gateway_builders.Kernel(
             {
-                membership.Membership: view,
+                membership.Membership: node_membership,
                 peers.Peers: link,
                 declarations.Declarations: self.declarations,
                 feeding.Feeding: types.SimpleNamespace(
@@ -131,7 +131,7 @@
         self.freshness = freshness.Freshness(kernel)
         link.vm_by_name[name] = self
 
-    def take(self, listing):
+    def apply_listing(self, listing):
         version = int(listing.document_by_name["main"])
         self.declarations.version = max(version, self.declarations.version)
 
@@ -140,7 +140,7 @@
 
 
 class Pair:
-    """A VM that follows the platform, and one that asks it."""
+    """A VM that follows the platform, and one that requests freshness from it."""
 
     def __init__(self, monkeypatch):
         self.clock = virtual_time.Clock(monkeypatch, freshness, feeding)
@@ -150,10 +150,10 @@
         self.watcher = Vm("watcher", self.platform, self.link, names, is_watcher=True)
         self.follower = Vm("follower", self.platform, self.link, names)
         self.watcher.poll()
-        self.follower.take(adapters.Listing(1, {"main": b"1"}))
+        self.follower.apply_listing(adapters.Listing(1, {"main": b"1"}))
 
-    def pass_on(self):
-        self.follower.freshness._look()
+    def check_follower(self):
+        self.follower.freshness._check()
 
 
 @pytest.fixture
@@ -161,92 +161,92 @@
     return Pair(monkeypatch)
 
 
-def test_keys_are_honoured_while_others_watch(pair):
+def test_keys_are_honoured_while_a_watcher_polls(pair):
     for _ in range(40):
         pair.clock.advance(0.4)
         pair.watcher.poll()
-        pair.pass_on()
+        pair.check_follower()
         assert pair.follower.freshness.holds()
     assert pair.follower.follower.as_of < 0
 
 
-def test_a_vm_that_is_cut_off_stops_to_honour_keys(pair):
-    # A machine is cut off; meanwhile the operator takes a key away. The machine hears
-    # of nothing, and went on to serve the key for as long as the cut lasted.
-    pair.pass_on()
+def test_a_partitioned_vm_stops_honouring_keys(pair):
+    # The operator revokes a key while a VM is partitioned. The VM does not learn of it,
+    # and honoured the key for as long as the partition lasted.
+    pair.check_follower()
     pair.link.up = False
     pair.platform.declare()
     for _ in range(12):
         pair.clock.advance(0.4)
-        pair.pass_on()
-    assert pair.clock.now - pair.platform.acked_at_by_version[2] < REVOKE_S
+        pair.check_follower()
+    assert pair.clock.now - pair.platform.acknowledged_at_by_version[2] < REVOKE_S
     assert not pair.follower.freshness.holds()
 
 
-def test_a_vm_that_was_suspended_honours_no_key(pair):
-    # The steady clock says that nothing happened for ten seconds.
-    pair.pass_on()
+def test_a_vm_honours_no_keys_after_a_suspension(pair):
+    # The monotonic clock does not count the 10 s of the suspension.
+    pair.check_follower()
     pair.clock.suspend(10.0)
     assert not pair.follower.freshness.holds()
 
 
-def test_an_answer_that_lay_in_a_socket_is_as_old_as_its_question(pair):
-    # A VM asks, is frozen for ten seconds, wakes, and reads the answer of before.
-    # Taken as news, it let a key work that was taken away nine seconds ago.
-    pair.link.back_s = 10.0
-    pair.pass_on()
+def test_a_reply_delayed_in_a_socket_is_as_old_as_its_request(pair):
+    # A VM sends a request, is suspended for 10 s, resumes, and reads the old reply.
+    # Treated as current, the reply let a key work that was revoked 9 s ago.
+    pair.link.reply_delay_s = 10.0
+    pair.check_follower()
     assert not pair.follower.freshness.holds()
 
 
-def test_what_a_peer_knows_is_as_old_as_its_own_proof(pair):
+def test_a_reply_includes_the_age_on_the_peer(pair):
     pair.clock.advance(3.0)
-    pair.pass_on()
+    pair.check_follower()
     assert pair.follower.freshness.age_s() == pytest.approx(3.0)
 
 
-def test_an_answer_of_the_platform_is_as_old_as_its_question(pair):
-    # A poll hangs for six seconds on a slow connection. When in this time the
-    # platform looked is not known.
+def test_a_platform_answer_is_as_old_as_its_request(pair):
+    # A poll takes 6 s on a slow connection. It is not known when within this time the
+    # platform read its state.
     pair.clock.advance(10.0)
-    pair.platform.back_s = 6.0
+    pair.platform.reply_delay_s = 6.0
     pair.watcher.poll()
     assert not pair.watcher.freshness.holds()
 
 
-def test_a_newer_version_elsewhere_proves_nothing_here(pair):
+def test_a_newer_version_on_a_peer_proves_nothing(pair):
     pair.clock.advance(10.0)
     pair.platform.declare()
     pair.watcher.poll()
-    pair.pass_on()
+    pair.check_follower()
     assert not pair.follower.freshness.holds()
 
 
-def test_a_document_that_is_not_understood_ends_the_proof(pair):
-    # The newest declaration can't be read; the one in force is not the newest.
+def test_an_unreadable_document_ends_the_proof(pair):
+    # The newest declaration can't be decoded, so the one in force is not the newest.
     pair.watcher.poll()
     pair.watcher.declarations.readable = False
     assert not pair.watcher.freshness.holds()
-    pair.pass_on()
+    pair.check_follower()
     assert not pair.follower.freshness.holds()
 
 
-def test_a_vm_alone_in_a_cut_takes_no_connections_and_all_together_do(pair):
-    # Callers of one VM that is cut off are better off at another one; if the platform
-    # is down for all, leaving the balancer would only close the house.
+def test_a_partition_of_one_vm_differs_from_a_platform_outage(pair):
+    # A VM that is partitioned alone must leave the balancer, so that callers reach
+    # other VMs. If the platform is down for all VMs, leaving would only stop service.
     pair.clock.advance(10.0)
-    pair.pass_on()
+    pair.check_follower()
     assert pair.follower.freshness.shared_by_all()
     pair.link.up = False
     for _ in range(8):
         pair.clock.advance(0.4)
-        pair.pass_on()
+        pair.check_follower()
     assert not pair.follower.freshness.shared_by_all()
 
 
-def test_a_vm_that_lost_all_others_knows_that_it_is_cut_off(pair):
-    # Membership has taken the others for dead. To the VM it looks as if it were the
-    # only one, and its callers stayed with it, in vain.
-    pair.pass_on()
+def test_a_vm_that_lost_all_peers_counts_as_partitioned(pair):
+    # Membership has declared the peers dead, so that the VM seems to be the only one.
+    # It stayed in the balancer, although it refused its callers.
+    pair.check_follower()
     pair.link.up = False
     fleet = pair.follower.freshness.fleet
     fleet.membership.near()[:] = range(2)
@@ -254,21 +254,21 @@
     fleet.membership.near().clear()
     fleet._count()
     pair.clock.advance(10.0)
-    pair.pass_on()
+    pair.check_follower()
     assert not pair.follower.freshness.shared_by_all()
 
 
-def test_a_deployment_without_accounts_asks_nobody(pair):
+def test_a_deployment_without_accounts_sends_no_requests(pair):
     pair.follower.declarations.current.accounts = None
-    pair.pass_on()
-    assert pair.link.asked == 0
+    pair.check_follower()
+    assert pair.link.requests_sent == 0
 
 
 SECONDS = st.sampled_from([0.0, 0.01, 0.3, 0.9, 2.0, 7.0])
 
 
 class Revocation(hypothesis.stateful.RuleBasedStateMachine):
-    """Declarations, polls, questions, suspensions and delays in any order."""
+    """Declarations, polls, requests, suspensions and delays in any order."""
 
     def __init__(self):
         super().__init__()
@@ -290,32 +290,48 @@
     def declare(self):
         self.pair.platform.declare()
 
-    @hypothesis.stateful.rule(there=SECONDS, back=SECONDS, answers=st.booleans())
-    def poll(self, there, back, answers):
+    @hypothesis.stateful.rule(
+        request_delay=SECONDS, reply_delay=SECONDS, answers=st.booleans()
+    )
+    def poll(self, request_delay, reply_delay, answers):
         platform = self.pair.platform
-        platform.there_s, platform.back_s, platform.answers = there, back, answers
+        platform.request_delay_s, platform.reply_delay_s, platform.answers = (
+            request_delay,
+            reply_delay,
+            answers,
+        )
         self.pair.watcher.poll()
 
-    @hypothesis.stateful.rule(there=SECONDS, back=SECONDS, up=st.booleans())
-    def ask(self, there, back, up):
+    @hypothesis.stateful.rule(
+        request_delay=SECONDS, reply_delay=SECONDS, up=st.booleans()
+    )
+    def request(self, request_delay, reply_delay, up):
         link = self.pair.link
-        link.there_s, link.back_s, link.up = there, back, up
-        self.pair.pass_on()
+        link.request_delay_s, link.reply_delay_s, link.up = (
+            request_delay,
+            reply_delay,
+            up,
+        )
+        self.pair.check_follower()
 
     @hypothesis.stateful.rule()
-    def tell_version(self):
-        """Let the follower learn the watcher's version, without any proof."""
+    def publish_version(self):
+        """Give the follower the watcher's version without proof of its age."""
         version = self.pair.watcher.declarations.version
-        self.pair.follower.take(adapters.Listing(version, {"main": b"%d" % version}))
+        self.pair.follower.apply_listing(
+            adapters.Listing(version, {"main": b"%d" % version})
+        )
 
     @hypothesis.stateful.invariant()
     def no_key_outlives_its_bound(self):
         now = self.pair.clock.now
         for vm in (self.pair.watcher, self.pair.follower):
             later = vm.declarations.version + 1
-            acked_at = self.pair.platform.acked_at_by_version.get(later, now)
+            acknowledged_at = self.pair.platform.acknowledged_at_by_version.get(
+                later, now
+            )
             if vm.freshness.holds():
-                assert now - acked_at <= REVOKE_S
+                assert now - acknowledged_at <= REVOKE_S
 
 
 TestRevocation = Revocation.TestCase
