--- a/packages/mothworks_gateway/src/mothworks_gateway/registry.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/registry.py
@@ -1,12 +1,12 @@
-"""The registry: endpoints that this VM believes in, by id.
+"""The registry: the endpoints that this VM knows, by id.
 
-Endpoints enter themselves in the platform's registry. What this VM learns by
-itself (an endpoint that says it is leaving, an address that answers as
-another one) counts at once, since the platform's word may come late.
+Endpoints register themselves with the platform. What this VM observes itself (an
+endpoint that reports that it is leaving, an address at which another endpoint answers)
+takes effect immediately, since the platform's changes may arrive late.
 
-An endpoint may start again under its name. It then holds and knows nothing of
-before, so each of its incarnations is an endpoint of its own here, with its own
-id: whatever is kept by id ends with the incarnation that it was learnt from.
+An endpoint may restart under its name, and then has none of its former state. Each
+incarnation is therefore a separate endpoint here with its own id, so that state stored
+by id is never applied to a later incarnation.
 """
 
 import collections.abc
@@ -22,20 +22,21 @@
 
 @attrs.frozen
 class Entry:
-    """What an endpoint says of itself.
+    """An endpoint's own entry in the platform's registry.
 
     :param name: its name on the platform.
     :param service: the service that it belongs to.
     :param address: IP number and port.
     :param data_centre: where it runs.
-    :param places: requests that it runs at a time.
-    :param leaving: it takes no new work soon.
-    :param left_s: time until it is gone, where it says so, seconds.
-    :param adapters_by_model: what it holds; None for a plain service.
-    :param in_host_memory: models whose weights its host memory keeps.
-    :param on_disk: models whose weights its disk keeps.
-    :param born: when it started, Unix time in milliseconds; 0 where it does not
-        say. Tells its incarnations apart.
+    :param places: requests that it runs concurrently.
+    :param leaving: whether it is shutting down and must get no new requests.
+    :param left_s: time until it shuts down, seconds; None if unknown.
+    :param adapters_by_model: its loaded models and their adapters; None for a plain
+        service.
+    :param in_host_memory: models whose weights are in its host memory.
+    :param on_disk: models whose weights are on its disk.
+    :param born: when it started, Unix time in milliseconds; 0 if unknown. It
+        distinguishes the endpoint's incarnations.
     """
 
     name: str
@@ -52,7 +53,7 @@
 
     @property
     def id(self) -> str:
-        """Return what names this incarnation among all endpoints."""
+        """Return the unique id of this incarnation."""
         return f"{self.name}@{self.born}" if self.born else self.name
 
 
@@ -61,11 +62,11 @@
     """An endpoint and what this VM knows of it.
 
     :param entry: the newest entry.
-    :param document: the entry as the platform spells it, for peers.
-    :param adapters_by_model: what it is believed to hold now.
-    :param dismissed: why it gets no new work, learnt by this VM; or empty.
-    :param lapsed_until: monotonic time until which it is used although its entry
-        vanished, or None.
+    :param document: the platform's document of the entry, for peers.
+    :param adapters_by_model: the models and adapters assumed to be loaded now.
+    :param dismissed: why this VM sends it no new requests; empty if it does.
+    :param lapsed_until: monotonic time until which it stays in use although its entry
+        is missing; None while the entry exists.
     """
 
     entry: Entry
@@ -76,19 +77,19 @@
 
     @property
     def id(self) -> str:
-        """Return its id."""
+        """Return the id of this incarnation."""
         return self.entry.id
 
     @property
     def open(self) -> bool:
-        """Return whether it takes new work."""
+        """Return whether it accepts new requests."""
         return not (self.entry.leaving or self.dismissed)
 
     def holds(self, model: str, adapter: str) -> bool:
-        """Return whether a request for a model can run there now.
+        """Return whether a model and its adapter are loaded.
 
-        :param model: the model; empty for a plain service.
-        :param adapter: its adapter, or empty.
+        :param model: the model; empty for a plain service, which needs none.
+        :param adapter: the adapter; empty for none.
         """
         if not model:
             return True
@@ -97,21 +98,21 @@
 
 
 class Registry:
-    """All endpoints, and who is notified of changes."""
+    """All known endpoints; notifies of changes."""
 
     def __init__(self):
         self.by_id: dict[str, Endpoint] = {}
         #: The id of the newest incarnation of each endpoint.
         self.id_by_name: dict[str, str] = {}
-        #: The platform's revision that this view is as new as.
+        #: The platform's revision up to which the registry is complete.
         self.cursor = 0
         #: Functions to call after a change, without arguments.
         self.on_change: list[collections.abc.Callable[[], None]] = []
 
     def of_service(self, service: str) -> list[Endpoint]:
-        """Return the open endpoints of a service.
+        """Return the endpoints of a service that accept new requests.
 
-        :param service: its name.
+        :param service: the service's name.
         """
         return [
             item
@@ -120,32 +121,32 @@
         ]
 
     def put(self, entry: Entry, document: bytes) -> None:
-        """Take a new or changed entry.
+        """Add or update an entry.
 
-        :param entry: what the endpoint says now.
-        :param document: the entry as the platform spells it.
+        :param entry: the endpoint's entry.
+        :param document: the platform's document of the entry.
         """
-        known = self.named(entry.name)
-        if known is not None and entry.born < known.entry.born:
-            # Written before the endpoint started again, and late on its way.
-            self._say(entry, "older incarnation, left out")
+        endpoint = self.named(entry.name)
+        if endpoint is not None and entry.born < endpoint.entry.born:
+            # Written before the endpoint restarted, and arrived late.
+            self._log(entry, "older incarnation, left out")
             return
-        if known is not None and entry.born > known.entry.born:
-            self._forget(known, "started again")
-            known = None
-        if known is None:
+        if endpoint is not None and entry.born > endpoint.entry.born:
+            self._remove(endpoint, "started again")
+            endpoint = None
+        if endpoint is None:
             self._add(entry, document)
             return
-        before = known.entry
-        known.entry = entry
-        known.document = document
-        known.lapsed_until = None
-        self._merge_holdings(known, before, entry)
-        if before.leaving != entry.leaving:
-            self._say(entry, "leaves" if entry.leaving else "stays")
+        previous = endpoint.entry
+        endpoint.entry = entry
+        endpoint.document = document
+        endpoint.lapsed_until = None
+        self._update_models(endpoint, previous, entry)
+        if previous.leaving != entry.leaving:
+            self._log(entry, "leaves" if entry.leaving else "stays")
 
     def named(self, name: str) -> Endpoint | None:
-        """Return the newest incarnation of an endpoint, if it is known.
+        """Return the newest incarnation of an endpoint; None if it is unknown.
 
         :param name: its name on the platform.
         """
@@ -157,88 +158,88 @@
         suspect_until: float = 0.0,
         reason: str = "lapsed during an outage",
     ) -> None:
-        """Take note that an entry vanished.
+        """Remove the endpoint of a missing entry, or mark it as lapsed.
 
-        :param name: whose.
-        :param suspect_until: monotonic time until which the endpoint may live
-            although its entry is missing.
-        :param reason: why that is uncertain, for the log.
+        :param name: the endpoint's name.
+        :param suspect_until: monotonic time until which the endpoint may be running
+            although its entry is missing; it stays in use until then.
+        :param reason: why it may be running, for the log.
         """
-        known = self.named(name)
-        if known is None:
+        endpoint = self.named(name)
+        if endpoint is None:
             return
         if time.monotonic() < suspect_until:
-            if known.lapsed_until is None:
-                self._say(known.entry, reason)
-            known.lapsed_until = suspect_until
+            if endpoint.lapsed_until is None:
+                self._log(endpoint.entry, reason)
+            endpoint.lapsed_until = suspect_until
             return
-        self._forget(known, "removed")
+        self._remove(endpoint, "removed")
 
     def restarted(self, endpoint: Endpoint, born: int) -> None:
-        """Take note that an endpoint told this VM of a newer start.
+        """Record a restart that an endpoint reported to this VM.
 
-        Its entry may say so seconds later, and not at all while the platform is
-        away. Until then it is taken to hold nothing.
+        Its new entry may arrive seconds later, or not at all while the platform is
+        down. Until then, no model is assumed to be loaded.
 
-        :param endpoint: the incarnation that was known.
-        :param born: when the newer one started; see :class:`Entry`.
+        :param endpoint: the previous incarnation.
+        :param born: when the new one started; see :class:`Entry`.
         """
         if self.named(endpoint.entry.name) is endpoint and born > endpoint.entry.born:
-            empty = attrs.evolve(endpoint.entry, born=born, adapters_by_model={})
-            self.put(empty, endpoint.document)
+            new_entry = attrs.evolve(endpoint.entry, born=born, adapters_by_model={})
+            self.put(new_entry, endpoint.document)
             self.changed()
 
     def expire(self) -> None:
-        """Remove endpoints whose entries lapsed and did not come back."""
+        """Remove endpoints whose lapsed entries did not return in time."""
         now = time.monotonic()
         for item in list(self.by_id.values()):
             if item.lapsed_until is not None and now > item.lapsed_until:
-                self._forget(item, "removed")
+                self._remove(item, "removed")
                 self.changed()
 
     def dismiss(self, endpoint: Endpoint, reason: str) -> None:
-        """Give an endpoint no new work, because of what it did itself.
+        """Exclude an endpoint from new requests because of its own behaviour.
 
         :param endpoint: the endpoint.
-        :param reason: what it did.
+        :param reason: the observed behaviour.
         """
         if not endpoint.dismissed:
             endpoint.dismissed = reason
-            self._say(endpoint.entry, f"dismissed: {reason}")
+            self._log(endpoint.entry, f"dismissed: {reason}")
             self.changed()
 
     def changed(self) -> None:
-        """Tell everybody who wants to know that something changed."""
+        """Call the :attr:`on_change` callbacks."""
         for notify in self.on_change:
             notify()
 
     def _add(self, entry: Entry, document: bytes) -> None:
-        held = dict(entry.adapters_by_model or {})
-        self.by_id[entry.id] = Endpoint(entry, document, held)
+        adapters_by_model = dict(entry.adapters_by_model or {})
+        self.by_id[entry.id] = Endpoint(entry, document, adapters_by_model)
         self.id_by_name[entry.name] = entry.id
-        self._say(entry, "appeared")
+        self._log(entry, "appeared")
 
-    def _forget(self, known: Endpoint, what: str) -> None:
-        del self.by_id[known.id]
-        del self.id_by_name[known.entry.name]
-        self._say(known.entry, what)
+    def _remove(self, endpoint: Endpoint, outcome: str) -> None:
+        del self.by_id[endpoint.id]
+        del self.id_by_name[endpoint.entry.name]
+        self._log(endpoint.entry, outcome)
 
-    def _merge_holdings(self, known: Endpoint, before: Entry, entry: Entry) -> None:
-        """Take over which models came and went; adapters come from orders.
+    def _update_models(self, endpoint: Endpoint, previous: Entry, entry: Entry) -> None:
+        """Update the loaded models from a new entry, but not adapters of known models.
 
-        Entries say nothing when an adapter was loaded or dropped, so the
-        adapters in them may be old; only for a model that is new to the
-        entry are they all that is known.
+        Loading or unloading an adapter does not change an entry, so its adapters may be
+        outdated. They are only used for a model that is new in the entry; otherwise
+        adapters are tracked through orders.
         """
-        old = before.adapters_by_model or {}
-        new = entry.adapters_by_model or {}
-        for name in old.keys() - new.keys():
-            known.adapters_by_model.pop(name, None)
-        for name in new.keys() - old.keys():
-            held = known.adapters_by_model.get(name, frozenset())
-            known.adapters_by_model[name] = held | new[name]
-
-    def _say(self, entry: Entry, what: str) -> None:
+        old_models = previous.adapters_by_model or {}
+        new_models = entry.adapters_by_model or {}
+        for name in old_models.keys() - new_models.keys():
+            endpoint.adapters_by_model.pop(name, None)
+        for name in new_models.keys() - old_models.keys():
+            adapters = endpoint.adapters_by_model.get(name, frozenset())
+            endpoint.adapters_by_model[name] = adapters | new_models[name]
+
+    def _log(self, entry: Entry, outcome: str) -> None:
         logs.event(
             log,
             "endpoint",
@@ -249,5 +250,5 @@
             holds=sorted(entry.adapters_by_model or ()),
             in_host_memory=len(entry.in_host_memory),
             on_disk=len(entry.on_disk),
-            outcome=what,
+            outcome=outcome,
         )
--- a/packages/mothworks_gateway/tests/test_registry.py
+++ b/packages/mothworks_gateway/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry: entries that come, lapse and go."""
+"""The registry: entries that are added, lapse and are removed."""
 
 import time
 
@@ -9,11 +9,11 @@
 from mothworks import logs
 from mothworks_gateway import registry
 
-LATER = 10.0
+SUSPECT_S = 10.0
 
 
 @pytest.fixture
-def said(monkeypatch):
+def logged_outcomes(monkeypatch):
     outcomes = []
     monkeypatch.setattr(
         logs, "event", lambda *_, **fields: outcomes.append(fields["outcome"])
@@ -22,77 +22,81 @@
 
 
 @pytest.fixture
-def view():
+def endpoints():
     made = registry.Registry()
     made.put(gateway_builders.endpoint("i-1").entry, b"")
     return made
 
 
-def test_an_entry_that_lapses_during_an_outage_is_said_once(view, said):
-    # The store drops and resets a VM for nine seconds. Each list that it reads
-    # meanwhile lacks the same entry, and each was a line in its log.
+def test_an_entry_that_lapses_during_an_outage_is_logged_once(
+    endpoints, logged_outcomes
+):
+    # The platform's store drops and resets a VM's connections for 9 s. Each listing
+    # that the VM reads meanwhile lacks the same entry, and each one was logged.
     for _ in range(4):
-        view.remove("i-1", time.monotonic() + LATER)
-    assert said == ["lapsed during an outage"]
-    assert view.by_id["i-1"].open
+        endpoints.remove("i-1", time.monotonic() + SUSPECT_S)
+    assert logged_outcomes == ["lapsed during an outage"]
+    assert endpoints.by_id["i-1"].open
 
 
-def test_an_entry_that_lapsed_and_is_back_may_lapse_again(view, said):
-    entry = view.by_id["i-1"].entry
-    view.remove("i-1", time.monotonic() + LATER)
-    view.put(entry, b"")
-    view.expire()
-    assert "i-1" in view.by_id
-    view.remove("i-1", time.monotonic() + LATER)
-    assert said.count("lapsed during an outage") == 2
+def test_a_lapsed_entry_that_returned_may_lapse_again(endpoints, logged_outcomes):
+    entry = endpoints.by_id["i-1"].entry
+    endpoints.remove("i-1", time.monotonic() + SUSPECT_S)
+    endpoints.put(entry, b"")
+    endpoints.expire()
+    assert "i-1" in endpoints.by_id
+    endpoints.remove("i-1", time.monotonic() + SUSPECT_S)
+    assert logged_outcomes.count("lapsed during an outage") == 2
 
 
-def test_an_entry_that_does_not_come_back_is_removed(view, said):
-    view.remove("i-1", time.monotonic() + 0.01)
+def test_a_lapsed_entry_that_does_not_return_is_removed(endpoints, logged_outcomes):
+    endpoints.remove("i-1", time.monotonic() + 0.01)
     time.sleep(0.02)
-    view.expire()
-    assert "i-1" not in view.by_id
-    assert said[-1] == "removed"
+    endpoints.expire()
+    assert "i-1" not in endpoints.by_id
+    assert logged_outcomes[-1] == "removed"
 
 
-def test_an_endpoint_that_says_it_leaves_gets_no_new_work(view, said):
-    entry = view.by_id["i-1"].entry
-    view.put(attrs.evolve(entry, leaving=True), b"")
-    assert not view.by_id["i-1"].open
-    assert view.of_service("s") == []
-    assert said == ["leaves"]
+def test_a_leaving_endpoint_gets_no_new_requests(endpoints, logged_outcomes):
+    entry = endpoints.by_id["i-1"].entry
+    endpoints.put(attrs.evolve(entry, leaving=True), b"")
+    assert not endpoints.by_id["i-1"].open
+    assert endpoints.of_service("s") == []
+    assert logged_outcomes == ["leaves"]
 
 
-def test_an_endpoint_that_starts_again_is_another_one(view, said):
-    # An endpoint crashes and is back under its name, empty. What was known of
-    # the former incarnation, that a VM no longer sends to it and which models
-    # it held, must not count for the new one.
+def test_a_restarted_endpoint_is_a_new_endpoint(endpoints, logged_outcomes):
+    # An endpoint crashes and restarts under its name with no model loaded. The state of
+    # the previous incarnation (that it was excluded, and its loaded models) must not
+    # apply to the new one.
     entry = gateway_builders.endpoint("i-2", models=("m",)).entry
-    view.put(attrs.evolve(entry, born=5), b"")
-    before = view.named("i-2")
-    view.dismiss(before, "its address is another's")
-    view.put(attrs.evolve(entry, born=9, adapters_by_model={}), b"")
-    now = view.named("i-2")
-    assert now.open and now.id != before.id
-    assert not now.holds("m", "")
-    assert before.id not in view.by_id
-    assert said[-2:] == ["started again", "appeared"]
-
-
-def test_an_entry_of_an_older_incarnation_changes_nothing(view, said):
+    endpoints.put(attrs.evolve(entry, born=5), b"")
+    previous = endpoints.named("i-2")
+    endpoints.dismiss(previous, "its address is another's")
+    endpoints.put(attrs.evolve(entry, born=9, adapters_by_model={}), b"")
+    restarted = endpoints.named("i-2")
+    assert restarted.open and restarted.id != previous.id
+    assert not restarted.holds("m", "")
+    assert previous.id not in endpoints.by_id
+    assert logged_outcomes[-2:] == ["started again", "appeared"]
+
+
+def test_an_entry_of_an_older_incarnation_is_ignored(endpoints, logged_outcomes):
     entry = gateway_builders.endpoint("i-2").entry
-    view.put(attrs.evolve(entry, born=9), b"new")
-    view.put(attrs.evolve(entry, born=5, leaving=True), b"old")
-    assert view.named("i-2").open
-    assert view.named("i-2").document == b"new"
+    endpoints.put(attrs.evolve(entry, born=9), b"new")
+    endpoints.put(attrs.evolve(entry, born=5, leaving=True), b"old")
+    assert endpoints.named("i-2").open
+    assert endpoints.named("i-2").document == b"new"
 
 
-def test_an_endpoint_that_tells_of_its_start_itself_holds_nothing(view, said):
-    # The platform's store is away, so that its entry still shows the models of
-    # before. Its own report names a later start.
+def test_an_endpoint_that_reports_its_restart_has_no_models_loaded(
+    endpoints, logged_outcomes
+):
+    # The platform's store is down, so the entry still lists the models from before the
+    # restart. The endpoint's own report contains the later start time.
     entry = gateway_builders.endpoint("i-2", models=("m",)).entry
-    view.put(attrs.evolve(entry, born=5), b"")
-    view.restarted(view.named("i-2"), 9)
-    assert not view.named("i-2").holds("m", "")
-    view.put(attrs.evolve(entry, born=5), b"")
-    assert view.named("i-2").entry.born == 9
+    endpoints.put(attrs.evolve(entry, born=5), b"")
+    endpoints.restarted(endpoints.named("i-2"), 9)
+    assert not endpoints.named("i-2").holds("m", "")
+    endpoints.put(attrs.evolve(entry, born=5), b"")
+    assert endpoints.named("i-2").entry.born == 9
