--- a/packages/mothworks_gateway/src/mothworks_gateway/declared.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/declared.py
@@ -1,7 +1,7 @@
-"""What the operator declares: routes, services, models and limits.
+"""The types of a declaration: routes, services, models and limits.
 
-A platform adapter decodes the operator's document into these types; nothing
-else in the product knows how the document is spelled.
+A platform adapter decodes the operator's document into these types. No other module
+depends on the document's format.
 """
 
 import functools
@@ -11,16 +11,16 @@
 
 from mothworks_gateway import client_accounts
 
-#: Highest rank of urgency that endpoints tell apart; 0 is the most urgent.
+#: Highest rank of urgency that endpoints distinguish; 0 is the most urgent.
 LEAST_URGENT = 9
 
 
 @attrs.frozen
 class Share:
-    """A service that gets part of a route's requests.
+    """A service that receives a share of a route's requests.
 
     :param service: the service's name.
-    :param weight: its share, relative to the route's other weights.
+    :param weight: its share, relative to the weights of the route's other services.
     """
 
     service: str
@@ -29,23 +29,23 @@
 
 @attrs.frozen
 class Route:
-    """How requests of one host and path prefix are handled.
+    """How requests for one host and path prefix are handled.
 
-    :param name: the operator's name for it.
-    :param host: the host that callers ask for, in lower case.
-    :param prefix: how the path begins; ends with a slash.
-    :param shares: the services that run its requests.
+    :param name: the operator's name for the route.
+    :param host: the requested host, in lower case.
+    :param prefix: the path prefix; ends with a slash.
+    :param shares: the services that run its requests, with their weights.
     :param idempotent: whether a request may run more than once.
-    :param streaming: whether the answer is a stream of events.
-    :param resumable: whether a broken stream may go on at another endpoint.
-    :param timeout_s: longest time a caller is kept waiting, seconds.
-    :param objective_s: time within which an answer earns full credit, seconds.
-    :param gap_s: longest pause between events of a stream that is on time,
-        seconds; 0 for other routes.
-    :param caller_timeout_s: silence after which callers leave a stream, also before
-        its first event, seconds.
-    :param urgency: rank among routes; 0 goes first.
-    :param most_endpoints: endpoints that one request may be sent to.
+    :param streaming: whether the response is a stream of events.
+    :param resumable: whether an interrupted stream may be resumed on another endpoint.
+    :param timeout_s: longest time that a caller waits, seconds.
+    :param objective_s: latency objective for a response, seconds.
+    :param gap_s: longest pause between two events of a stream that meets its
+        objective, seconds; 0 for other routes.
+    :param caller_timeout_s: time without an event after which callers close a stream,
+        also before its first event, seconds.
+    :param urgency: rank among routes; 0 is the most urgent.
+    :param most_endpoints: maximum number of endpoints that one request is sent to.
     :param public: whether callers need no key.
     """
 
@@ -66,18 +66,18 @@
 
     @property
     def repeatable(self) -> bool:
-        """Return whether a request may be sent again after it may have run."""
+        """Return whether a request that may have run can be retried."""
         return self.resumable if self.streaming else self.idempotent
 
 
 @attrs.frozen
 class Model:
-    """A model that callers may ask for.
+    """A model that callers may request.
 
     :param name: its name.
-    :param memory_mb: accelerator memory of its weights, MB.
-    :param adapters: how many adapters it has.
-    :param adapter_mb: accelerator memory of one adapter, MB.
+    :param memory_mb: accelerator memory for its weights, MB.
+    :param adapters: number of its adapters.
+    :param adapter_mb: accelerator memory for one adapter, MB.
     :param store_s: time to load it from the weight store, seconds.
     :param disk_s: time to load it from the endpoint's disk, seconds.
     :param host_s: time to load it from the endpoint's host memory, seconds.
@@ -94,15 +94,15 @@
 
 @attrs.frozen
 class Accelerator:
-    """What one model endpoint of a service can hold and run.
-
-    :param memory_mb: memory for weights and adapters, MB.
-    :param adapter_places: most adapters that it holds at a time.
-    :param batch: requests that it runs at a time.
-    :param kv_tokens: prompt and output tokens that its cache holds.
-    :param store_loads_per_s: loads a second that the weight store allows for
-        all endpoints together.
-    :param model_by_name: the models that callers may ask for.
+    """Capacity of one model endpoint of a service.
+
+    :param memory_mb: accelerator memory for weights and adapters, MB.
+    :param adapter_places: maximum number of loaded adapters.
+    :param batch: maximum batch size, requests.
+    :param kv_tokens: capacity of its KV cache in prompt and output tokens.
+    :param store_loads_per_s: loads per second that the weight store allows for all
+        endpoints together.
+    :param model_by_name: the models that callers may request.
     """
 
     memory_mb: float
@@ -118,9 +118,9 @@
     """A group of endpoints that can serve the same requests.
 
     :param name: its name.
-    :param most_connections: connections that one endpoint accepts from all
-        VMs together.
-    :param accelerator: what its endpoints hold; None for a plain service.
+    :param most_connections: maximum number of connections that one endpoint accepts
+        from all VMs together.
+    :param accelerator: capacity of its endpoints; None for a service without models.
     """
 
     name: str
@@ -130,10 +130,10 @@
 
 @attrs.frozen
 class CallerLimits:
-    """Bounds on what callers may send.
+    """Limits on callers' requests and connections.
 
-    :param header_bytes: longest head of a request.
-    :param body_bytes: longest body.
+    :param header_bytes: longest head of a request, bytes.
+    :param body_bytes: longest body of a request, bytes.
     :param header_timeout_s: longest time for a head to arrive, seconds.
     :param idle_timeout_s: longest time between two requests, seconds.
     """
@@ -146,14 +146,14 @@
 
 @attrs.frozen(slots=False)
 class Declaration:
-    """Everything that is declared, at one version.
+    """One version of the operator's declaration.
 
-    :param version: grows with every change.
+    :param version: increases with every change.
     :param routes: all routes.
     :param service_by_name: all services.
-    :param limits: bounds on callers.
-    :param document: the operator's document as it was read, for peers.
-    :param accounts: who may call; None where callers need no keys.
+    :param limits: limits on callers.
+    :param document: the operator's document as received, for peers.
+    :param accounts: the client accounts; None if callers need no keys.
     """
 
     version: int
@@ -166,18 +166,18 @@
     @functools.cached_property
     def routes_by_host(self) -> dict[str, list[Route]]:
         """Return the routes of each host, the longest prefix first."""
-        by_host: dict[str, list[Route]] = {}
+        routes_by_host: dict[str, list[Route]] = {}
         for route in self.routes:
-            by_host.setdefault(route.host, []).append(route)
-        for routes in by_host.values():
+            routes_by_host.setdefault(route.host, []).append(route)
+        for routes in routes_by_host.values():
             routes.sort(key=lambda route: len(route.prefix), reverse=True)
-        return by_host
+        return routes_by_host
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins a path.
+        """Return the route with the longest prefix of a path; None if none matches.
 
-        :param host: the host asked for, in lower case, without a port.
-        :param path: the path as it was sent, without its query.
+        :param host: the requested host, in lower case, without a port.
+        :param path: the path as sent, without its query.
         """
         for route in self.routes_by_host.get(host, ()):
             if path.startswith(route.prefix):
