--- a/packages/mothworks_gateway/src/mothworks_gateway/broadcast.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/broadcast.py
@@ -1,14 +1,14 @@
-"""Broadcast: one message to all VMs, at a cost that grows slowly with their number.
+"""Broadcast: sends a message to all VMs through forwarders.
 
-A VM that sends each message to each other VM itself spends its processor on it:
-at 200 VMs and 40 messages a second, 8,000 sends. So it divides the others into
-groups, about as many as each has VMs, and one VM of each group passes the message
-on within it: 14 sends for the sender, 13 for each of those that pass it on. The
-groups differ from sender to sender.
+Sending each message to each VM directly costs too much processor time: at 200 VMs and
+40 messages per second, 8,000 sends per second. Instead, the sender divides the other
+VMs into about as many groups as each group has VMs, and one VM of each group forwards
+the message to the rest of it: 14 sends for the sender, 13 for each forwarder. Each
+sender uses different groups.
 
-Messages may be lost with the VM that was to pass them on, so what is published must
-also be noticed otherwise: by a version that is repeated, by the platform, or by an
-endpoint's own refusal.
+Delivery is not reliable, since messages are lost if a forwarder fails. Receivers must
+also be able to learn of published changes in another way: from a repeated version
+number, from the platform, or from an endpoint's refusal.
 """
 
 import collections.abc
@@ -26,24 +26,24 @@
 
 log = logbook.Logger("broadcast")
 
-#: Time in which messages are collected before they are sent together, seconds: a tenth
-#: of the shortest objective of usual callers. It bounds what each VM takes from one
-#: sender to 25 messages a second.
+#: Time for which messages are batched before they are sent together, seconds: a tenth
+#: of callers' usual shortest latency objective. It limits what each VM receives from
+#: one sender to 25 batches per second.
 BATCH_DELAY_S = 0.04
 
 
 @messages.message(123)
 @attrs.frozen
-class Passed:
-    """Messages of one VM, on their way to the VMs of a group.
+class ForwardedBatch:
+    """A batch of messages from one VM to the VMs of a group.
 
-    :param origin: the VM that published them.
-    :param to: the VMs to which the receiver is to pass them on.
+    :param origin: the VM that published the messages.
+    :param forward_to: the VMs that the receiver forwards the batch to.
     :param frames: the packed messages, in order.
     """
 
     origin: str
-    to: tuple[str, ...]
+    forward_to: tuple[str, ...]
     frames: tuple[bytes, ...]
 
 
@@ -60,8 +60,8 @@
         self.membership = node_kernel.get(membership.Membership)
         self.batch: list[bytes] = []
         self.groups: list[tuple[str, ...]] | None = None
-        self.membership.on_change.append(self._forget)
-        self.peers.handle(Passed, self._take)
+        self.membership.on_change.append(self._discard_groups)
+        self.peers.handle(ForwardedBatch, self._on_forwarded_batch)
 
     def publish(self, message: typing.Any) -> None:
         """Send a message to all other VMs within :data:`BATCH_DELAY_S`.
@@ -70,17 +70,17 @@
         """
         self.batch.append(messages.pack(message))
         if len(self.batch) == 1:
-            self.tasks.spawn(self._flush_soon)
+            self.tasks.spawn(self._flush_later)
 
     def publish_now(self, message: typing.Any) -> None:
-        """Send a message to all other VMs now, after those that wait.
+        """Send a message to all other VMs now, after those already batched.
 
         :param message: an instance of a registered class.
         """
         self.batch.append(messages.pack(message))
         self._flush()
 
-    def _flush_soon(self) -> None:
+    def _flush_later(self) -> None:
         gevent.sleep(BATCH_DELAY_S)
         self._flush()
 
@@ -89,30 +89,32 @@
         if not frames:
             return
         for group in self._groups():
-            first = self._first(group)
-            rest = tuple(vm for vm in group if vm != first)
-            self.peers.post(first, Passed(self.name, rest, frames))
+            forwarder = self._choose_forwarder(group)
+            others = tuple(vm for vm in group if vm != forwarder)
+            self.peers.post(forwarder, ForwardedBatch(self.name, others, frames))
 
     def _groups(self) -> list[tuple[str, ...]]:
         if self.groups is None:
-            near = [member.name for member in self.membership.near()]
-            self.groups = divide(self.name, near)
+            peer_names = [member.name for member in self.membership.near()]
+            self.groups = divide(self.name, peer_names)
         return self.groups
 
-    def _first(self, group: tuple[str, ...]) -> str:
-        """Return who is to pass messages on: one that is connected, if any.
+    def _choose_forwarder(self, group: tuple[str, ...]) -> str:
+        """Return a random forwarder of a group, a connected VM if there is one.
 
-        Another one each time, so that the loss of a VM which membership has not
-        noticed yet costs a group some messages and not all.
+        A different forwarder each time limits the messages that a group loses if one of
+        its VMs has failed and membership has not noticed yet.
         """
         linked = [vm for vm in group if self.peers.linked(vm)]
         return random.choice(linked or group)
 
-    def _take(self, _: str, passed: Passed, __: peers.Answer) -> None:
-        if passed.to:
-            self.peers.post_all(passed.to, attrs.evolve(passed, to=()))
-        for frame in passed.frames:
-            self._dispatch(passed.origin, frame)
+    def _on_forwarded_batch(
+        self, _: str, batch: ForwardedBatch, __: peers.Answer
+    ) -> None:
+        if batch.forward_to:
+            self.peers.post_all(batch.forward_to, attrs.evolve(batch, forward_to=()))
+        for frame in batch.frames:
+            self._dispatch(batch.origin, frame)
 
     def _dispatch(self, origin: str, frame: bytes) -> None:
         received = messages.unpack(msgpack.unpackb(frame))
@@ -123,28 +125,28 @@
             reason = f"no part serves {type(received[0]).__name__}"
             logs.event(log, "message", origin=origin, reason=reason, outcome="left out")
             return
-        handler(origin, received[0], _no_answer)
+        handler(origin, received[0], _ignore_reply)
 
-    def _forget(self) -> None:
-        """Divide anew, since VMs came or went."""
+    def _discard_groups(self) -> None:
+        """Discard the groups after a change of membership."""
         self.groups = None
 
 
 def divide(sender: str, vms: collections.abc.Collection[str]) -> list[tuple[str, ...]]:
-    """Return the groups in which a sender's messages are passed on.
+    """Divide VMs into the groups that a sender broadcasts to.
 
     :param sender: the VM that sends.
-    :param vms: all others.
+    :param vms: all other VMs.
 
     >>> divide("vm-1", ["vm-2", "vm-3"])
     [('vm-2',), ('vm-3',)]
     """
     if collectors.are_few(vms):
         return [(vm,) for vm in vms]
-    shuffled = sorted(vms, key=lambda vm: ownership.weight(sender, vm))
-    count = math.isqrt(len(vms))
-    return [tuple(shuffled[number::count]) for number in range(count)]
+    ranked = sorted(vms, key=lambda vm: ownership.weight(sender, vm))
+    group_count = math.isqrt(len(vms))
+    return [tuple(ranked[number::group_count]) for number in range(group_count)]
 
 
-def _no_answer(_: typing.Any) -> None:
-    """Answer nobody: a message to all VMs expects no reply."""
+def _ignore_reply(_: typing.Any) -> None:
+    """Discard a reply, since a broadcast expects none."""
--- a/packages/mothworks_gateway/tests/test_broadcast.py
+++ b/packages/mothworks_gateway/tests/test_broadcast.py
@@ -1,7 +1,7 @@
-"""Broadcast: messages reach all VMs, at a cost that hardly grows with their number.
+"""Broadcast: messages reach all VMs, at a cost that grows slowly with their number.
 
-The pattern is a holder of the lease before 59 endpoints that orders models at the
-rate at which weights are loaded: 40 messages a second for each of 194 other VMs.
+The load is that of a lease holder with 59 endpoints that orders models at the rate at
+which weights can be loaded: 40 messages per second to each of 194 other VMs.
 """
 
 import collections
@@ -15,15 +15,15 @@
 
 
 class Fleet:
-    """Some VMs, and what each of them heard."""
+    """Some VMs, and the messages that each of them received."""
 
     def __init__(self, count):
         self.names = fleet_builders.names_of(count)
         self.wire = fleet_builders.Wire()
         self.received_by_vm = collections.defaultdict(list)
-        self.part_by_vm = {name: self.make(name) for name in self.names}
+        self.part_by_vm = {name: self.make_broadcast(name) for name in self.names}
 
-    def make(self, name):
+    def make_broadcast(self, name):
         kernel = fleet_builders.kernel_of(name, self.names, self.wire)
         part = broadcast.Broadcast(kernel)
 
@@ -33,83 +33,84 @@
         part.peers.handle(poison.Broke, receive)
         return part
 
-    def publish(self, name, *words):
+    def publish(self, name, *texts):
         part = self.part_by_vm[name]
-        for word in words[:-1]:
-            part.batch.append(broadcast.messages.pack(poison.Broke(word, "i-1")))
-        part.publish_now(poison.Broke(words[-1], "i-1"))
+        for text in texts[:-1]:
+            part.batch.append(broadcast.messages.pack(poison.Broke(text, "i-1")))
+        part.publish_now(poison.Broke(texts[-1], "i-1"))
 
 
 @pytest.mark.parametrize("count", [1, 2, 17, 18, VMS])
-def test_all_others_hear_each_message_once_and_in_order(count):
+def test_all_vms_receive_each_message_once_and_in_order(count):
     fleet = Fleet(count)
     fleet.publish("vm-0", "first", "second")
     expected = [("vm-0", "first"), ("vm-0", "second")]
     assert fleet.received_by_vm == dict.fromkeys(fleet.names[1:], expected)
 
 
-def test_no_vm_sends_to_all_others():
-    # One message to each of 194 VMs took more processor time than a VM has, at 40
-    # messages a second. The square root of 194 is 14.
+def test_no_vm_sends_to_all_other_vms():
+    # At 40 messages per second, sending each to 194 VMs took more processor time than a
+    # VM has. The square root of 194 is about 14.
     fleet = Fleet(VMS)
-    fleet.publish("vm-0", "word")
+    fleet.publish("vm-0", "text")
     assert sum(fleet.wire.sent_by_vm.values()) == VMS - 1
     assert max(fleet.wire.sent_by_vm.values()) <= 14
 
 
 def test_groups_differ_by_sender():
-    # If the same few VMs passed everything on, they would carry the cost of all.
+    # If the same few VMs forwarded the messages of all senders, they would be
+    # overloaded.
     fleet = Fleet(VMS)
-    firsts = {
+    first_members = {
         group[0]
         for name in fleet.names[:20]
         for group in fleet.part_by_vm[name]._groups()
     }
-    assert len(firsts) > 100
+    assert len(first_members) > 100
 
 
-def test_a_lost_vm_costs_a_group_one_message_and_not_all():
-    # The VM that is to pass a message on was killed, and membership has not noticed.
-    # Its group misses what it was given; it must not miss each later message, too.
+def test_a_failed_forwarder_does_not_lose_all_messages_of_its_group():
+    # A VM was killed, and membership has not noticed yet. Its group misses messages
+    # that it is chosen to forward, but must not miss all later ones.
     fleet = Fleet(VMS)
     part = fleet.part_by_vm["vm-0"]
     part.peers.linked = lambda vm: True
     fleet.wire.down.add(part._groups()[0][0])
     for number in range(40):
-        fleet.publish("vm-0", f"word {number}")
-    living = set(fleet.names[1:]) - fleet.wire.down
-    assert min(len(fleet.received_by_vm[name]) for name in living) >= 30
+        fleet.publish("vm-0", f"text {number}")
+    live_vms = set(fleet.names[1:]) - fleet.wire.down
+    assert min(len(fleet.received_by_vm[name]) for name in live_vms) >= 30
 
 
-def test_vms_that_come_are_told():
+def test_new_vms_receive_messages():
     fleet = Fleet(18)
     part = fleet.part_by_vm["vm-0"]
     fleet.publish("vm-0", "before")
     part.membership.near().append(fleet_builders.member("vm-new"))
-    fleet.part_by_vm["vm-new"] = fleet.make("vm-new")
+    fleet.part_by_vm["vm-new"] = fleet.make_broadcast("vm-new")
     for notify in part.membership.on_change:
         notify()
     fleet.publish("vm-0", "after")
     assert fleet.received_by_vm["vm-new"] == [("vm-0", "after")]
 
 
-def test_a_busy_holder_sends_a_bounded_number_of_messages(monkeypatch):
-    # 70 messages a second of what endpoints hold, each sent by itself, were most of
+def test_a_busy_lease_holder_sends_a_bounded_number_of_batches(monkeypatch):
+    # Sent one by one, 70 messages per second about the models on endpoints were most of
     # what 195 VMs received.
-    now = [0.0]
-    waiting = []
+    clock = [0.0]
+    scheduled_flushes = []
     fleet = Fleet(VMS)
     part = fleet.part_by_vm["vm-0"]
-    part.tasks.spawn = lambda flush: waiting.append(
-        (now[0] + broadcast.BATCH_DELAY_S, flush)
+    part.tasks.spawn = lambda flush: scheduled_flushes.append(
+        (clock[0] + broadcast.BATCH_DELAY_S, flush)
     )
     monkeypatch.setattr(broadcast.gevent, "sleep", lambda _: None)
     for number in range(70):
-        now[0] = number / 70
-        while waiting and waiting[0][0] <= now[0]:
-            waiting.pop(0)[1]()
+        clock[0] = number / 70
+        while scheduled_flushes and scheduled_flushes[0][0] <= clock[0]:
+            scheduled_flushes.pop(0)[1]()
         part.publish(poison.Broke(str(number), "i-1"))
-    while waiting:
-        waiting.pop(0)[1]()
+    while scheduled_flushes:
+        scheduled_flushes.pop(0)[1]()
     assert len(fleet.received_by_vm["vm-77"]) == 70
     assert fleet.wire.sent_by_vm["vm-0"] <= 25 * 14
