--- a/conftest.py
+++ b/conftest.py
@@ -1,7 +1,7 @@
-"""Tests that are known to fail: listed in ``KNOWN-RED.txt``, run, and passed over.
+"""Marks the known failures listed in ``KNOWN-RED.txt`` as expected failures.
 
-Each line has five fields between ``|``: the test's id, its cause, the command and seed
-that show it, what was seen, and the open issue.
+Each line of the list has five fields separated by ``|``: the test's id, the cause, the
+command and seed that reproduce the failure, what was observed, and the open issue.
 """
 
 import pathlib
@@ -9,9 +9,9 @@
 import attrs
 import pytest
 
-LIST = pathlib.Path(__file__).parent / "KNOWN-RED.txt"
+LIST_PATH = pathlib.Path(__file__).parent / "KNOWN-RED.txt"
 #: Fields of a line.
-FIELDS = 5
+FIELD_COUNT = 5
 
 
 @attrs.frozen
@@ -19,7 +19,7 @@
     """A test that is known to fail.
 
     :param test: its id, as pytest prints it.
-    :param line: what the list says of it.
+    :param line: its line in the list.
     """
 
     test: str
@@ -27,31 +27,32 @@
 
 
 def read_list(text: str) -> list[KnownRed]:
-    """Return the tests that a list names.
+    """Parse a list of known failures.
 
     :param text: the list.
-    :raises ValueError: for a line that does not say all that is asked for.
+    :returns: its tests.
+    :raises ValueError: if a line does not have five non-empty fields.
     """
-    listed = []
+    known_failures = []
     for line in filter(None, map(str.strip, text.splitlines())):
         fields = [field.strip() for field in line.split("|")]
-        if len(fields) != FIELDS or not all(fields):
+        if len(fields) != FIELD_COUNT or not all(fields):
             raise ValueError(f"KNOWN-RED.txt: five fields are needed: {line[:80]}")
-        listed.append(KnownRed(fields[0], line))
-    return listed
+        known_failures.append(KnownRed(fields[0], line))
+    return known_failures
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the list once."""
-    text = LIST.read_text() if LIST.exists() else ""
+    """Read the list once, when pytest starts."""
+    text = LIST_PATH.read_text() if LIST_PATH.exists() else ""
     config.known_red = read_list(text)
 
 
 def pytest_collection_modifyitems(
     config: pytest.Config, items: list[pytest.Item]
 ) -> None:
-    """Pass over the failures of listed tests, and of no others."""
-    line_by_test = {known.test: known.line for known in config.known_red}
+    """Mark listed tests, and no others, as expected to fail."""
+    line_by_test = {entry.test: entry.line for entry in config.known_red}
     for item in items:
         line = line_by_test.get(item.nodeid)
         if line is not None:
@@ -59,6 +60,6 @@
 
 
 def pytest_terminal_summary(terminalreporter) -> None:
-    """Print the list, so that no run looks greener than it is."""
-    for known in terminalreporter.config.known_red:
-        terminalreporter.write_line(f"known red: {known.line}")
+    """Print the list, so that known failures stay visible in every run."""
+    for entry in terminalreporter.config.known_red:
+        terminalreporter.write_line(f"known red: {entry.line}")
--- a/packages/mothworks_gateway/tests/test_known_red.py
+++ b/packages/mothworks_gateway/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures: only whole lines count, and only the tests they name."""
+"""The list of known failures: lines must be complete, and their tests must exist."""
 
 import importlib.util
 import pathlib
@@ -16,18 +16,18 @@
     return made
 
 
-def test_each_line_names_one_test(conftest):
-    listed = conftest.read_list("a.py::test_a | why | how | what | issue 1\n\n")
-    assert [known.test for known in listed] == ["a.py::test_a"]
+def test_each_line_lists_one_test(conftest):
+    known_failures = conftest.read_list("a.py::test_a | why | how | what | issue 1\n\n")
+    assert [entry.test for entry in known_failures] == ["a.py::test_a"]
 
 
 @pytest.mark.parametrize("line", ["a.py::test_a", "a.py::test_a | | how | what | 1"])
-def test_a_line_that_says_too_little_is_refused(conftest, line):
+def test_an_incomplete_line_is_rejected(conftest, line):
     with pytest.raises(ValueError, match="five fields"):
         conftest.read_list(line)
 
 
 def test_listed_tests_exist(conftest):
-    for known in conftest.read_list(conftest.LIST.read_text()):
-        path, _, name = known.test.partition("::")
+    for entry in conftest.read_list(conftest.LIST_PATH.read_text()):
+        path, _, name = entry.test.partition("::")
         assert f"def {name.partition('[')[0]}(" in (ROOT / path).read_text()
