--- a/packages/mothworks_gateway/src/mothworks_gateway/settings.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one VM, read once at start from JSON with comments."""
+"""Settings of one VM, read from JSON with comments."""
 
 import ipaddress
 import math
@@ -9,7 +9,7 @@
 
 from mothworks import documents, settings as node_settings
 
-#: File descriptors kept for files, listeners and peers.
+#: File descriptors reserved for files, listeners and connections to peers.
 SPARE_DESCRIPTORS = 300
 
 
@@ -17,10 +17,10 @@
     host, colon, port = value.rpartition(":")
     try:
         ipaddress.ip_address(host)
-        known = colon and 0 <= int(port) <= 65535
+        valid = colon and 0 <= int(port) <= 65535
     except ValueError:
-        known = False
-    if not known:
+        valid = False
+    if not valid:
         raise ValueError(
             f"{attribute.name}: expected an IP number and a port, found {value!r}"
         )
@@ -32,9 +32,9 @@
 
 
 def split_address(value: str) -> tuple[str, int]:
-    """Return IP number and port of a checked address.
+    """Split a validated address into IP number and port.
 
-    :param value: both, with a colon between.
+    :param value: IP number and port, separated by a colon.
 
     >>> split_address("127.0.0.1:80")
     ('127.0.0.1', 80)
@@ -106,10 +106,10 @@
 
 @attrs.frozen
 class VmListSource:
-    """Which plug-in lists the VMs, and how often it is asked.
+    """The plug-in that lists the VMs, and how often the list is read.
 
     :param kind: the plug-in's key.
-    :param node: the settings of the VM that asks.
+    :param node: the settings of the VM that reads the list.
     :param poll_s: seconds between reads.
     """
 
@@ -169,15 +169,15 @@
 
     @property
     def vm_list(self) -> VmListSource:
-        """Return where the list of VMs comes from: the platform adapter."""
+        """Return the source of the list of VMs, which is the platform adapter."""
         return VmListSource(self.adapter, self)
 
 
 def load(path: pathlib.Path) -> result.Result[Settings, documents.DocumentError]:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     :param path: the file, JSON with comments.
-    :returns: the settings, or every problem found.
+    :returns: the settings, or all validation errors.
     """
     return documents.load(path).and_then(
         lambda text: documents.read(text, Settings, str(path))
--- a/packages/mothworks_gateway/tests/test_gateway_settings.py
+++ b/packages/mothworks_gateway/tests/test_gateway_settings.py
@@ -1,11 +1,11 @@
-"""Settings of the gateway: bad ones end the start with the field's name."""
+"""Settings of the gateway: an invalid field stops the start with its name."""
 
 import orjson
 import pytest
 
 from mothworks_gateway import node, settings
 
-GOOD = {
+VALID_SETTINGS = {
     "name": "vm-1",
     "address": "10.0.0.1",
     "front": "10.0.0.1:80",
@@ -18,20 +18,20 @@
 }
 
 
-def written(tmp_path, value):
+def write_settings(tmp_path, value):
     path = tmp_path / "node.json"
     path.write_bytes(orjson.dumps(value))
     return path
 
 
-def test_good_settings_are_taken(tmp_path):
-    read = settings.load(written(tmp_path, GOOD)).unwrap()
-    assert read.port == 80
-    assert read.bounds.lease_ms == 3000
+def test_valid_settings_are_loaded(tmp_path):
+    loaded = settings.load(write_settings(tmp_path, VALID_SETTINGS)).unwrap()
+    assert loaded.port == 80
+    assert loaded.bounds.lease_ms == 3000
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("override", "field_name"),
     [
         ({"front": "nowhere"}, "front"),
         ({"front": "10.0.0.1:99999"}, "front"),
@@ -44,21 +44,25 @@
         ({"unheard_of": 1}, "unheard_of"),
     ],
 )
-def test_a_wrong_field_is_named(tmp_path, change, named):
-    problem = settings.load(written(tmp_path, {**GOOD, **change})).unwrap_err()
-    assert named in str(problem)
+def test_an_invalid_field_is_named_in_the_error(tmp_path, override, field_name):
+    problem = settings.load(
+        write_settings(tmp_path, {**VALID_SETTINGS, **override})
+    ).unwrap_err()
+    assert field_name in str(problem)
 
 
-def test_a_missing_field_is_named(tmp_path, capsys):
-    lacking = {name: value for name, value in GOOD.items() if name != "region"}
-    assert node.main(str(written(tmp_path, lacking))) == node.EXIT_USAGE
+def test_a_missing_field_is_named_in_the_error(tmp_path, capsys):
+    incomplete = {
+        name: value for name, value in VALID_SETTINGS.items() if name != "region"
+    }
+    assert node.main(str(write_settings(tmp_path, incomplete))) == node.EXIT_USAGE
     printed = capsys.readouterr().err
     assert "region" in printed
     assert len(printed.splitlines()) == 1
 
 
-def test_other_numbers_are_taken_as_they_are(tmp_path):
-    # No figure of one deployment is taken for granted.
+def test_non_default_numbers_are_loaded_unchanged(tmp_path):
+    # No value of a particular deployment is hard-coded.
     bounds = {
         "retry_share": 0.05,
         "retry_window_s": 3,
@@ -70,6 +74,8 @@
         "load_factor": 0.5,
         "stop_s": 3,
     }
-    read = settings.load(written(tmp_path, {**GOOD, "bounds": bounds})).unwrap()
+    loaded = settings.load(
+        write_settings(tmp_path, {**VALID_SETTINGS, "bounds": bounds})
+    ).unwrap()
     for name, value in bounds.items():
-        assert getattr(read.bounds, name) == value
+        assert getattr(loaded.bounds, name) == value
