--- a/packages/mothworks_gateway/src/mothworks_gateway/__init__.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/__init__.py
@@ -1,6 +1,6 @@
-"""Mothworks in front of endpoints that register themselves.
+"""Mothworks for endpoints that register themselves with the platform.
 
-Every VM runs the same node. Callers' requests are matched to declared routes,
-sent to an endpoint that holds the model, and answered as the endpoint answers.
-One VM at a time, the holder of a lease, orders endpoints to load and unload.
+Every VM runs the same node. It matches callers' requests to declared routes, forwards
+each to an endpoint that has the model loaded, and returns the endpoint's response. One
+VM at a time, the lease holder, orders endpoints to load and unload models.
 """
--- a/packages/mothworks_gateway/src/mothworks_gateway/node.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/node.py
@@ -1,4 +1,4 @@
-"""The node: the one program that every VM runs."""
+"""The node: the program that runs on every VM."""
 
 import importlib
 import pathlib
@@ -35,10 +35,10 @@
 
 log = logbook.Logger("node")
 
-#: Exit code for wrong settings.
+#: Exit code for invalid settings.
 EXIT_USAGE = 2
 
-#: The parts of a node; what they need is built with them.
+#: The parts of a node. Parts that they depend on are created with them.
 PARTS = (
     ports.Ports,
     membership.Membership,
@@ -65,10 +65,10 @@
 
 
 class Node:
-    """One node, in this process.
+    """The node of this process.
 
-    :param checked: the VM's settings.
-    :param path: where they were read, to read them again on a hangup.
+    :param checked: the VM's validated settings.
+    :param path: the settings file, which is read again on SIGHUP.
     """
 
     def __init__(self, checked: settings.Settings, path: pathlib.Path | None = None):
@@ -86,20 +86,20 @@
             part.start()
 
     def shut_down(self, reason: str = "signal") -> None:
-        """Shut down gracefully: no request in flight is cut off.
+        """Shut down gracefully: requests in flight are not cancelled.
 
-        :param reason: why, for the log.
+        :param reason: the reason, for the log.
         """
         if not self.kernel.draining:
             logs.event(log, "stop", reason=reason, outcome="draining")
         self.kernel.shut_down()
 
     def run(self) -> int:
-        """Run until a signal or a broken invariant.
+        """Run until a signal or an unhandled exception in a part.
 
         :returns: the exit code; 0 after a graceful shutdown.
         """
-        chosen = self.kernel.settings
+        node_settings = self.kernel.settings
         for number in (signal.SIGTERM, signal.SIGINT):
             gevent.signal.signal(number, lambda *_: gevent.spawn(self.shut_down))
         gevent.signal.signal(signal.SIGHUP, lambda *_: gevent.spawn(self.reload))
@@ -108,8 +108,8 @@
         logs.event(
             log,
             "start",
-            front=chosen.front,
-            data_centre=chosen.data_centre,
+            front=node_settings.front,
+            data_centre=node_settings.data_centre,
             started_s=round(time.monotonic(), 3),
             outcome="serving",
         )
@@ -119,7 +119,7 @@
         return 0 if failure is None else 1
 
     def reload(self) -> None:
-        """Read the settings again; what is bound to sockets stays as it was."""
+        """Reload the settings; only seeds, bounds and logs take effect."""
         match settings.load(self.path):
             case result.Ok(read):
                 pass
@@ -127,9 +127,9 @@
                 reason = str(problem)[:200]
                 logs.event(log, "reload", reason=reason, outcome="not taken")
                 return
-        held = self.kernel.settings
+        current = self.kernel.settings
         self.kernel.settings = attrs.evolve(
-            held, seeds=read.seeds, bounds=read.bounds, logs=read.logs
+            current, seeds=read.seeds, bounds=read.bounds, logs=read.logs
         )
         self.kernel.get(vm_list.VmList).source.reload(self.kernel.settings)
         logs.event(log, "reload", reason="hangup", outcome="taken")
@@ -138,7 +138,7 @@
 def main(settings_file: str) -> int:
     """Run a node.
 
-    :param settings_file: path of the VM's settings.
+    :param settings_file: path of the VM's settings file.
     :returns: the exit code.
     """
     path = pathlib.Path(settings_file)
--- a/packages/mothworks_gateway/src/mothworks_gateway/suspension.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/suspension.py
@@ -1,12 +1,12 @@
-"""The clock for promises that must hold across a suspension of the VM.
+"""A clock for guarantees that must hold across a suspension of the VM.
 
-The usual steady clock stands still while a VM is suspended: what it calls two seconds
-ago may be minutes old to everybody else.
+The monotonic clock stops while a VM is suspended, so that an age of 2 s on it may be
+minutes for other VMs.
 """
 
 import time
 
 
 def now() -> float:
-    """Return seconds on the clock that also counts suspended time."""
+    """Return the seconds since boot, including time in suspension."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
