--- a/packages/mothworks_gateway/tests/fleet_builders.py
+++ b/packages/mothworks_gateway/tests/fleet_builders.py
@@ -1,4 +1,4 @@
-"""Builders of many VMs that tell each other messages, without network."""
+"""Builders of fleets whose VMs exchange messages in memory, without network."""
 
 import types
 
@@ -10,9 +10,11 @@
 
 
 class Wire:
-    """Carries messages between the VMs of a test, at once.
+    """An in-memory network that delivers messages between VMs synchronously.
 
-    :param down: VMs that take nothing and send nothing.
+    :param peers_by_vm: the connections of each VM.
+    :param down: VMs that neither send nor receive.
+    :param sent_by_vm: number of messages sent by each VM.
     """
 
     def __init__(self):
@@ -21,7 +23,7 @@
         self.sent_by_vm = {}
 
     def carry(self, sender, receiver, frame):
-        """Hand a packed message to its receiver, unless one of the two is down."""
+        """Deliver a packed message, unless the sender or the receiver is down."""
         self.sent_by_vm[sender] = self.sent_by_vm.get(sender, 0) + 1
         if {sender, receiver} & self.down or receiver not in self.peers_by_vm:
             return
@@ -29,10 +31,10 @@
 
 
 class Peers:
-    """Stands for one VM's connections: all of them are open.
+    """A fake :class:`peers.Peers` of one VM, connected to all VMs that are not down.
 
     :param name: the VM.
-    :param wire: what carries its messages.
+    :param wire: the network.
     :param names: all VMs.
     """
 
@@ -68,62 +70,71 @@
 
 
 def names_of(count):
-    """Return the names of some VMs."""
+    """Return the names of the first VMs of a fleet.
+
+    :param count: number of VMs.
+    """
     return [f"vm-{number}" for number in range(count)]
 
 
 def member(name):
-    """Return a VM as membership knows it."""
+    """Return a VM's member record."""
     return members.Member(name, "10.0.0.1", 7000, 80, "a", "r")
 
 
 def kernel_of(name, names, wire, parts=None):
-    """Return a kernel of one of some VMs that all know each other.
+    """Return the kernel of one VM of a fleet whose VMs all know each other.
 
     :param name: the VM.
     :param names: all VMs.
-    :param wire: what carries its messages.
+    :param wire: the network.
     :param parts: further parts, by class.
     """
     near = [member(vm) for vm in names if vm != name]
-    view = types.SimpleNamespace(near=lambda: near, on_change=[])
+    node_membership = types.SimpleNamespace(near=lambda: near, on_change=[])
     parts = {
-        membership.Membership: view,
+        membership.Membership: node_membership,
         peers.Peers: Peers(name, wire, names),
         **(parts or {}),
     }
-    made = gateway_builders.Kernel(parts)
-    made.settings = gateway_builders.make_settings(name=name)
-    return made
+    node_kernel = gateway_builders.Kernel(parts)
+    node_kernel.settings = gateway_builders.make_settings(name=name)
+    return node_kernel
 
 
 class LimitProtocol:
-    """Stands for a protocol whose answers are their limits."""
+    """A fake protocol that treats an answer as the limit it contains."""
 
     def limit(self, answer):
         return answer if isinstance(answer, result.Err) else result.Ok(answer)
 
 
 def add_limits(kernel):
-    """Give a kernel that has heartbeats and a registry what knows endpoints' limits."""
+    """Add endpoint limits to a kernel that has heartbeats and a registry.
+
+    :param kernel: the kernel.
+    :returns: the endpoint limits.
+    """
     client = types.SimpleNamespace(protocol=LimitProtocol())
     kernel.parts[endpoints_client.EndpointsClient] = client
     kernel.parts[broadcast.Broadcast] = broadcast.Broadcast(kernel)
-    made = endpoint_limits.EndpointLimits(kernel)
-    kernel.parts[endpoint_limits.EndpointLimits] = made
-    return made
+    limits = endpoint_limits.EndpointLimits(kernel)
+    kernel.parts[endpoint_limits.EndpointLimits] = limits
+    return limits
 
 
 def notice(kernel, name, names, wire):
-    """Let one VM's membership notice who is reached and who is not.
+    """Update one VM's membership to the VMs that it can reach.
 
     :param kernel: the VM's kernel.
     :param name: its name.
     :param names: all VMs.
-    :param wire: what carries messages, and says what is down or cut.
+    :param wire: the network, with the VMs and links that are down.
     """
-    others = [vm for vm in names if vm != name and vm not in wire.down]
-    view = kernel.get(membership.Membership)
-    view.near()[:] = [member(vm) for vm in others if not wire.cuts(name, vm)]
-    for notify in view.on_change:
+    live_vms = [vm for vm in names if vm != name and vm not in wire.down]
+    node_membership = kernel.get(membership.Membership)
+    node_membership.near()[:] = [
+        member(vm) for vm in live_vms if not wire.cuts(name, vm)
+    ]
+    for notify in node_membership.on_change:
         notify()
