--- a/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
@@ -65,9 +65,9 @@
 
 
 def _make_set_event() -> gevent.event.Event:
-    made = gevent.event.Event()
-    made.set()
-    return made
+    event = gevent.event.Event()
+    event.set()
+    return event
 
 
 @attrs.define(eq=False)
--- a/packages/mothworks_gateway/tests/test_feed_reports.py
+++ b/packages/mothworks_gateway/tests/test_feed_reports.py
@@ -24,9 +24,9 @@
     monkeypatch.setattr(plugins, "find", lambda *_: lambda *_: None)
     kernel = gateway_builders.Kernel({})
     kernel.parts[feeding.Feeding] = feeding.Feeding(kernel)
-    made = feed_reports.FeedReports(kernel)
-    made.feeding.add(feeding.Follower("declarations", None, None, None))
-    return made
+    part = feed_reports.FeedReports(kernel)
+    part.feeding.add(feeding.Follower("declarations", None, None, None))
+    return part
 
 
 def report(reports):
--- a/packages/mothworks_gateway/tests/test_silent_polls.py
+++ b/packages/mothworks_gateway/tests/test_silent_polls.py
@@ -75,9 +75,9 @@
 @pytest.fixture
 def follower(feed, monkeypatch):
     monkeypatch.setattr(feeding, "FIRST_POLL_DELAY_S", 0.0)
-    made = feeding.Follower("declarations", feed, lambda _: None, lambda _: None)
-    task = gevent.spawn(made.run)
-    yield made
+    follower = feeding.Follower("declarations", feed, lambda _: None, lambda _: None)
+    task = gevent.spawn(follower.run)
+    yield follower
     task.kill()
 
 
