--- a/packages/mothworks_gateway/tests/test_feed_reports.py
+++ b/packages/mothworks_gateway/tests/test_feed_reports.py
@@ -1,6 +1,4 @@
-"""What a VM reports of the platform's feeds: from logs and metrics alone, on-call
-engineers tell a view that is old from one that has not changed.
-"""
+"""Feed reports: logs and metrics distinguish a stale view from an unchanged one."""
 
 import types
 
@@ -12,8 +10,8 @@
 from mothworks import plugins
 from mothworks_gateway import adapters, feed_reports, feeding
 
-#: Time without an answer after which a feed is stale that is polled as usual, seconds.
-STALE_S = feeding.POLL_S + feed_reports.STALE_MARGIN_S
+#: Time without an answer after which a feed with the usual polls is stale, seconds.
+STALE_S = feeding.MAX_POLL_S + feed_reports.STALE_MARGIN_S
 
 
 @pytest.fixture
@@ -26,19 +24,22 @@
     monkeypatch.setattr(plugins, "find", lambda *_: lambda *_: None)
     kernel = gateway_builders.Kernel({})
     kernel.parts[feeding.Feeding] = feeding.Feeding(kernel)
-    made = feed_reports.FeedReports(kernel)
-    made.feeding.add(feeding.Follower("declarations", None, None, None))
-    return made
+    part = feed_reports.FeedReports(kernel)
+    part.feeding.add(feeding.Follower("declarations", None, None, None))
+    return part
 
 
 def report(reports):
-    """Report once; returns the lines that were logged."""
+    """Report once.
+
+    :returns: the log lines.
+    """
     with logbook.TestHandler() as handler:
         reports.report()
     return [types.SimpleNamespace(**record.extra) for record in handler.records]
 
 
-def value(gauge):
+def gauge_value(gauge):
     return gauge.get({"feed": "declarations"})
 
 
@@ -56,12 +57,14 @@
 
 
 def test_a_long_poll_without_changes_is_not_stale(reports, clock):
-    reports.feeding.follower_by_name["declarations"].poll_for(feeding.LONE_POLL_S)
-    clock.advance(feeding.LONE_POLL_S)
+    reports.feeding.follower_by_name["declarations"].set_max_poll(
+        feeding.MAX_LONE_VM_POLL_S
+    )
+    clock.advance(feeding.MAX_LONE_VM_POLL_S)
     assert report(reports) == []
 
 
-def test_a_feed_that_others_follow_is_not_logged_as_stale(reports, clock):
+def test_a_feed_that_other_vms_follow_is_not_logged_as_stale(reports, clock):
     reports.feeding.follower_by_name["declarations"].follow(False)
     clock.advance(60)
     assert report(reports) == []
@@ -75,22 +78,22 @@
     assert line.outcome == "left to others"
 
 
-def test_the_age_of_a_feed_is_a_metric(reports, clock):
+def test_the_age_of_a_feed_is_exported_as_a_metric(reports, clock):
     clock.advance(0.25)
     report(reports)
-    assert value(reports.unanswered_seconds) == 0.25
-    assert value(reports.followed) == 1
+    assert gauge_value(reports.unanswered_seconds) == 0.25
+    assert gauge_value(reports.followed) == 1
     reports.feeding.follower_by_name["declarations"].follow(False)
     report(reports)
-    assert value(reports.followed) == 0
+    assert gauge_value(reports.followed) == 0
 
 
-def test_history_that_is_gone_is_an_answer(clock):
+def test_an_expired_history_counts_as_an_answer(clock):
     class Feed:
         def wait(self, cursor, wait_s):
             return feeding.result.Err(adapters.FeedExpired())
 
     follower = feeding.Follower("declarations", Feed(), None, None)
     clock.advance(5)
-    follower._wait(1.0)
+    follower._fetch_changes(1.0)
     assert follower.unanswered_s == 0
