--- a/packages/mothworks_gateway/src/mothworks_gateway/lease.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease.py
@@ -1,23 +1,23 @@
-"""The lease: one VM at a time orders endpoints to load and unload.
-
-The lease is one object in the platform's store, renewed by conditional
-update. Its fencing token grows with each holder. The holder trusts it only
-until some time before it would lapse, counted from before the renewal was
-sent on a clock that also runs while the VM is suspended. A holder that cannot
-reach the store renews through a peer that can.
-
-Where endpoints ignore fencing tokens, all others take it only after it stayed
-unchanged for its whole duration. Where endpoints refuse old tokens, the duration
-only bounds how long a holder goes on without the store: a VM that has not heard
-from the holder and sees no renewal takes it earlier, and what the former holder
-still sends is refused.
-
-The holder tells the version of its last renewal with each heartbeat. A VM that first
-heard a version at some moment knows that it was written before then. If it takes
-the lease by a write that needs this very version, and does so a duration after
-that moment, the holder has not renewed for so long. So nobody need begin to watch
-the store when the holder falls silent, and models are loaded again three seconds
-sooner (six seconds after its last renewal, not nine).
+"""The lease: only one VM at a time orders endpoints to load and unload models.
+
+The lease is one object in the platform's store, renewed by conditional writes. Its
+fencing token grows with each holder. The holder trusts the lease only until a margin
+before its expiry, counted from before the renewal was sent, on a clock that also runs
+while the VM is suspended. A holder that cannot reach the store renews through a peer
+that can (:mod:`relayed_objects`).
+
+Where endpoints ignore fencing tokens, another VM acquires the lease only after it
+stayed unchanged for its whole duration. Where endpoints reject old tokens, the
+duration only bounds how long a holder goes on without the store: a VM that receives no
+heartbeat of the holder and observes no renewal takes over earlier, and endpoints reject
+the former holder's late orders.
+
+Each heartbeat of the holder carries the version of its last renewal. A VM that first
+observes a version at some moment knows that it was written before then. If it acquires
+the lease by a write conditional on this version, at least one duration after that
+moment, the holder has not renewed in between. So no VM has to start watching the store
+when the holder falls silent, and models are loaded again three seconds sooner: six
+seconds after the holder's last renewal instead of nine.
 """
 
 import random
@@ -33,60 +33,62 @@
 
 log = logbook.Logger("lease")
 
-#: The object that holds the lease.
+#: Key of the object that stores the lease.
 KEY = "leases/orders"
-#: Duration of a lease whose holder is fenced, as a multiple of the time in
-#: which VMs must not take turns: it outlasts usual outages of the store.
-FENCED_DURATIONS = 4
-#: Time between renewals, as a share of the time in which VMs must not take
-#: turns; two renewals fail before a lease lapses.
-RENEW_SHARE = 0.4
-#: Time without a renewal, in renewals, after which a silent holder that is
-#: fenced counts as gone.
-MISSED_RENEWALS = 1.3
-#: Part of the duration at whose end the holder no longer orders, seconds: the
-#: time an order may take from the check until it arrives.
-MARGIN_S = 0.4
-#: Pause between looks at a lease that another VM may hold, seconds.
-LOOK_S = 0.5
-#: Time before the first look, seconds: a VM that just started knows no others and
-#: takes itself for the first in line; all of a fleet then wrote the lease at once.
-FIRST_LOOK_S = 0.6
-#: Time that each VM leaves to the one before it in line, seconds.
-RANK_S = 0.7
-#: Seconds between signs of life of this VM's own clock, and the longest time
-#: between two of them in which the lease is trusted: after a longer one the VM
-#: was suspended, and another may hold the lease.
-TICK_S = 0.25
-MOST_TICK_S = 1.0
-#: Time without a holder's heartbeat after which the lease is looked at, seconds.
-SILENCE_S = 1.2
+#: Duration of the lease where endpoints check fencing tokens, as a multiple of the
+#: configured ``lease_ms``: long enough to outlast usual outages of the store.
+FENCED_DURATION_FACTOR = 4
+#: Time between renewals, as a share of ``lease_ms``; two renewals can fail before an
+#: unfenced lease expires.
+RENEW_INTERVAL_SHARE = 0.4
+#: Time without a renewal, in renewal intervals, after which a silent fenced holder
+#: counts as gone.
+TAKEOVER_INTERVALS = 1.3
+#: Margin before expiry in which the holder no longer sends orders, seconds: the time
+#: from the check of the lease until an order arrives.
+EXPIRY_MARGIN_S = 0.4
+#: Time between reads of a lease that another VM may hold, seconds.
+POLL_INTERVAL_S = 0.5
+#: Delay before the first read, seconds: a VM that just started knows no peers and ranks
+#: itself first; without the delay all VMs of a fleet wrote the lease at once.
+STARTUP_DELAY_S = 0.6
+#: Extra time that each VM leaves to the next higher rank, seconds.
+RANK_DELAY_S = 0.7
+#: Time between checks for a suspension of this VM, seconds, and the longest gap between
+#: two checks for which the lease is still trusted: after a longer gap the VM was
+#: suspended, and another VM may hold the lease.
+SUSPENSION_CHECK_S = 0.25
+MAX_CHECK_GAP_S = 1.0
+#: Time without a holder's heartbeat after which VMs try to acquire the lease, seconds.
+HOLDER_TIMEOUT_S = 1.2
 
 
 class Lease(kernel.Part):
-    """Holds the lease, or waits until it can.
+    """Acquires, renews and releases the lease.
 
     :param node_kernel: the node's kernel.
     """
 
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
-        chosen = node_kernel.settings
-        self.name = chosen.name
+        settings = node_kernel.settings
+        self.name = settings.name
         self.life = f"{random.getrandbits(64):016x}"
-        turns_s = chosen.bounds.lease_ms / 1000
-        fenced = chosen.bounds.fenced
-        self.renew_s = turns_s * RENEW_SHARE
-        self.duration_s = turns_s * (FENCED_DURATIONS if fenced else 1)
-        #: How long others watch it unchanged before they take it, seconds.
-        self.watch_s = self.renew_s * MISSED_RENEWALS if fenced else self.duration_s
-        # Where endpoints check fencing tokens, a late order of the former
-        # holder is refused there; elsewhere only time keeps the two apart.
-        self.settle_s = 0.0 if fenced else turns_s
+        lease_s = settings.bounds.lease_ms / 1000
+        fenced = settings.bounds.fenced
+        self.renew_interval_s = lease_s * RENEW_INTERVAL_SHARE
+        self.duration_s = lease_s * (FENCED_DURATION_FACTOR if fenced else 1)
+        #: Time without a renewal after which another VM may take over, seconds.
+        self.watch_s = (
+            self.renew_interval_s * TAKEOVER_INTERVALS if fenced else self.duration_s
+        )
+        # Where endpoints check fencing tokens, they reject a late order of the former
+        # holder; elsewhere only a delay keeps the orders of the two apart.
+        self.order_delay_s = 0.0 if fenced else lease_s
         self.api = node_kernel.get(relayed_objects.RelayedObjects)
         self.membership = node_kernel.get(membership.Membership)
         self.heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        self.heartbeats.on_heartbeat.append(self._tell)
+        self.heartbeats.on_heartbeat.append(self._heartbeat_fields)
         self.heartbeats.on_received.append(self._on_heartbeat)
         node_kernel.on_draining.append(lambda: self.tasks.spawn(self._release))
         self.started_at = time.monotonic()
@@ -95,16 +97,16 @@
         self.valid_until = 0.0
         self.orders_from = 0.0
         self.known_renewal: lease_record.KnownRenewal | None = None
-        self.ticked_at = suspension.now()
-        #: Functions to call after this VM became the holder.
+        self.checked_at = suspension.now()
+        #: Functions to call after this VM acquired the lease.
         self.on_gained: list = []
-        self._refused_fence = 0
+        self._rejected_fence = 0
 
     def start(self) -> None:
-        """Start to hold or watch the lease."""
+        """Start the tasks that acquire and renew the lease."""
         self.started_at = time.monotonic()
         self.tasks.spawn(self._run)
-        self.tasks.every(TICK_S, self._tick)
+        self.tasks.every(SUSPENSION_CHECK_S, self._check_suspension)
 
     @property
     def fence(self) -> int:
@@ -112,115 +114,123 @@
         return self.record.fence if self.held() else 0
 
     def held(self) -> bool:
-        """Return whether this VM may order endpoints at this moment."""
+        """Return whether this VM holds the lease and may order endpoints now."""
         return (
             self.record is not None
             and self.record.holder == self.name
             and self.orders_from <= suspension.now() < self.valid_until
-            and suspension.now() - self.ticked_at < MOST_TICK_S
+            and suspension.now() - self.checked_at < MAX_CHECK_GAP_S
         )
 
     def holder(self) -> str:
-        """Return the VM that seems to hold the lease, or an empty text."""
+        """Return the VM that holds the lease as far as known, or an empty string."""
         if self.held():
             return self.name
         fence_by_vm = {
-            vm: told.fence for vm, told in self.heartbeats.fresh().items() if told.fence
+            vm: received.fence
+            for vm, received in self.heartbeats.fresh().items()
+            if received.fence
         }
         return max(fence_by_vm, key=fence_by_vm.__getitem__, default="")
 
     def refused(self, fence: int) -> None:
-        """Stop ordering: an endpoint has seen a newer fencing token.
+        """Drop the lease: an endpoint has seen a newer fencing token.
 
-        :param fence: the token that was refused.
+        :param fence: the token that the endpoint rejected.
         """
         if self.record is not None and self.record.fence == fence:
-            self._forget("an endpoint has seen a newer fencing token")
-            self._refused_fence = fence
+            self._drop("an endpoint has seen a newer fencing token")
+            self._rejected_fence = fence
 
     def give_up(self, reason: str) -> None:
-        """Hand the lease back at once.
+        """Release the lease at once, so that another VM can acquire it.
 
-        :param reason: why, for the log.
+        :param reason: the reason, for the log.
         """
         record, version = self.record, self.version
-        self._forget(reason)
+        self._drop(reason)
         if record is not None and version is not None:
-            freed = attrs.evolve(record, holder="", renewals=record.renewals + 1)
-            self.api.put(KEY, freed.body(), version)
+            released = attrs.evolve(record, holder="", renewals=record.renewals + 1)
+            self.api.put(KEY, released.body(), version)
 
     def _release(self) -> None:
-        """Give the lease up as its VM stops, so that the next need not wait.
+        """Release the lease while the node drains, so that the next holder can start.
 
-        While the store is away no other VM could take it, and models must
-        still be loaded: the holder goes on until the store answers again.
+        While the store is unreachable no other VM can acquire the lease, and models
+        must still be loaded: the holder goes on until the store answers again.
         """
         while self.record is not None and suspension.now() < self.valid_until:
             if self._read() is not None:
                 self.give_up("shutting down")
                 return
-            gevent.sleep(LOOK_S)
+            gevent.sleep(POLL_INTERVAL_S)
 
     def _run(self) -> None:
-        gevent.sleep(FIRST_LOOK_S * random.uniform(0.8, 1.2))
+        gevent.sleep(STARTUP_DELAY_S * random.uniform(0.8, 1.2))
         while not self.kernel.draining:
             if self.record is None:
                 self._seek()
             else:
                 self._renew()
-            # One that was just taken must be renewed like any other: another VM
-            # takes it where it stays unchanged for a little more than renew_s.
-            held = self.record is not None
-            gevent.sleep(self.renew_s if held else LOOK_S * random.uniform(0.8, 1.2))
-
-    def _tick(self) -> None:
-        """Distrust the lease after a suspension, until it is renewed."""
-        if suspension.now() - self.ticked_at >= MOST_TICK_S:
+            # A lease that was just acquired is renewed on the same schedule: another VM
+            # takes over once it stays unchanged for little more than one interval.
+            has_lease = self.record is not None
+            gevent.sleep(
+                self.renew_interval_s
+                if has_lease
+                else POLL_INTERVAL_S * random.uniform(0.8, 1.2)
+            )
+
+    def _check_suspension(self) -> None:
+        """Stop trusting the lease after a suspension, until it is renewed."""
+        if suspension.now() - self.checked_at >= MAX_CHECK_GAP_S:
             self.valid_until = 0.0
-        self.ticked_at = suspension.now()
+        self.checked_at = suspension.now()
 
     def _renew(self) -> None:
         record = attrs.evolve(self.record, renewals=self.record.renewals + 1)
-        sent = suspension.now()
+        sent_at = suspension.now()
         match self.api.put(KEY, record.body(), self.version):
             case result.Ok(version):
                 if self.record is not None:
-                    self._hold(record, version, sent)
+                    self._accept(record, version, sent_at)
             case result.Err(objects.Unknown()):
-                self._recognise(sent, record)
+                self._verify_write(sent_at, record)
             case result.Err(objects.Unavailable(reason)):
                 if suspension.now() > self.valid_until:
-                    self._forget(f"not renewed: {reason}")
+                    self._drop(f"not renewed: {reason}")
             case result.Err(failure):
-                self._forget(f"renewal failed: {failure}")
+                self._drop(f"renewal failed: {failure}")
 
-    def _recognise(self, sent: float, written: lease_record.Record) -> None:
-        """Learn whether a write took effect whose reply was lost.
+    def _verify_write(self, sent_at: float, written: lease_record.Record) -> None:
+        """Read back whether a write whose reply was lost took effect.
 
-        Only that write renews the lease. One that is found as it was before does
-        not: another VM counts from its last renewal, and may order already.
+        Only that write renews the lease. An unchanged record does not: another VM
+        counts from the last renewal that was stored, and may already send orders.
         """
         match self._read():
             case (lease_record.Record() as record, version) if record == written:
-                self._hold(record, version, sent)
+                self._accept(record, version, sent_at)
             case (lease_record.Record() as record, version):
                 if record.life != self.life:
-                    self._forget("another VM took it")
+                    self._drop("another VM acquired the lease")
 
-    def _hold(self, record: lease_record.Record, version: str, sent: float) -> None:
-        gained = self.record is None or self.record.fence != record.fence
+    def _accept(
+        self, record: lease_record.Record, version: str, sent_at: float
+    ) -> None:
+        acquired = self.record is None or self.record.fence != record.fence
         self.record = record
         self.version = version
-        self.valid_until = sent + self.duration_s - MARGIN_S
-        if gained:
-            self.orders_from = suspension.now() + self.settle_s
+        self.valid_until = sent_at + self.duration_s - EXPIRY_MARGIN_S
+        if acquired:
+            self.orders_from = suspension.now() + self.order_delay_s
             logs.event(
                 log, "lease", fence=record.fence, version=version, outcome="held"
             )
             for notify in self.on_gained:
                 notify()
 
-    def _forget(self, reason: str) -> None:
+    def _drop(self, reason: str) -> None:
         if self.record is not None:
             fence = self.record.fence
             logs.event(log, "lease", fence=fence, reason=reason, outcome="lost")
@@ -228,34 +238,34 @@
         self.version = None
         self.valid_until = 0.0
 
-    def _tell(self) -> dict:
+    def _heartbeat_fields(self) -> dict:
         if not self.held():
             return {"fence": 0}
         return {"fence": self.fence, "lease_version": self.version}
 
-    def _on_heartbeat(self, vm: str, told: heartbeat.Heartbeat) -> None:
-        """Remember the newest renewal of another VM, and when it was news."""
-        if vm == self.name or not (told.fence and told.lease_version):
+    def _on_heartbeat(self, vm: str, received: heartbeat.Heartbeat) -> None:
+        """Record the newest renewal of another VM, and when it was first observed."""
+        if vm == self.name or not (received.fence and received.lease_version):
             return
-        known = self.known_renewal or lease_record.KnownRenewal(0, "", 0.0)
-        is_news = told.lease_version != known.version
-        if is_news and told.fence >= known.fence:
+        newest = self.known_renewal or lease_record.KnownRenewal(0, "", 0.0)
+        is_changed = received.lease_version != newest.version
+        if is_changed and received.fence >= newest.fence:
             self.known_renewal = lease_record.KnownRenewal(
-                told.fence, told.lease_version, suspension.now()
+                received.fence, received.lease_version, suspension.now()
             )
 
     def _seek(self) -> None:
-        """Take the lease where nobody holds it and this VM is first in line."""
-        if self.holder() or self._rank() > 0 and not self._long_unheld():
+        """Acquire the lease where no VM holds it and this VM is next by rank."""
+        if self.holder() or self._rank() > 0 and not self._higher_ranks_timed_out():
             return
-        seen = self._read()
-        if seen is None:
+        stored = self._read()
+        if stored is None:
             return
-        record, version = seen
+        record, version = stored
         if record is None:
             self._take(0, None)
         elif record.holder in ("", self.name):
-            # It was given up, or the process of this VM that held it is gone.
+            # It was released, or held by an earlier process of this VM, which is gone.
             self._take(record.fence, version)
         else:
             if self.known_renewal is None or self.known_renewal.version != version:
@@ -264,46 +274,49 @@
                 )
             self._take_over(self.known_renewal)
 
-    def _take_over(self, known: lease_record.KnownRenewal) -> None:
-        """Take the lease of a holder that is gone, once that is safe."""
-        if self._wait_out(known):
-            settled = known.at + self.watch_s + self.settle_s
-            self._take(known.fence, known.version, settled)
+    def _take_over(self, renewal: lease_record.KnownRenewal) -> None:
+        """Acquire the lease of a holder that is gone, once that is safe."""
+        if self._await_takeover(renewal):
+            orders_from = renewal.at + self.watch_s + self.order_delay_s
+            self._take(renewal.fence, renewal.version, orders_from)
 
-    def _wait_out(self, known: lease_record.KnownRenewal) -> bool:
-        """Wait until a lease that is known may be taken; return whether so."""
-        while suspension.now() < known.at + self.watch_s:
+    def _await_takeover(self, renewal: lease_record.KnownRenewal) -> bool:
+        """Wait until this VM may take over; return False if a holder appears."""
+        while suspension.now() < renewal.at + self.watch_s:
             gevent.sleep(
-                max(0.01, min(LOOK_S, known.at + self.watch_s - suspension.now()))
+                max(
+                    0.01,
+                    min(POLL_INTERVAL_S, renewal.at + self.watch_s - suspension.now()),
+                )
             )
             if self.holder():
                 return False
         return True
 
-    def _take(self, fence: int, version: str | None, settled: float = 0.0) -> None:
-        """Write this VM into the lease.
+    def _take(self, fence: int, version: str | None, orders_from: float = 0.0) -> None:
+        """Write this VM into the lease as its holder.
 
         :param fence: the fencing token of the last holder.
-        :param version: the version that must be there; None for none.
-        :param settled: when orders of the last holder are long enough ago, where
-            that is known; otherwise it counts from the write.
+        :param version: the version that must be stored; None where no lease is stored.
+        :param orders_from: time from which this VM may send orders, where the last
+            renewal is known; by default the order delay counts from the write.
         """
         record = lease_record.Record(
-            self.name, max(fence, self._refused_fence) + 1, 0, self.life
+            self.name, max(fence, self._rejected_fence) + 1, 0, self.life
         )
-        sent = suspension.now()
+        sent_at = suspension.now()
         match self.api.put(KEY, record.body(), version):
             case result.Ok(new_version):
-                self._hold(record, new_version, sent)
+                self._accept(record, new_version, sent_at)
             case result.Err(objects.Unknown()):
-                self._recognise(sent, record)
+                self._verify_write(sent_at, record)
             case result.Err(failure):
                 logs.event(log, "lease", reason=str(failure)[:120], outcome="not taken")
-        if settled and self.record is not None:
-            self.orders_from = max(suspension.now(), settled)
+        if orders_from and self.record is not None:
+            self.orders_from = max(suspension.now(), orders_from)
 
     def _read(self) -> tuple[lease_record.Record | None, str | None] | None:
-        """Return the stored lease and its version; None if not answered."""
+        """Return the stored lease and its version; None without an answer."""
         match self.api.get(KEY):
             case result.Ok(stored):
                 try:
@@ -316,19 +329,19 @@
         return None
 
     def _rank(self) -> int:
-        """Return this VM's place in line among the live ones."""
+        """Return this VM's rank for the lease among the live VMs, 0 for the first."""
         names = [member.name for member in self.membership.near()]
         names.append(self.name)
         names.sort(key=lambda name: ownership.weight("lease", name), reverse=True)
         return names.index(self.name)
 
-    def _long_unheld(self) -> bool:
-        """Return whether those before this VM had time enough to take it."""
-        times = [
+    def _higher_ranks_timed_out(self) -> bool:
+        """Return whether all VMs of a higher rank had time to acquire the lease."""
+        received_times = [
             item.at
             for item in self.heartbeats.received_by_vm.values()
             if item.heartbeat.fence
         ]
-        last = max(times, default=self.started_at)
-        waited = time.monotonic() - last
-        return waited > SILENCE_S + RANK_S * self._rank()
+        last_received_at = max(received_times, default=self.started_at)
+        waited_s = time.monotonic() - last_received_at
+        return waited_s > HOLDER_TIMEOUT_S + RANK_DELAY_S * self._rank()
--- a/packages/mothworks_gateway/src/mothworks_gateway/lease_record.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease_record.py
@@ -1,4 +1,4 @@
-"""The lease as it is stored, and as other VMs hear of it."""
+"""The lease as it is stored, and its renewals as other VMs observe them."""
 
 import attrs
 import orjson
@@ -8,10 +8,10 @@
 class Record:
     """The lease as it is stored.
 
-    :param holder: the VM that holds it; empty once it was given up.
+    :param holder: the VM that holds it; empty once it was released.
     :param fence: the fencing token; grows by one with each holder.
-    :param renewals: grows with each renewal, so that each one is a change.
-    :param life: names the holder's process, to recognise its own write.
+    :param renewals: grows by one with each renewal, so that each write changes it.
+    :param life: random id of the holder's process, by which it recognises its write.
     """
 
     holder: str
@@ -25,10 +25,10 @@
 
 
 def read_record(body: bytes) -> Record:
-    """Return the record that a stored body holds.
+    """Return the record that a stored body encodes.
 
     :param body: what :meth:`Record.body` made.
-    :raises ValueError: where it is not a record.
+    :raises ValueError: the body does not encode a record.
     """
     try:
         value = orjson.loads(body)
@@ -39,16 +39,16 @@
             str(value["life"]),
         )
     except (KeyError, TypeError) as error:
-        raise ValueError(f"not a lease: {error!r}")
+        raise ValueError(f"not a lease record: {error!r}")
 
 
 @attrs.frozen
 class KnownRenewal:
-    """A renewal that another VM told of.
+    """A renewal of another VM, as this VM first observed it.
 
     :param fence: the fencing token of the lease.
     :param version: the stored object's version after it.
-    :param at: when this VM first heard of it, seconds, see
+    :param at: time at which this VM first observed it, seconds; see
         :func:`suspension.now`.
     """
 
