--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -370,9 +370,9 @@
     candidates = made.budgets.owners.candidates()
     newcomer = next(vm for vm in fleet.names if vm not in candidates)
     made = fleet.vm_by_name[newcomer].credits
-    made.budgets._follow_owners()
+    made.budgets._update_candidacy()
     monkeypatch.setattr(made.budgets.owners, "candidates", lambda: [newcomer])
-    made.budgets._follow_owners()
+    made.budgets._update_candidacy()
     assert made._bucket("small").level == 0.0
     assert made._bucket("small").at == fleet.clock.monotonic()
 
