--- a/packages/mothworks_gateway/src/mothworks_gateway/fleet_size.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/fleet_size.py
@@ -1,22 +1,22 @@
-"""Fleet size: how many VMs are live, and how many were of late.
+"""Fleet size: how many VMs are live, and the recent peak of that number.
 
-A part of a partition sees the others die. What it takes for itself from then on must
-still leave them theirs.
+Each side of a partition sees the VMs of the other side die. What a VM uses on behalf of
+the fleet must still leave the other side its share.
 """
 
 from mothworks import kernel, membership
 from mothworks_gateway import suspension
 
-#: Time for which the VMs that were there once are remembered where most of them are
-#: still live, seconds: longer than a partition of which callers should know.
-REMEMBERED_S = 60.0
-#: The same where most of them are not, seconds: it is likelier that this VM is in the
-#: smaller part of a partition than that so many are gone for good.
-MINORITY_REMEMBERED_S = 600.0
+#: Time for which the peak is retained while a majority of those VMs is still live,
+#: seconds: longer than a partition that callers should notice.
+PEAK_RETENTION_S = 60.0
+#: The same while only a minority is live, seconds: it is more likely that this VM is on
+#: the smaller side of a partition than that so many VMs are gone for good.
+MINORITY_PEAK_RETENTION_S = 600.0
 
 
 class FleetSize(kernel.Part):
-    """Counts VMs of this VM's region.
+    """Counts the VMs of this VM's region.
 
     :param node_kernel: the node's kernel.
     """
@@ -25,30 +25,30 @@
         super().__init__(node_kernel)
         self.membership = node_kernel.get(membership.Membership)
         self.membership.on_change.append(self._count)
-        #: VMs that are live, this one among them.
+        #: Number of live VMs, including this one.
         self.live = 1
-        #: Most VMs that were live of late.
-        self._most = 1
-        #: When so many were last live, on the clock of :func:`suspension.now`.
-        self._most_at = suspension.now()
+        #: Recent peak of live VMs.
+        self._peak = 1
+        #: Time at which so many were last live, on the clock of :func:`suspension.now`.
+        self._peak_at = suspension.now()
         self._count()
 
     @property
     def most(self) -> int:
-        """Return the most VMs that were live of late, this one among them."""
+        """Return the recent peak of live VMs, including this one."""
         now = suspension.now()
-        minority = 2 * self.live <= self._most
-        remembered_s = MINORITY_REMEMBERED_S if minority else REMEMBERED_S
-        if self.live >= self._most:
-            self._most_at = now
-        elif now - self._most_at > remembered_s:
-            self._most, self._most_at = self.live, now
-        return self._most
+        is_minority = 2 * self.live <= self._peak
+        retention_s = MINORITY_PEAK_RETENTION_S if is_minority else PEAK_RETENTION_S
+        if self.live >= self._peak:
+            self._peak_at = now
+        elif now - self._peak_at > retention_s:
+            self._peak, self._peak_at = self.live, now
+        return self._peak
 
     def _count(self) -> None:
-        """Count anew, since VMs came or went."""
-        # So many were live until this change.
-        most = self.most
+        """Update the counts after membership changed."""
+        # The property first settles the peak with the count from before this change.
+        peak = self.most
         self.live = 1 + len(self.membership.near())
-        if self.live >= most:
-            self._most, self._most_at = self.live, suspension.now()
+        if self.live >= peak:
+            self._peak, self._peak_at = self.live, suspension.now()
--- a/packages/mothworks_gateway/src/mothworks_gateway/gathering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/gathering.py
@@ -145,7 +145,9 @@
         self.heartbeats.spread = self._spread
         self.heartbeats.on_received.append(self._on_heartbeat)
         self.sum = HeartbeatSum()
-        self.ranking = ranking.Ranking(collectors.DUTY, self.name, self.membership)
+        self.ranking = ranking.Ranking(
+            collectors.RANKING_KEY, self.name, self.membership
+        )
         self.own = collectors.OwnCollector(self.name)
         #: The holder's last heartbeat that was not told on yet, with its name.
         self.holder_update: tuple[str, heartbeat.Heartbeat] | None = None
@@ -166,7 +168,7 @@
             self.peers.send_all(told)
             return
         now = time.monotonic()
-        collecting = collectors.first_of(self.ranking.vms)
+        collecting = collectors.select(self.ranking.vms)
         self.sum.forget_old(now)
         members = [vm for vm in self.sum.member_by_vm if vm != self.name]
         if self.name in collecting or members or told.fence:
@@ -241,7 +243,7 @@
         return collectors.are_few(self.membership.near())
 
     def _on_totals(self, vm: str, totals: Totals, _: peers.Answer) -> None:
-        self.own.received(vm, time.monotonic())
+        self.own.on_totals(vm, time.monotonic())
         self.load.take_totals(totals.running_by_endpoint)
         self.evidence.receive(totals.answers)
         self.limits.receive(totals.limits, vm)
--- a/packages/mothworks_gateway/src/mothworks_gateway/owners.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/owners.py
@@ -1,9 +1,9 @@
-"""Owners: which VM decides for all about one thing, such as an endpoint's turns.
+"""Owners: which VM decides for all VMs about one resource, such as an endpoint's limit.
 
-All VMs compute the same owner from the same membership, by rendezvous hashing, without
-a message. Where VMs are many, only the collectors own anything: each other VM must be
-connected to them. An owner that is silent or gone costs a caller one short timeout;
-membership takes a few seconds to notice that.
+All VMs compute the same owner from the same membership by rendezvous hashing, without
+a message. In a large fleet only the collectors own resources: every other VM must be
+connected to each owner. An owner that is unresponsive or gone costs a caller one short
+timeout, since membership takes a few seconds to notice that it is gone.
 """
 
 import time
@@ -17,12 +17,12 @@
 
 log = logbook.Logger("owners")
 
-#: Time for which an owner that did not answer is not asked again, seconds.
-SILENT_S = 1.0
+#: Time for which an owner that did not answer is not called again, seconds.
+BACKOFF_S = 1.0
 
 
 class Owners(kernel.Part):
-    """Names the owner of each thing, and asks it.
+    """Computes the owner of each resource, and calls owners.
 
     :param node_kernel: the node's kernel.
     """
@@ -30,24 +30,24 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.name = node_kernel.settings.name
-        known = node_kernel.get(membership.Membership)
-        self.ranking = ranking.Ranking(collectors.DUTY, self.name, known)
+        view = node_kernel.get(membership.Membership)
+        self.ranking = ranking.Ranking(collectors.RANKING_KEY, self.name, view)
         self.peers = node_kernel.get(peers.Peers)
-        self._silent_until_by_vm: dict[str, float] = {}
+        self._backoff_until_by_vm: dict[str, float] = {}
         #: Functions to call after the candidates may have changed.
         self.on_change: list = []
         self._ranked_by_key: dict[str, list[str]] = {}
-        known.on_change.append(self._forget)
+        view.on_change.append(self._clear)
 
     def candidates(self) -> list[str]:
-        """Return the VMs that own things; one at least."""
+        """Return the VMs that can own resources; at least one."""
         vms = self.ranking.vms
-        return vms if collectors.are_few(vms[1:]) else collectors.first_of(vms)
+        return vms if collectors.are_few(vms[1:]) else collectors.select(vms)
 
     def ranked(self, key: str) -> list[str]:
-        """Return the candidates in the order in which they own a thing.
+        """Return the candidates for a resource, its owner first.
 
-        :param key: names the thing.
+        :param key: identifies the resource.
         """
         ranked = self._ranked_by_key.get(key)
         if ranked is None:
@@ -59,27 +59,27 @@
             self._ranked_by_key[key] = ranked
         return ranked
 
-    def is_silent(self, owner: str) -> bool:
-        """Return whether an owner failed to answer of late.
+    def is_unresponsive(self, owner: str) -> bool:
+        """Return whether an owner failed to answer recently.
 
         :param owner: the VM.
         """
-        return time.monotonic() < self._silent_until_by_vm.get(owner, 0.0)
+        return time.monotonic() < self._backoff_until_by_vm.get(owner, 0.0)
 
     def ask(
         self, owner: str, message: typing.Any, reply_s: float, thing: str
     ) -> typing.Any:
-        """Return an owner's reply; None where it does not answer, or did not of late.
+        """Call an owner and return its reply; None where it is unresponsive.
 
-        Nobody waits for a connection to an owner: one that a cut keeps closed would
-        hold up each request.
+        A call never waits for a connection to open: during a network cut each request
+        would wait for the connection timeout.
 
         :param owner: the VM.
-        :param message: the question.
-        :param reply_s: time for the reply, seconds.
-        :param thing: what is asked about, for the log.
+        :param message: the request.
+        :param reply_s: timeout for the reply, seconds.
+        :param thing: what the request is about, for the log.
         """
-        if self.is_silent(owner):
+        if self.is_unresponsive(owner):
             return None
         if not self.peers.linked(owner):
             self.peers.open(owner)
@@ -88,19 +88,19 @@
             case result.Ok(reply):
                 return reply
             case result.Err(failure):
-                self._silent_until_by_vm[owner] = time.monotonic() + SILENT_S
+                self._backoff_until_by_vm[owner] = time.monotonic() + BACKOFF_S
                 logs.event(
                     log,
                     "owner silent",
                     thing=thing,
                     owner=owner,
                     reason=failure.reason,
-                    outcome=f"not asked for {SILENT_S:g} s",
+                    outcome=f"not asked for {BACKOFF_S:g} s",
                 )
         return None
 
-    def _forget(self) -> None:
-        """Decide anew who owns what, since VMs came or went."""
+    def _clear(self) -> None:
+        """Drop the cached rankings after membership changed."""
         self._ranked_by_key.clear()
         for notify in self.on_change:
             notify()
--- a/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
@@ -81,7 +81,7 @@
         :param key: the budget's key for ownership; see :meth:`owners.Owners.ranked`.
         """
         ranked = self.owners.ranked(key)
-        return [vm for vm in ranked if not self.owners.is_silent(vm)][:MAX_OWNERS]
+        return [vm for vm in ranked if not self.owners.is_unresponsive(vm)][:MAX_OWNERS]
 
     def ask(self, owner: str, message: typing.Any, thing: str) -> typing.Any:
         """Call an owner and return its reply; None where it does not answer.
--- a/packages/mothworks_gateway/tests/test_fleet_size.py
+++ b/packages/mothworks_gateway/tests/test_fleet_size.py
@@ -1,4 +1,4 @@
-"""How many VMs were live of late."""
+"""Fleet size: live VMs and their recent peak."""
 
 import types
 
@@ -11,18 +11,18 @@
 
 
 class Fleet:
-    """One VM's count of the others, which tests change."""
+    """One VM's fleet size, with a membership that tests change."""
 
     def __init__(self, monkeypatch):
         self.clock = virtual_time.Clock(monkeypatch)
-        self.near = []
-        view = types.SimpleNamespace(near=lambda: self.near, on_change=[])
+        self.members = []
+        view = types.SimpleNamespace(near=lambda: self.members, on_change=[])
         kernel = gateway_builders.Kernel({membership.Membership: view})
         self.view = view
         self.size = fleet_size.FleetSize(kernel)
 
-    def become(self, vms):
-        self.near[:] = range(vms - 1)
+    def resize(self, vms):
+        self.members[:] = range(vms - 1)
         for notify in self.view.on_change:
             notify()
 
@@ -32,29 +32,29 @@
     return Fleet(monkeypatch)
 
 
-def test_vms_that_vanish_are_remembered_for_a_while(fleet):
-    fleet.become(8)
+def test_the_peak_is_retained_for_a_while_after_vms_vanish(fleet):
+    fleet.resize(8)
     fleet.clock.advance(300.0)
-    fleet.become(5)
+    fleet.resize(5)
     assert (fleet.size.live, fleet.size.most) == (5, 8)
-    fleet.clock.advance(fleet_size.REMEMBERED_S - 1)
+    fleet.clock.advance(fleet_size.PEAK_RETENTION_S - 1)
     assert fleet.size.most == 8
     fleet.clock.advance(2.0)
     assert fleet.size.most == 5
 
 
-# Guards against the smaller part of a partition that takes itself for the whole fleet.
+# Guards against the smaller side of a partition counting itself as the whole fleet.
 @pytest.mark.parametrize("live", [1, 3, 4])
-def test_a_minority_remembers_the_others_for_longer(fleet, live):
-    fleet.become(8)
-    fleet.become(live)
-    fleet.clock.advance(fleet_size.MINORITY_REMEMBERED_S - 1)
+def test_a_minority_retains_the_peak_for_longer(fleet, live):
+    fleet.resize(8)
+    fleet.resize(live)
+    fleet.clock.advance(fleet_size.MINORITY_PEAK_RETENTION_S - 1)
     assert fleet.size.most == 8
     fleet.clock.advance(2.0)
     assert fleet.size.most == live
 
 
-def test_vms_that_come_count_at_once(fleet):
-    fleet.become(2)
-    fleet.become(9)
+def test_vms_that_join_count_at_once(fleet):
+    fleet.resize(2)
+    fleet.resize(9)
     assert fleet.size.most == 9
--- a/packages/mothworks_gateway/tests/test_gathering.py
+++ b/packages/mothworks_gateway/tests/test_gathering.py
@@ -93,7 +93,7 @@
         self.holder = ""
         self.vm_by_name = {name: Vm(name, self) for name in self.names}
         any_vm = self.vm_by_name[self.names[0]].gathering
-        self.collectors = collectors.first_of(any_vm.ranking.vms)
+        self.collectors = collectors.select(any_vm.ranking.vms)
         self.holder = self.collectors[0]
         self.begun = collections.Counter()
 
@@ -174,7 +174,7 @@
     fleet.wire.down.add(dead)
     lost = fleet.vm_by_name[dead].load.running.by_endpoint
     fleet.begun -= lost
-    fleet.run(collectors.SILENT_S + heartbeat.STALE_S + 1.0)
+    fleet.run(collectors.TOTALS_TIMEOUT_S + heartbeat.STALE_S + 1.0)
     living = set(fleet.names) - {dead}
     assert {fleet.unknown(name) for name in living} == {0}
 
@@ -217,7 +217,7 @@
     known = fleet.vm_by_name[name].gathering.membership
     all_near = known.near()
     know(known, all_near[:17])
-    monkeypatch.setattr(collectors, "LEAST_COLLECTORS", 18)
+    monkeypatch.setattr(collectors, "MIN_COLLECTORS", 18)
     fleet.vm_by_name[name].heartbeats.send()
     monkeypatch.undo()
     fleet.clock = Clock(monkeypatch)
--- a/packages/mothworks_gateway/tests/test_owners.py
+++ b/packages/mothworks_gateway/tests/test_owners.py
@@ -1,4 +1,4 @@
-"""Owners: all VMs name the same one, and a silent one costs one short wait."""
+"""Owners: all VMs compute the same one, and an unresponsive one costs one timeout."""
 
 import result
 
@@ -9,12 +9,12 @@
 
 
 class Peers:
-    """Stands for connections to owners of which none answers, or all do."""
+    """Fake connections to owners: all answer with one reply, or none does."""
 
     def __init__(self, reply=None, linked=True):
         self.reply = reply
         self.is_linked = linked
-        self.asked = []
+        self.called = []
         self.opened = []
 
     def linked(self, _):
@@ -24,44 +24,44 @@
         self.opened.append(vm)
 
     def call(self, vm, *_):
-        self.asked.append(vm)
+        self.called.append(vm)
         if self.reply is None:
             return result.Err(peers.PeerFailure(vm, "no reply in time", True))
         return result.Ok(self.reply)
 
 
-def make(name, names, links=None):
-    parts = {peers.Peers: links or Peers()}
+def make(name, names, connections=None):
+    parts = {peers.Peers: connections or Peers()}
     kernel = fleet_builders.kernel_of(name, names, fleet_builders.Wire(), parts)
     return owners.Owners(kernel)
 
 
-def test_all_vms_name_the_same_owners_in_the_same_order():
+def test_all_vms_compute_the_same_ranking_of_owners():
     names = fleet_builders.names_of(60)
     ranked = {tuple(make(name, names).ranked("cap desk")) for name in names}
     assert len(ranked) == 1
     assert len(ranked.pop()) == 3
 
 
-def test_where_vms_are_few_each_may_own():
+def test_every_vm_of_a_small_fleet_is_a_candidate():
     names = fleet_builders.names_of(6)
     assert sorted(make("vm-0", names).candidates()) == names
 
 
-def test_a_silent_owner_is_left_alone_for_a_while(monkeypatch):
+def test_an_unresponsive_owner_is_not_called_for_a_while(monkeypatch):
     clock = virtual_time.Clock(monkeypatch, owners)
-    links = Peers()
-    made = make("vm-0", fleet_builders.names_of(6), links)
-    assert [made.ask("vm-1", None, 0.04, "a test") for _ in range(3)] == [None] * 3
-    assert links.asked == ["vm-1"]
-    assert made.is_silent("vm-1")
-    clock.advance(owners.SILENT_S)
-    links.reply = "here"
-    assert made.ask("vm-1", None, 0.04, "a test") == "here"
-
-
-def test_nobody_waits_for_a_connection_to_an_owner():
-    links = Peers("here", linked=False)
-    made = make("vm-0", fleet_builders.names_of(6), links)
-    assert made.ask("vm-1", None, 0.04, "a test") is None
-    assert (links.asked, links.opened) == ([], ["vm-1"])
+    connections = Peers()
+    part = make("vm-0", fleet_builders.names_of(6), connections)
+    assert [part.ask("vm-1", None, 0.04, "a test") for _ in range(3)] == [None] * 3
+    assert connections.called == ["vm-1"]
+    assert part.is_unresponsive("vm-1")
+    clock.advance(owners.BACKOFF_S)
+    connections.reply = "here"
+    assert part.ask("vm-1", None, 0.04, "a test") == "here"
+
+
+def test_a_call_does_not_wait_for_a_connection_to_open():
+    connections = Peers("here", linked=False)
+    part = make("vm-0", fleet_builders.names_of(6), connections)
+    assert part.ask("vm-1", None, 0.04, "a test") is None
+    assert (connections.called, connections.opened) == ([], ["vm-1"])
