--- a/packages/mothworks_gateway/src/mothworks_gateway/gathering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/gathering.py
@@ -1,11 +1,13 @@
-"""Gathering: what all VMs tell in their heartbeats is added up by a few of them.
+"""Gathering: a few collectors aggregate the heartbeats of all VMs.
 
-Where VMs are more than can tell each other, each tells one collector
-(:mod:`collectors`). The collectors tell each other, and the holder, the sum of those
-that they heard, and tell the latter what runs at each endpoint in all.
+Where the VMs are too many for each to send to all others, each sends its heartbeats to
+one collector (:mod:`collectors`). The collectors send the sums of what they received to
+each other and to the lease holder, and send their VMs the total that runs at each
+endpoint.
 
-A collector that dies costs its VMs 1.2 s until they tell another one. What it had
-not yet told on is lost; until its last word is too old, what runs may count twice.
+When a collector fails, its VMs notice after 1.2 s and switch to another one. What it
+had not forwarded yet is lost; until its last heartbeat is stale, running requests may
+be counted twice.
 """
 
 import collections
@@ -24,25 +26,25 @@
     ranking,
 )
 
-#: Time after an endpoint's last error for which its answers are told, seconds.
-SUSPECT_S = 5.0
+#: Time after an endpoint's last error for which totals include its answers, seconds.
+SUSPECT_RETENTION_S = 5.0
 
 
 @messages.message(126)
 @attrs.frozen
 class Totals:
-    """Tells a VM what its collector has added up.
+    """The aggregate that a collector sends to its VMs.
 
-    :param running_by_endpoint: requests that run, from all VMs, by endpoint's id.
-    :param declaration_version: the newest declaration that it has.
-    :param registry_changed_at: revision of the last change in its registry.
-    :param holder: the VM that holds the lease, if it was heard since the last
+    :param running_by_endpoint: running requests of all VMs, by endpoint's id.
+    :param declaration_version: version of the collector's declaration.
+    :param registry_changed_at: revision of the last change of its registry.
+    :param holder: the lease holder, if a heartbeat of it arrived since the last
         totals; else empty.
-    :param fence: that VM's fencing token.
-    :param lease_version: the stored version of that VM's last renewal.
-    :param answers: how endpoints answered all VMs since the last totals, of those
-        that made errors in the last seconds.
-    :param limits: what endpoints said of their limits since the last totals.
+    :param fence: the holder's fencing token.
+    :param lease_version: stored version of the holder's last renewal.
+    :param answers: answers to all VMs since the last totals, from endpoints with recent
+        errors only.
+    :param limits: limits that endpoints reported since the last totals.
     """
 
     running_by_endpoint: dict[str, int]
@@ -55,9 +57,9 @@
     limits: tuple[heartbeat.LimitRow, ...] = ()
 
 
-class HeartbeatSum:
-    """Adds up heartbeats: what runs, of the last of each VM; what arrived or was
-    spent, of all.
+class HeartbeatAggregate:
+    """Aggregates heartbeats: running requests from the last one of each VM, and what
+    arrived, was answered or was spent from all since the last aggregate.
     """
 
     def __init__(self):
@@ -69,38 +71,38 @@
         self.spent: collections.Counter[tuple[str, str]] = collections.Counter()
         self.limits = endpoint_limits.NewestLimits()
 
-    def add(self, vm: str, told: heartbeat.Heartbeat, now: float) -> None:
+    def add(self, vm: str, received: heartbeat.Heartbeat, now: float) -> None:
         """Add a VM's heartbeat.
 
         :param vm: the VM.
-        :param told: its heartbeat.
+        :param received: its heartbeat.
         :param now: monotonic time.
         """
-        self.member_by_vm[vm] = heartbeat.Received(told, now)
-        for service, model, adapter, count, tokens in told.arrived:
+        self.member_by_vm[vm] = heartbeat.Received(received, now)
+        for service, model, adapter, count, tokens in received.arrived:
             self.arrived[service, model, adapter] += count
             self.tokens[service, model, adapter] += tokens
-        for service, model, count in told.late:
+        for service, model, count in received.late:
             self.late[service, model] += count
-        self.answers.add(told.answers)
-        for budget, lender, units in told.spent:
-            self.spent[budget, lender] += units
-        self.limits.add(told.limits, now)
+        self.answers.add(received.answers)
+        for budget, granter, units in received.spent:
+            self.spent[budget, granter] += units
+        self.limits.add(received.limits, now)
 
-    def forget_old(self, now: float) -> None:
-        """Forget what VMs ran that have not told for too long.
+    def evict_stale(self, now: float) -> None:
+        """Drop the running requests of VMs whose last heartbeat is stale.
 
         :param now: monotonic time.
         """
-        oldest = now - heartbeat.STALE_S
+        oldest_at = now - heartbeat.STALE_S
         for vm, member in list(self.member_by_vm.items()):
-            if member.at < oldest:
+            if member.at < oldest_at:
                 del self.member_by_vm[vm]
 
-    def take(self, own: heartbeat.Heartbeat, now: float) -> heartbeat.Heartbeat:
-        """Return the sum as a heartbeat, and begin to count anew what arrives.
+    def drain(self, own: heartbeat.Heartbeat, now: float) -> heartbeat.Heartbeat:
+        """Return the aggregate as a heartbeat, and reset the counts of what arrived.
 
-        :param own: this VM's heartbeat, which tells what is not added up.
+        :param own: this VM's heartbeat, for the fields that are not aggregated.
         :param now: monotonic time.
         """
         running: collections.Counter[tuple[str, str, str]] = collections.Counter()
@@ -124,12 +126,12 @@
             answers=self.answers.take(),
             spent=spent,
             limits=self.limits.take(now),
-            sums=True,
+            is_aggregate=True,
         )
 
 
 class Gathering(kernel.Part):
-    """Sends this VM's heartbeats where they are added up, and adds up those of others.
+    """Sends this VM's heartbeats to a collector, and aggregates those of others.
 
     :param node_kernel: the node's kernel.
     """
@@ -142,85 +144,86 @@
         self.lease = node_kernel.get(lease.Lease)
         self.load = node_kernel.get(load.Load)
         self.heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        self.heartbeats.spread = self._spread
+        self.heartbeats.transmit = self._transmit
         self.heartbeats.on_received.append(self._on_heartbeat)
-        self.sum = HeartbeatSum()
+        self.aggregate = HeartbeatAggregate()
         self.ranking = ranking.Ranking(
             collectors.RANKING_KEY, self.name, self.membership
         )
-        self.own = collectors.OwnCollector(self.name)
-        #: The holder's last heartbeat that was not told on yet, with its name.
+        self.own_collector = collectors.OwnCollector(self.name)
+        #: The holder's name and its last heartbeat that is not in any totals yet.
         self.holder_update: tuple[str, heartbeat.Heartbeat] | None = None
         self.evidence = node_kernel.get(evidence.Evidence)
-        #: How endpoints answered all VMs, to be told with the next totals.
+        #: Answers of endpoints to all VMs, for the next totals.
         self.answers = evidence.AnswerCounts()
         self.suspect_until_by_id: dict[str, float] = {}
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
-        #: What endpoints said of their limits, to be told with the next totals.
+        #: Limits that endpoints reported, for the next totals.
         self.newest_limits = endpoint_limits.NewestLimits()
         self.peers.handle(Totals, self._on_totals)
 
-    def _spread(self, told: heartbeat.Heartbeat) -> None:
-        """Send a heartbeat of this VM."""
+    def _transmit(self, own: heartbeat.Heartbeat) -> None:
+        """Send this VM's heartbeat to all peers, or by way of collectors."""
         near = self.membership.near()
         if collectors.are_few(near):
-            self.evidence.receive(told.answers)
-            self.peers.send_all(told)
+            self.evidence.receive(own.answers)
+            self.peers.send_all(own)
             return
         now = time.monotonic()
-        collecting = collectors.select(self.ranking.vms)
-        self.sum.forget_old(now)
-        members = [vm for vm in self.sum.member_by_vm if vm != self.name]
-        if self.name in collecting or members or told.fence:
-            self._tell_sums(told, collecting, members)
+        collector_vms = collectors.select(self.ranking.vms)
+        self.aggregate.evict_stale(now)
+        members = [vm for vm in self.aggregate.member_by_vm if vm != self.name]
+        if self.name in collector_vms or members or own.fence:
+            self._publish_aggregate(own, collector_vms, members)
         else:
-            self.peers.post(self.own.choose(collecting, now), told)
+            self.peers.post(self.own_collector.choose(collector_vms, now), own)
 
-    def _tell_sums(
-        self, told: heartbeat.Heartbeat, collecting: list[str], members: list[str]
+    def _publish_aggregate(
+        self, own: heartbeat.Heartbeat, collector_vms: list[str], members: list[str]
     ) -> None:
-        """Tell collectors and holder the sum, and members what runs in all."""
-        self.evidence.receive(told.answers)
+        """Send the aggregate to collectors and holder, and the totals to members."""
+        self.evidence.receive(own.answers)
         now = time.monotonic()
-        self.sum.add(self.name, told, now)
-        self.answers.add(told.answers)
-        self.newest_limits.add(told.limits, now)
-        hearing = {*collecting, self.lease.holder()} - {self.name, ""}
-        self.peers.post_all(hearing, self.sum.take(told, now))
+        self.aggregate.add(self.name, own, now)
+        self.answers.add(own.answers)
+        self.newest_limits.add(own.limits, now)
+        recipients = {*collector_vms, self.lease.holder()} - {self.name, ""}
+        self.peers.post_all(recipients, self.aggregate.drain(own, now))
         if members:
-            self.peers.post_all(members, self._totals(told))
+            self.peers.post_all(members, self._make_totals(own))
 
-    def _totals(self, told: heartbeat.Heartbeat) -> Totals:
-        if told.fence:
-            self.holder_update = (self.name, told)
+    def _make_totals(self, own: heartbeat.Heartbeat) -> Totals:
+        if own.fence:
+            self.holder_update = (self.name, own)
         update, self.holder_update = self.holder_update, None
         totals = Totals(
             self.load.running_by_endpoint(),
-            told.declaration_version,
-            told.registry_changed_at,
+            own.declaration_version,
+            own.registry_changed_at,
             answers=self._suspect_answers(),
             limits=self.newest_limits.take(time.monotonic()),
         )
         if update is None:
             return totals
-        vm, of_holder = update
+        vm, holder_heartbeat = update
         return attrs.evolve(
             totals,
             holder=vm,
-            fence=of_holder.fence,
-            lease_version=of_holder.lease_version,
+            fence=holder_heartbeat.fence,
+            lease_version=holder_heartbeat.lease_version,
         )
 
     def _suspect_answers(self) -> tuple[heartbeat.AnswerRow, ...]:
-        """Return the answers of endpoints that made errors of late.
+        """Return the answers of endpoints that had errors recently.
 
-        The others' would be most of what a VM is told, and decide nothing.
+        Those of other endpoints would be most of the totals' size and affect no
+        decision.
         """
         now = time.monotonic()
         rows = self.answers.take()
         for endpoint_id, _, errors in rows:
             if errors:
-                self.suspect_until_by_id[endpoint_id] = now + SUSPECT_S
+                self.suspect_until_by_id[endpoint_id] = now + SUSPECT_RETENTION_S
         self.suspect_until_by_id = {
             endpoint_id: until
             for endpoint_id, until in self.suspect_until_by_id.items()
@@ -228,22 +231,22 @@
         }
         return tuple(row for row in rows if row[0] in self.suspect_until_by_id)
 
-    def _on_heartbeat(self, vm: str, told: heartbeat.Heartbeat) -> None:
+    def _on_heartbeat(self, vm: str, received: heartbeat.Heartbeat) -> None:
         if vm == self.name:
             return
-        self.answers.add(told.answers)
-        self.newest_limits.add(told.limits, time.monotonic())
-        if told.fence and not told.relayed:
-            self.holder_update = (vm, told)
-        if not (told.sums or told.relayed or self._is_mesh()):
-            self.sum.add(vm, told, time.monotonic())
+        self.answers.add(received.answers)
+        self.newest_limits.add(received.limits, time.monotonic())
+        if received.fence and not received.relayed:
+            self.holder_update = (vm, received)
+        if not (received.is_aggregate or received.relayed or self._is_full_mesh()):
+            self.aggregate.add(vm, received, time.monotonic())
 
-    def _is_mesh(self) -> bool:
-        """Return whether VMs are few enough to tell each other."""
+    def _is_full_mesh(self) -> bool:
+        """Return whether VMs are few enough for each to send to all others."""
         return collectors.are_few(self.membership.near())
 
     def _on_totals(self, vm: str, totals: Totals, _: peers.Answer) -> None:
-        self.own.on_totals(vm, time.monotonic())
+        self.own_collector.on_totals(vm, time.monotonic())
         self.load.take_totals(totals.running_by_endpoint)
         self.evidence.receive(totals.answers)
         self.limits.receive(totals.limits, vm)
@@ -252,7 +255,7 @@
             vm, heartbeat.Heartbeat(*versions, fence=0, relayed=True)
         )
         if totals.holder:
-            of_holder = heartbeat.Heartbeat(
+            holder_heartbeat = heartbeat.Heartbeat(
                 0, 0, totals.fence, lease_version=totals.lease_version, relayed=True
             )
-            self.heartbeats.receive(totals.holder, of_holder)
+            self.heartbeats.receive(totals.holder, holder_heartbeat)
--- a/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
@@ -1,8 +1,8 @@
-"""The heartbeat: what VMs tell each other a few times a second.
+"""Heartbeats: the state that VMs publish to each other a few times a second.
 
-Each VM tells its peers how much it runs where, what its callers ask for, and
-how new its declaration and registry are. Who lacks something asks
-for it, so that a VM that starts while the platform is away still serves.
+Each VM publishes how many requests it runs at each endpoint, what its callers request,
+and how new its declaration and registry are. A VM with older ones fetches them from a
+peer, so that a VM that starts while the platform is unreachable still serves.
 """
 
 import collections.abc
@@ -21,47 +21,47 @@
 
 #: Seconds between heartbeats.
 HEARTBEAT_S = 0.25
-#: Time after which a heartbeat says nothing any more, seconds.
+#: Age from which a heartbeat is no longer used, seconds.
 STALE_S = 2.0
-#: Time that the platform has to tell by itself what a peer knows, seconds.
+#: Time that the platform has to deliver what a peer already knows, seconds.
 CATCH_UP_DELAY_S = 0.35
-#: Time that a poll must have waited before a peer that knows more ends it,
+#: Time for which a poll must have waited before a peer that knows more interrupts it,
 #: seconds.
 POLL_STUCK_S = 1.0
-#: Seconds between questions to peers while a VM starts.
-ASK_S = 0.3
-#: Time for a peer to send its state, seconds.
-REPLY_S = 1.0
+#: Time between fetches of peers' state while a VM starts, seconds.
+STARTUP_FETCH_INTERVAL_S = 0.3
+#: Timeout for a peer's state, seconds.
+STATE_TIMEOUT_S = 1.0
 
 
-#: An endpoint's id, its answers that were not errors, and its errors.
+#: An endpoint's id, its number of answers that were not errors, and of its errors.
 AnswerRow = tuple[str, int, int]
-#: An endpoint's id, the most requests a second that it says it takes or None, and the
-#: ages of that request and of its answer, seconds.
+#: An endpoint's id, the limit that it reported in requests per second or None, and the
+#: ages of the request and of its answer, seconds.
 LimitRow = tuple[str, float | None, float, float]
 
 
 @messages.message(110)
 @attrs.frozen
 class Heartbeat:
-    """What a VM tells of itself.
+    """The state that a VM publishes.
 
-    :param declaration_version: the declaration in force there.
-    :param registry_changed_at: revision of the last change in its registry.
-    :param fence: the fencing token of the lease that it holds, or 0.
-    :param lease_version: the stored version of its last renewal, or empty.
-    :param running: requests that it has running, by endpoint and model.
+    :param declaration_version: version of the declaration in force at the VM.
+    :param registry_changed_at: revision of the last change of its registry.
+    :param fence: fencing token of the lease that it holds, or 0.
+    :param lease_version: stored version of its last lease renewal, or empty.
+    :param running: number of running requests, by endpoint, model and adapter.
     :param arrived: requests that arrived since the last heartbeat, by service,
         model and adapter; see :meth:`load.Load.arrive` for their weight. The
-        last figure is the tokens of their prompts that others do not share.
-    :param late: answers that came too slowly since the last heartbeat, by service
-        and model.
-    :param sums: whether these are the sums of several VMs.
-    :param relayed: whether another VM told it of this one.
-    :param answers: how endpoints answered since the last heartbeat.
+        last figure is the number of prompt tokens that other requests do not share.
+    :param late: number of answers since the last heartbeat that were too slow, by
+        service and model.
+    :param is_aggregate: whether it is the aggregate of several VMs.
+    :param relayed: whether another VM sent it on behalf of this one.
+    :param answers: answers of endpoints since the last heartbeat.
     :param spent: units of shared budgets that were spent since the last heartbeat, by
-        budget and lender; see :mod:`shared_budgets`.
-    :param limits: what endpoints said of their limits since the last heartbeat.
+        budget and granter; see :mod:`shared_budgets`.
+    :param limits: limits that endpoints reported since the last heartbeat.
     """
 
     declaration_version: int
@@ -71,7 +71,7 @@
     arrived: tuple[tuple[str, str, str, float, int], ...] = ()
     late: tuple[tuple[str, str, int], ...] = ()
     lease_version: str = ""
-    sums: bool = False
+    is_aggregate: bool = False
     relayed: bool = False
     answers: tuple[AnswerRow, ...] = ()
     spent: tuple[tuple[str, str, float], ...] = ()
@@ -81,10 +81,10 @@
 @messages.message(111)
 @attrs.frozen
 class StateRequest:
-    """Asks a peer for its declaration and registry where they are newer.
+    """Requests a peer's declaration and registry where they are newer.
 
-    :param declaration_version: the asker's declaration.
-    :param registry_cursor: the asker's registry.
+    :param declaration_version: version of the requesting VM's declaration.
+    :param registry_cursor: cursor of the requesting VM's registry.
     """
 
     declaration_version: int
@@ -94,11 +94,11 @@
 @messages.message(112)
 @attrs.frozen
 class State:
-    """A declaration and registry as the platform spells them.
+    """A peer's declaration and registry, as documents of the platform.
 
     :param declaration: the document; empty where it is not newer.
-    :param registry_cursor: how new the registry is.
-    :param document_by_name: its entries; empty where it is not newer.
+    :param registry_cursor: cursor of the registry.
+    :param document_by_name: entries of the registry; empty where it is not newer.
     """
 
     declaration: bytes
@@ -110,8 +110,8 @@
 class Received:
     """The last heartbeat of a peer.
 
-    :param heartbeat: what it said.
-    :param at: monotonic time at which it came.
+    :param heartbeat: the heartbeat.
+    :param at: monotonic time at which it was received.
     """
 
     heartbeat: Heartbeat
@@ -119,7 +119,7 @@
 
 
 class Heartbeats(kernel.Part):
-    """Sends this VM's heartbeat and keeps those of its peers.
+    """Sends this VM's heartbeats and stores the last one of each peer.
 
     :param node_kernel: the node's kernel.
     """
@@ -132,35 +132,35 @@
         self.discovery = node_kernel.get(discovery.Discovery)
         self.feeding = node_kernel.get(feeding.Feeding)
         self.received_by_vm: dict[str, Received] = {}
-        #: Functions that fill fields of the next heartbeat; each returns a dict.
+        #: Functions that return fields of the next heartbeat, each as a dict.
         self.on_heartbeat: list = []
-        #: Functions to call with a VM's name and its heartbeat, this VM's own too.
+        #: Functions to call with a VM's name and its heartbeat, this VM's included.
         self.on_received: list = []
-        #: Sends a heartbeat of this VM to others.
-        self.spread: collections.abc.Callable[[Heartbeat], None] = self.peers.send_all
-        self._asking = False
-        self.peers.handle(Heartbeat, lambda vm, told, _: self.receive(vm, told))
+        #: Transmits a heartbeat of this VM to peers.
+        self.transmit: collections.abc.Callable[[Heartbeat], None] = self.peers.send_all
+        self._is_fetching = False
+        self.peers.handle(Heartbeat, lambda vm, received, _: self.receive(vm, received))
         self.peers.handle(StateRequest, self._serve_state)
 
     def start(self) -> None:
-        """Start to send heartbeats."""
+        """Start to send heartbeats, and fetch what is missing from peers."""
         self.tasks.every(HEARTBEAT_S, self.send)
-        self.tasks.spawn(self._ask_at_start)
+        self.tasks.spawn(self._fetch_at_start)
 
     def fresh(self) -> dict[str, Heartbeat]:
-        """Return the heartbeats of peers that are recent, by VM."""
-        oldest = time.monotonic() - STALE_S
+        """Return the heartbeats of peers that are not stale, by VM."""
+        oldest_at = time.monotonic() - STALE_S
         return {
             vm: received.heartbeat
             for vm, received in self.received_by_vm.items()
-            if received.at >= oldest
+            if received.at >= oldest_at
         }
 
     def send(self) -> None:
-        """Send one heartbeat now."""
+        """Compose and send one heartbeat now."""
         fields = {}
-        for fill in self.on_heartbeat:
-            fields.update(fill())
+        for provide in self.on_heartbeat:
+            fields.update(provide())
         heartbeat = Heartbeat(
             self.declarations.version,
             self.discovery.changed_at,
@@ -168,75 +168,76 @@
         )
         for notify in self.on_received:
             notify(self.kernel.settings.name, heartbeat)
-        self.spread(heartbeat)
+        self.transmit(heartbeat)
 
     def receive(self, vm: str, heartbeat: Heartbeat) -> None:
-        """Take what a peer tells, or what another one tells of it.
+        """Process a heartbeat, sent by a peer itself or relayed by another one.
 
-        :param vm: whom it is about.
+        :param vm: the VM that the heartbeat describes.
         :param heartbeat: the heartbeat.
         """
         self.received_by_vm[vm] = Received(heartbeat, time.monotonic())
         for notify in self.on_received:
             notify(vm, heartbeat)
-        if self._behind(heartbeat):
+        if self._is_behind(heartbeat):
             self.tasks.spawn(self._catch_up, vm, heartbeat)
 
-    def _behind(self, heartbeat: Heartbeat) -> bool:
+    def _is_behind(self, heartbeat: Heartbeat) -> bool:
         return (
             heartbeat.declaration_version > self.declarations.version
             or heartbeat.registry_changed_at > self.discovery.registry.cursor
         )
 
     def _catch_up(self, vm: str, heartbeat: Heartbeat) -> None:
-        """Get what a peer has and the platform does not tell this VM."""
-        if self._asking:
+        """Obtain what a peer has and the platform does not deliver to this VM."""
+        if self._is_fetching:
             return
-        self._asking = True
+        self._is_fetching = True
         try:
             gevent.sleep(CATCH_UP_DELAY_S)
-            if not self._behind(heartbeat):
+            if not self._is_behind(heartbeat):
                 return
-            by_name = self.feeding.follower_by_name
+            follower_by_name = self.feeding.follower_by_name
             if heartbeat.declaration_version > self.declarations.version:
-                by_name["declarations"].interrupt_if_behind(
+                follower_by_name["declarations"].interrupt_if_behind(
                     heartbeat.registry_changed_at, CATCH_UP_DELAY_S
                 )
-            # The registry's revision also grows with every other write.
-            lost = by_name["endpoints"].lost_at is not None
-            stuck = heartbeat.registry_changed_at > self.discovery.registry.cursor
+            # The cursor also advances with unrelated writes, so the peer's last change
+            # is compared.
+            is_lost = follower_by_name["endpoints"].lost_at is not None
+            is_stuck = heartbeat.registry_changed_at > self.discovery.registry.cursor
             if heartbeat.declaration_version > self.declarations.version or (
-                lost and stuck
+                is_lost and is_stuck
             ):
                 self.ask(vm)
-            elif stuck:
-                by_name["endpoints"].interrupt_if_behind(
+            elif is_stuck:
+                follower_by_name["endpoints"].interrupt_if_behind(
                     heartbeat.registry_changed_at, POLL_STUCK_S
                 )
         finally:
-            self._asking = False
+            self._is_fetching = False
 
-    def _ask_at_start(self) -> None:
-        """Ask peers for what the platform has not told yet, one at a time.
+    def _fetch_at_start(self) -> None:
+        """Fetch what the platform has not delivered yet, from one peer at a time.
 
-        Where all VMs start at once, each asking all others moved the whole
-        registry between every two of them, and nobody served meanwhile.
+        When all VMs started at once and each fetched from all others, the whole
+        registry moved between every two VMs, and none served meanwhile.
         """
         while not (self.declarations.loaded.is_set() and self.discovery.loaded):
-            gevent.sleep(ASK_S)
+            gevent.sleep(STARTUP_FETCH_INTERVAL_S)
             near = self.membership.near()
             if near:
                 self.ask(random.choice(near).name)
 
     def ask(self, vm: str) -> None:
-        """Take a peer's declaration and registry where they are newer.
+        """Fetch and apply a peer's declaration and registry where they are newer.
 
         :param vm: the peer.
         """
         request = StateRequest(
             self.declarations.version, self.discovery.registry.cursor
         )
-        match self.peers.call(vm, request, REPLY_S):
+        match self.peers.call(vm, request, STATE_TIMEOUT_S):
             case result.Ok(State(declaration, cursor, document_by_name)):
                 if declaration:
                     self.declarations.offer(declaration, f"peer {vm}")
@@ -245,9 +246,9 @@
 
     def _serve_state(self, vm: str, request: StateRequest, answer) -> None:
         current = self.declarations.current
-        newer = current and current.version > request.declaration_version
+        is_newer = current and current.version > request.declaration_version
         cursor = self.discovery.registry.cursor
-        entries = {}
+        document_by_name = {}
         if cursor > request.registry_cursor and self.discovery.loaded:
-            entries = self.discovery.documents()
-        answer(State(current.document if newer else b"", cursor, entries))
+            document_by_name = self.discovery.documents()
+        answer(State(current.document if is_newer else b"", cursor, document_by_name))
--- a/packages/mothworks_gateway/tests/test_gathering.py
+++ b/packages/mothworks_gateway/tests/test_gathering.py
@@ -1,7 +1,7 @@
-"""Gathering: all VMs know what runs at each endpoint, the holder all that is asked for.
+"""Gathering: all VMs know what runs at each endpoint, the holder knows all demand.
 
-The pattern is 195 VMs before 59 endpoints that run ten requests each, in virtual time:
-each VM sends one or two requests a second, so none sees enough by itself.
+Simulates 195 VMs and 59 endpoints that run ten requests each, in virtual time. Each VM
+sends one or two requests a second, so none sees enough by itself.
 """
 
 import collections
@@ -35,7 +35,7 @@
 
 
 class Clock:
-    """Stands for the clock of the modules under test."""
+    """Fake clock of the modules under test."""
 
     def __init__(self, monkeypatch):
         self.now = 100.0
@@ -47,14 +47,14 @@
 
 
 class Vm:
-    """One VM: heartbeats, load and gathering, without network."""
+    """One VM with heartbeats, load and gathering, without network."""
 
     def __init__(self, name, fleet):
         self.held = False
         holder = types.SimpleNamespace(holder=lambda: fleet.holder)
         view = registry.Registry()
         view.by_id = {item.id: item for item in ENDPOINTS}
-        # As new as all heartbeats say, so that nobody asks for what it lacks.
+        # As new as all heartbeats state, so that no VM fetches state from a peer.
         view.cursor = 1
         parts = {
             lease.Lease: holder,
@@ -74,20 +74,20 @@
         kernel.parts[evidence.Evidence] = evidence.Evidence(kernel)
         fleet_builders.add_limits(kernel)
         self.gathering = gathering.Gathering(kernel)
-        #: Requests that arrived, as this VM heard.
-        self.heard = 0
+        #: Number of arrived requests in all heartbeats that this VM received.
+        self.arrived_count = 0
         self.heartbeats.on_received.append(self.count)
 
-    def count(self, _, told):
-        self.heard += sum(row[3] for row in told.arrived)
+    def count(self, _, received):
+        self.arrived_count += sum(row[3] for row in received.arrived)
 
 
 class Fleet:
-    """VMs that heartbeat four times a second, in an order drawn anew each time."""
+    """VMs that send heartbeats four times a second, in a new random order each time."""
 
     def __init__(self, monkeypatch, count=VMS):
         self.clock = Clock(monkeypatch)
-        self.draw = random.Random(count)
+        self.random = random.Random(count)
         self.wire = fleet_builders.Wire()
         self.names = fleet_builders.names_of(count)
         self.holder = ""
@@ -95,48 +95,49 @@
         any_vm = self.vm_by_name[self.names[0]].gathering
         self.collectors = collectors.select(any_vm.ranking.vms)
         self.holder = self.collectors[0]
-        self.begun = collections.Counter()
+        self.running_by_endpoint = collections.Counter()
 
     def begin(self, name, endpoint):
         self.vm_by_name[name].load.begin(endpoint, MODEL)
         self.vm_by_name[name].load.arrived[MODEL] += 1.0
-        self.begun[endpoint.id] += 1
+        self.running_by_endpoint[endpoint.id] += 1
 
     def run(self, seconds):
         for _ in range(round(seconds / heartbeat.HEARTBEAT_S)):
             self.clock.now += heartbeat.HEARTBEAT_S
-            for name in self.draw.sample(self.names, len(self.names)):
+            for name in self.random.sample(self.names, len(self.names)):
                 if name not in self.wire.down:
                     self.vm_by_name[name].heartbeats.send()
                     self.vm_by_name[name].load._expire()
 
     def fill(self):
-        """Let ten requests run at each endpoint, each sent by any VM."""
+        """Start ten requests at each endpoint, each from a random VM."""
         for endpoint in ENDPOINTS:
             for _ in range(10):
-                self.begin(self.draw.choice(self.names), endpoint)
+                self.begin(self.random.choice(self.names), endpoint)
 
-    def unknown(self, name):
-        """Return by how many requests a VM's view of all endpoints is off."""
+    def count_error(self, name):
+        """Return by how many requests a VM's view of all endpoints is wrong."""
         view = self.vm_by_name[name].load
         return sum(
-            abs(view.of_endpoint(item.id) - self.begun[item.id]) for item in ENDPOINTS
+            abs(view.of_endpoint(item.id) - self.running_by_endpoint[item.id])
+            for item in ENDPOINTS
         )
 
 
 @pytest.mark.parametrize("count", [2, 17, 18, 75, VMS])
-def test_all_vms_know_all_that_runs(monkeypatch, count):
-    # With heartbeats to 16 peers drawn at random, a VM knew half of the 590 requests.
+def test_all_vms_know_all_running_requests(monkeypatch, count):
+    # With heartbeats to 16 random peers, a VM knew half of the 590 requests.
     fleet = Fleet(monkeypatch, count)
     fleet.run(1)
     fleet.fill()
     fleet.run(1)
-    assert {fleet.unknown(name) for name in fleet.names} == {0}
+    assert {fleet.count_error(name) for name in fleet.names} == {0}
 
 
-@pytest.mark.parametrize("holder", ["first in line", "any other"])
-def test_the_holder_hears_of_each_request_once(monkeypatch, holder):
-    # With heartbeats to 16 peers the holder heard of 8 in 100 requests, and ordered
+@pytest.mark.parametrize("holder", ["first by rank", "any other"])
+def test_the_holder_counts_each_request_once(monkeypatch, holder):
+    # With heartbeats to 16 peers, the holder received 8 in 100 requests and ordered
     # models for a twelfth of the demand.
     fleet = Fleet(monkeypatch)
     if holder == "any other":
@@ -144,18 +145,18 @@
     fleet.run(2)
     fleet.fill()
     fleet.run(1)
-    assert fleet.vm_by_name[fleet.holder].heard == 590
+    assert fleet.vm_by_name[fleet.holder].arrived_count == 590
 
 
-def test_who_would_hold_the_lease_next_knows_the_demand(monkeypatch):
+def test_the_next_holder_by_rank_knows_the_demand(monkeypatch):
     fleet = Fleet(monkeypatch)
     fleet.run(1)
     fleet.fill()
     fleet.run(1)
-    assert fleet.vm_by_name[fleet.collectors[1]].heard == 590
+    assert fleet.vm_by_name[fleet.collectors[1]].arrived_count == 590
 
 
-def test_all_vms_hear_of_the_holder(monkeypatch):
+def test_all_vms_know_the_holder(monkeypatch):
     fleet = Fleet(monkeypatch)
     fleet.holder = next(vm for vm in fleet.names if vm not in fleet.collectors)
     fleet.run(1)
@@ -163,32 +164,35 @@
         assert fleet.vm_by_name[name].heartbeats.fresh()[fleet.holder].fence == 3
 
 
-def test_a_collector_that_dies_is_replaced_and_nothing_counts_twice(monkeypatch):
-    # A collector is killed and membership has not noticed. Its VMs must not go on
-    # without any view, nor may their requests count at two collectors for good.
+def test_a_failed_collector_is_replaced_and_nothing_counts_twice(monkeypatch):
+    # A collector is killed and membership has not noticed yet. Its VMs must regain a
+    # view, and their requests must not stay counted at two collectors.
     fleet = Fleet(monkeypatch)
     fleet.run(1)
     fleet.fill()
     fleet.run(1)
-    dead = fleet.collectors[3]
-    fleet.wire.down.add(dead)
-    lost = fleet.vm_by_name[dead].load.running.by_endpoint
-    fleet.begun -= lost
+    failed = fleet.collectors[3]
+    fleet.wire.down.add(failed)
+    lost_requests = fleet.vm_by_name[failed].load.running.by_endpoint
+    fleet.running_by_endpoint -= lost_requests
     fleet.run(collectors.TOTALS_TIMEOUT_S + heartbeat.STALE_S + 1.0)
-    living = set(fleet.names) - {dead}
-    assert {fleet.unknown(name) for name in living} == {0}
+    living = set(fleet.names) - {failed}
+    assert {fleet.count_error(name) for name in living} == {0}
 
 
-def test_a_vm_sends_and_hears_a_few_messages(monkeypatch):
-    # Heartbeats to all peers were 195 times 194 messages each quarter of a second. Now:
-    # one to a collector and one back; a collector tells 8 others and some 24 VMs.
+def test_a_vm_sends_few_messages(monkeypatch):
+    # Heartbeats from each VM to all peers took 195 times 194 messages per interval of
+    # 0.25 s. With collectors, a VM sends one message and receives one; a collector
+    # sends to 8 others and about 24 VMs.
     fleet = Fleet(monkeypatch)
     fleet.run(2)
     fleet.wire.sent_by_vm.clear()
     fleet.run(1)
     sent = fleet.wire.sent_by_vm
-    plain = [sent[name] for name in fleet.names if name not in fleet.collectors]
-    assert max(plain) <= 5
+    sent_by_non_collectors = [
+        sent[name] for name in fleet.names if name not in fleet.collectors
+    ]
+    assert max(sent_by_non_collectors) <= 5
     assert max(sent.values()) <= 4 * (8 + 2 * collectors.VMS_PER_COLLECTOR)
 
 
@@ -201,27 +205,27 @@
     assert fleet.vm_by_name[name].load.of_endpoint("i-0") == 3
 
 
-def know(known, near):
-    """Let a VM's membership know other VMs."""
-    known.near = lambda: near
-    for notify in known.on_change:
+def set_members(view, near):
+    """Change the live VMs in a VM's membership."""
+    view.near = lambda: near
+    for notify in view.on_change:
         notify()
 
 
-def test_a_vm_that_collected_for_a_moment_stops(monkeypatch):
-    # While VMs start, some know few others and take themselves for collectors. They
-    # counted themselves among those that they collect for, so none of them ever
-    # stopped: they told nobody else, heard no totals, and tried to take the lease.
+def test_a_temporary_collector_stops_collecting(monkeypatch):
+    # While VMs start, some know few others and act as collectors. They counted
+    # themselves among the VMs that report to them, so none of them ever stopped: they
+    # reported to no collector, received no totals, and tried to acquire the lease.
     fleet = Fleet(monkeypatch)
     name = next(vm for vm in fleet.names if vm not in fleet.collectors)
-    known = fleet.vm_by_name[name].gathering.membership
-    all_near = known.near()
-    know(known, all_near[:17])
+    view = fleet.vm_by_name[name].gathering.membership
+    all_near = view.near()
+    set_members(view, all_near[:17])
     monkeypatch.setattr(collectors, "MIN_COLLECTORS", 18)
     fleet.vm_by_name[name].heartbeats.send()
     monkeypatch.undo()
     fleet.clock = Clock(monkeypatch)
-    know(known, all_near)
+    set_members(view, all_near)
     fleet.run(1)
     assert fleet.vm_by_name[name].load.totals is not None
     assert fleet.vm_by_name[name].heartbeats.fresh()[fleet.holder].fence == 3
@@ -232,17 +236,20 @@
 ]
 
 
-def answer(fleet, seconds, bad, share):
-    """Let VMs get 100 answers a second from six endpoints, of which some err."""
+def run_lookups(fleet, seconds, failing, error_share):
+    """Give VMs 100 answers a second from six endpoints, of which some return errors.
+
+    :returns: pairs of a VM and an endpoint's id that the VM passed over at any time.
+    """
     passed_over = set()
     for _ in range(round(seconds / heartbeat.HEARTBEAT_S)):
         for _ in range(25):
-            view = fleet.vm_by_name[fleet.draw.choice(fleet.names)].health
-            endpoint = fleet.draw.choice(LOOKUPS)
-            if fleet.draw.random() < (share if endpoint in bad else 0.004):
-                view.failed(endpoint, "status 500", 0.5)
+            health_part = fleet.vm_by_name[fleet.random.choice(fleet.names)].health
+            endpoint = fleet.random.choice(LOOKUPS)
+            if fleet.random.random() < (error_share if endpoint in failing else 0.004):
+                health_part.failed(endpoint, "status 500", 0.5)
             else:
-                view.succeeded(endpoint, 0.05)
+                health_part.succeeded(endpoint, 0.05)
         fleet.run(heartbeat.HEARTBEAT_S)
         passed_over |= {
             (name, endpoint.id)
@@ -253,7 +260,7 @@
     return passed_over
 
 
-def with_lookups(monkeypatch, count):
+def fleet_with_lookups(monkeypatch, count):
     fleet = Fleet(monkeypatch, count)
     for vm in fleet.vm_by_name.values():
         vm.health.registry.by_id.update({item.id: item for item in LOOKUPS})
@@ -262,64 +269,68 @@
 
 
 @pytest.mark.parametrize("count", [9, 75, VMS])
-def test_an_endpoint_that_errs_for_all_is_passed_over_by_all(monkeypatch, count):
+def test_an_endpoint_that_fails_for_all_vms_is_passed_over_by_all(monkeypatch, count):
     # One of six endpoints answers 40 in 100 lookups with an error while its health
-    # check is good. A VM among 195 asks it once in twelve seconds, and none of them
-    # passed it over by itself; callers were sent from one failure to the next.
-    fleet = with_lookups(monkeypatch, count)
-    passed_over = answer(fleet, 3, LOOKUPS[:1], 0.4)
+    # check passes. Each of 195 VMs sends it one request in twelve seconds, so none
+    # passed it over by itself, and callers got one failure after the other.
+    fleet = fleet_with_lookups(monkeypatch, count)
+    passed_over = run_lookups(fleet, 3, LOOKUPS[:1], 0.4)
     assert passed_over == {(name, "lookup-0") for name in fleet.names}
 
 
-def test_usual_errors_pass_no_endpoint_over(monkeypatch):
-    # Four in a thousand requests end in an error that they cause themselves.
-    fleet = with_lookups(monkeypatch, VMS)
-    assert answer(fleet, 20, [], 0.0) == set()
+def test_no_endpoint_is_passed_over_for_usual_errors(monkeypatch):
+    # Four in a thousand requests cause an error of their own.
+    fleet = fleet_with_lookups(monkeypatch, VMS)
+    assert run_lookups(fleet, 20, [], 0.0) == set()
 
 
 def test_an_endpoint_that_recovered_is_used_again(monkeypatch):
-    fleet = with_lookups(monkeypatch, VMS)
-    answer(fleet, 3, LOOKUPS[:1], 0.4)
-    answer(fleet, 4, [], 0.0)
-    assert answer(fleet, 3, [], 0.0) == set()
+    fleet = fleet_with_lookups(monkeypatch, VMS)
+    run_lookups(fleet, 3, LOOKUPS[:1], 0.4)
+    run_lookups(fleet, 4, [], 0.0)
+    assert run_lookups(fleet, 3, [], 0.0) == set()
 
 
-def test_a_vm_that_alone_does_not_reach_an_endpoint_judges_for_itself(monkeypatch):
-    # Its link to the endpoint is cut. To the others the endpoint is good, and must
-    # stay in use.
-    fleet = with_lookups(monkeypatch, VMS)
-    alone = fleet.vm_by_name[fleet.names[7]]
+def test_an_endpoint_unreachable_from_one_vm_is_passed_over_only_there(monkeypatch):
+    # One VM's link to the endpoint is cut. The endpoint works for all other VMs and
+    # must stay in use there.
+    fleet = fleet_with_lookups(monkeypatch, VMS)
+    isolated = fleet.vm_by_name[fleet.names[7]]
     for _ in range(20):
-        alone.health.failed(LOOKUPS[0], "timed out")
-    # Less than an endpoint is passed over for at least.
+        isolated.health.failed(LOOKUPS[0], "timed out")
+    # Shorter than the minimum time for which an endpoint is passed over.
     fleet.run(0.5)
-    assert LOOKUPS[0] not in alone.health.usable(LOOKUPS)
+    assert LOOKUPS[0] not in isolated.health.usable(LOOKUPS)
     others = [fleet.vm_by_name[name] for name in fleet.names if name != fleet.names[7]]
     assert all(LOOKUPS[0] in vm.health.usable(LOOKUPS) for vm in others)
 
 
-def test_the_order_of_vms_is_computed_once_a_change(monkeypatch):
-    # Computed for each heartbeat, it took two fifths of what those of 195 VMs cost.
+def test_the_ranking_is_computed_once_per_membership_change(monkeypatch):
+    # Computed for each heartbeat, it took two fifths of the heartbeats' cost (195 VMs).
     fleet = Fleet(monkeypatch)
     fleet.run(1)
-    weighed = []
+    computed_keys = []
     weight = ranking.ownership.weight
     monkeypatch.setattr(
-        ranking.ownership, "weight", lambda *key: weighed.append(key) or weight(*key)
+        ranking.ownership,
+        "weight",
+        lambda *key: computed_keys.append(key) or weight(*key),
     )
     fleet.run(2)
-    assert weighed == []
+    assert computed_keys == []
     part = fleet.vm_by_name[fleet.names[0]].gathering
-    know(part.membership, part.membership.near()[1:])
+    set_members(part.membership, part.membership.near()[1:])
     assert len(part.ranking.vms) == VMS - 1
-    assert len(weighed) == VMS - 1
+    assert len(computed_keys) == VMS - 1
 
 
-def test_a_fleet_leaves_no_tasks_to_other_tests(monkeypatch):
-    # Each VM asked for a registry that it took for newer than its own. Thousands of
-    # such tasks ended with a traceback as soon as another test in the same process
-    # entered the loop, and kept that test's calls waiting past their timeouts.
+def test_a_fleet_leaves_no_tasks_behind(monkeypatch):
+    # Each VM tried to fetch a registry that seemed newer than its own. Thousands of
+    # such tasks ended with a traceback once another test in the same process entered
+    # the event loop, and delayed that test's calls past their timeouts.
     fleet = Fleet(monkeypatch)
     fleet.run(1)
-    left = [vm for vm in fleet.vm_by_name.values() if len(vm.heartbeats.tasks.group)]
-    assert left == []
+    busy_vms = [
+        vm for vm in fleet.vm_by_name.values() if len(vm.heartbeats.tasks.group)
+    ]
+    assert busy_vms == []
