--- a/packages/mothworks_gateway/src/mothworks_gateway/relayed_objects.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/relayed_objects.py
@@ -1,10 +1,10 @@
-"""Relayed objects: the platform's store by way of a peer that reaches it.
+"""Relayed objects: access to the platform's store through a peer that reaches it.
 
-A VM may be cut off from the platform's store while its peers reach it. Where it
-holds the lease, nobody would order endpoints until another VM may take it, six
-seconds and more. A conditional write means the same whoever carries it: it takes
-effect once and only on the version that it names. So a call that the store does
-not answer soon is made through peers.
+A VM may be cut off from the platform's store while its peers reach it. If it holds the
+lease, nobody would order endpoints until another VM may take over, after six seconds or
+more. A conditional write has the same effect whichever VM sends it: it is applied at
+most once, and only to the version that it names. So a call that the store does not
+answer in time is repeated through peers.
 """
 
 import enum
@@ -20,18 +20,18 @@
 
 log = logbook.Logger("relay")
 
-#: Time for the store's own answer before peers are asked, seconds: its slowest
-#: usual answers take 0.3 s, and two peers must be asked before a lease of 3 s
-#: that is renewed every 1.2 s lapses.
-OWN_S = 0.45
-#: Time for a peer's answer, seconds.
-PEER_S = 0.5
-#: Peers that are asked for one call.
-MOST_PEERS = 2
+#: Timeout of this VM's own call before peers are called, seconds: the slowest usual
+#: answers of the store take 0.3 s, and there must be time to call two peers before a
+#: lease of 3 s that is renewed every 1.2 s expires.
+STORE_TIMEOUT_S = 0.45
+#: Timeout of a call to a peer, seconds.
+PEER_TIMEOUT_S = 0.5
+#: Most peers that are called for one operation.
+MAX_PEERS = 2
 
 
-class Answer(enum.Enum):
-    """What the store answered to a peer."""
+class StoreOutcome(enum.Enum):
+    """Outcome of a peer's call to the store."""
 
     DONE = "done"
     MISSING = "missing"
@@ -43,7 +43,7 @@
 @messages.message(120)
 @attrs.frozen
 class RelayedRead:
-    """Asks a peer to read an object.
+    """Requests a peer to read an object.
 
     :param key: the object's key.
     """
@@ -54,11 +54,11 @@
 @messages.message(121)
 @attrs.frozen
 class RelayedWrite:
-    """Asks a peer to write an object.
+    """Requests a peer to write an object.
 
     :param key: the object's key.
-    :param body: what to write.
-    :param version: the version that must be there; empty for none.
+    :param body: the content to write.
+    :param version: the version that must be stored; empty where none may be.
     """
 
     key: str
@@ -68,11 +68,11 @@
 
 @messages.message(122)
 @attrs.frozen
-class Relayed:
-    """Tells what the store answered.
+class RelayedReply:
+    """A peer's reply with the outcome of its call to the store.
 
-    :param answer: the value of an :class:`Answer`.
-    :param version: the object's version after it, where it is there.
+    :param answer: value of a :class:`StoreOutcome`.
+    :param version: the object's version after the call, where it exists.
     :param body: its content, where it was read.
     """
 
@@ -82,21 +82,21 @@
 
 
 class RelayedObjects(kernel.Part):
-    """Reads and writes objects, through peers where the store is silent.
+    """Reads and writes objects, through peers where the store does not answer.
 
     :param node_kernel: the node's kernel.
     """
 
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
-        chosen = node_kernel.settings
-        plugin = plugins.find(plugins.OBJECT_API, chosen.adapter)(chosen)
-        self.own = objects.Client(plugin, node_kernel.metrics)
+        settings = node_kernel.settings
+        plugin = plugins.find(plugins.OBJECT_API, settings.adapter)(settings)
+        self.store = objects.Client(plugin, node_kernel.metrics)
         self.peers = node_kernel.get(peers.Peers)
         self.membership = node_kernel.get(membership.Membership)
-        #: Whether the store answered the last call that this VM made.
-        self.answered = True
-        #: Functions to call when the store answers this VM after it failed to.
+        #: Whether the store answered this VM's last call.
+        self.is_reachable = True
+        #: Functions to call when the store answers this VM again after an outage.
         self.on_return: list = []
         self.peers.handle(RelayedRead, self._serve_read)
         self.peers.handle(RelayedWrite, self._serve_write)
@@ -106,14 +106,14 @@
 
         :param key: its key.
         """
-        outcome = self._own(self.own.get, key)
-        if outcome is not None and not _unanswered(outcome):
+        outcome = self._call_store(self.store.get, key)
+        if outcome is not None and not _is_unanswered(outcome):
             return outcome
-        for told in self._ask(RelayedRead(key)):
-            match Answer(told.answer):
-                case Answer.DONE:
-                    return result.Ok(objects.Stored(key, told.version, told.body))
-                case Answer.MISSING:
+        for reply in self._call_peers(RelayedRead(key)):
+            match StoreOutcome(reply.answer):
+                case StoreOutcome.DONE:
+                    return result.Ok(objects.Stored(key, reply.version, reply.body))
+                case StoreOutcome.MISSING:
                     return result.Err(objects.Missing(key))
         return result.Err(objects.Unavailable("neither the store nor peers answer"))
 
@@ -123,85 +123,89 @@
         """Write one object; see :meth:`objects.Api.put`.
 
         :param key: its key.
-        :param body: what to write.
-        :param version: the version that must be there; None for none.
+        :param body: the content to write.
+        :param version: the version that must be stored; None where none may be.
         """
-        outcome = self._own(self.own.put, key, body, version)
-        if outcome is not None and not _unanswered(outcome):
+        outcome = self._call_store(self.store.put, key, body, version)
+        if outcome is not None and not _is_unanswered(outcome):
             return outcome
-        may_be_done = outcome is None or isinstance(outcome.err(), objects.Unknown)
-        for told in self._ask(RelayedWrite(key, body, version or "")):
-            match Answer(told.answer):
-                case Answer.DONE:
-                    return result.Ok(told.version)
-                case Answer.CONFLICT if not may_be_done:
+        may_have_applied = outcome is None or isinstance(outcome.err(), objects.Unknown)
+        for reply in self._call_peers(RelayedWrite(key, body, version or "")):
+            match StoreOutcome(reply.answer):
+                case StoreOutcome.DONE:
+                    return result.Ok(reply.version)
+                case StoreOutcome.CONFLICT if not may_have_applied:
                     return result.Err(objects.Conflict(key))
-                case Answer.CONFLICT:
-                    # This VM's own write, or a peer's, may be what it met.
+                case StoreOutcome.CONFLICT:
+                    # The conflict may be with this VM's own write, or with a peer's.
                     break
-                case Answer.UNKNOWN:
-                    may_be_done = True
-        if may_be_done:
+                case StoreOutcome.UNKNOWN:
+                    may_have_applied = True
+        if may_have_applied:
             return result.Err(objects.Unknown("no answer from the store or peers"))
         return result.Err(objects.Unavailable("neither the store nor peers answer"))
 
-    def _own(self, call: typing.Callable, *args) -> result.Result | None:
-        """Return the store's own answer; None where it does not come soon.
+    def _call_store(self, call: typing.Callable, *args) -> result.Result | None:
+        """Call the store directly; return None where it does not answer in time.
 
-        A call that is not waited for ends by its own timeout.
+        The abandoned call ends by its own timeout.
         """
         task = gevent.spawn(call, *args)
-        task.join(OWN_S)
+        task.join(STORE_TIMEOUT_S)
         if task.exception is not None:
             raise task.exception
-        self._note(task.value is not None and not _unanswered(task.value))
+        self._record_reachability(
+            task.value is not None and not _is_unanswered(task.value)
+        )
         return task.value
 
-    def _note(self, answered: bool) -> None:
-        returned = answered and not self.answered
-        self.answered = answered
-        if returned:
+    def _record_reachability(self, is_reachable: bool) -> None:
+        is_recovered = is_reachable and not self.is_reachable
+        self.is_reachable = is_reachable
+        if is_recovered:
             for notify in self.on_return:
                 notify()
 
-    def _ask(self, message: RelayedRead | RelayedWrite) -> typing.Iterator[Relayed]:
-        """Yield the answers of some peers, in turn."""
+    def _call_peers(
+        self, message: RelayedRead | RelayedWrite
+    ) -> typing.Iterator[RelayedReply]:
+        """Call a few connected peers in turn, and yield their replies."""
         near = [item.name for item in self.membership.near()]
         linked = [name for name in near if self.peers.linked(name)]
-        for name in random.sample(linked, min(MOST_PEERS, len(linked))):
-            match self.peers.call(name, message, PEER_S):
-                case result.Ok(Relayed() as told):
-                    logs.event(log, "relayed", peer=name, outcome=told.answer)
-                    yield told
+        for name in random.sample(linked, min(MAX_PEERS, len(linked))):
+            match self.peers.call(name, message, PEER_TIMEOUT_S):
+                case result.Ok(RelayedReply() as reply):
+                    logs.event(log, "relayed", peer=name, outcome=reply.answer)
+                    yield reply
                 case result.Err(failure) if failure.sent:
-                    yield Relayed(Answer.UNKNOWN.value)
+                    yield RelayedReply(StoreOutcome.UNKNOWN.value)
 
-    def _serve_read(self, _: str, asked: RelayedRead, answer: peers.Answer) -> None:
-        self.tasks.spawn(lambda: answer(_told(self.own.get(asked.key))))
+    def _serve_read(self, _: str, request: RelayedRead, answer: peers.Answer) -> None:
+        self.tasks.spawn(lambda: answer(_reply_of(self.store.get(request.key))))
 
-    def _serve_write(self, _: str, asked: RelayedWrite, answer: peers.Answer) -> None:
+    def _serve_write(self, _: str, request: RelayedWrite, answer: peers.Answer) -> None:
         def write():
-            version = asked.version or None
-            answer(_told(self.own.put(asked.key, asked.body, version)))
+            version = request.version or None
+            answer(_reply_of(self.store.put(request.key, request.body, version)))
 
         self.tasks.spawn(write)
 
 
-def _unanswered(outcome: result.Result) -> bool:
+def _is_unanswered(outcome: result.Result) -> bool:
     return isinstance(outcome.err(), objects.Unavailable | objects.Unknown)
 
 
-def _told(outcome: result.Result) -> Relayed:
-    """Return what a peer is told of the store's answer."""
+def _reply_of(outcome: result.Result) -> RelayedReply:
+    """Return the reply that describes an outcome of the store to a peer."""
     match outcome:
         case result.Ok(objects.Stored() as stored):
-            return Relayed(Answer.DONE.value, stored.version, stored.body)
+            return RelayedReply(StoreOutcome.DONE.value, stored.version, stored.body)
         case result.Ok(version):
-            return Relayed(Answer.DONE.value, version)
+            return RelayedReply(StoreOutcome.DONE.value, version)
         case result.Err(objects.Missing()):
-            return Relayed(Answer.MISSING.value)
+            return RelayedReply(StoreOutcome.MISSING.value)
         case result.Err(objects.Unavailable()):
-            return Relayed(Answer.UNAVAILABLE.value)
+            return RelayedReply(StoreOutcome.UNAVAILABLE.value)
         case result.Err(objects.Unknown()):
-            return Relayed(Answer.UNKNOWN.value)
-    return Relayed(Answer.CONFLICT.value)
+            return RelayedReply(StoreOutcome.UNKNOWN.value)
+    return RelayedReply(StoreOutcome.CONFLICT.value)
--- a/packages/mothworks_gateway/tests/test_relayed_objects.py
+++ b/packages/mothworks_gateway/tests/test_relayed_objects.py
@@ -1,4 +1,4 @@
-"""Relayed objects: a VM that the store turns away reads and writes by a peer."""
+"""Relayed objects: a VM without access to the store reads and writes through a peer."""
 
 import itertools
 import types
@@ -15,15 +15,15 @@
 
 
 class Store:
-    """One store for all VMs."""
+    """Fake store, shared by all VMs."""
 
     def __init__(self):
         self.versions = itertools.count(1)
         self.stored = None
 
     def put(self, key, body, version):
-        there = self.stored.version if self.stored else None
-        if there != version:
+        stored_version = self.stored.version if self.stored else None
+        if stored_version != version:
             return result.Err(objects.Conflict(key))
         self.stored = objects.Stored(key, str(next(self.versions)), body)
         return result.Ok(self.stored.version)
@@ -31,7 +31,7 @@
 
 @plugins.register(plugins.OBJECT_API, "none")
 class Link:
-    """One VM's way to the store, which fails as a test says."""
+    """Fake object API of one VM, with a fault that a test injects."""
 
     store = Store()
 
@@ -51,28 +51,28 @@
             return result.Err(objects.Unavailable("503"))
         if self.fault == "silent":
             gevent.sleep(30)
-        done = self.store.put(key, body, version)
-        return result.Err(objects.Unknown("lost")) if self.fault == "lost" else done
+        outcome = self.store.put(key, body, version)
+        return result.Err(objects.Unknown("lost")) if self.fault == "lost" else outcome
 
 
 class Peers:
-    """Delivers messages between the VMs of a test."""
+    """Fake peers that deliver messages between the VMs of a test."""
 
-    def __init__(self, all_vms, name):
-        self.all_vms = all_vms
+    def __init__(self, peers_by_vm, name):
+        self.peers_by_vm = peers_by_vm
         self.name = name
         self.handler_by_class = {}
-        all_vms[name] = self
+        peers_by_vm[name] = self
 
     def handle(self, message_class, handler):
         self.handler_by_class[message_class] = handler
 
     def linked(self, name):
-        return name in self.all_vms
+        return name in self.peers_by_vm
 
     def call(self, name, message, timeout_s):
         answer = gevent.event.AsyncResult()
-        handler = self.all_vms[name].handler_by_class[type(message)]
+        handler = self.peers_by_vm[name].handler_by_class[type(message)]
         handler(self.name, message, answer.set)
         try:
             return result.Ok(answer.get(timeout=timeout_s))
@@ -83,50 +83,50 @@
 @pytest.fixture
 def vms():
     Link.store = Store()
-    everybody = {}
-    made = []
+    peers_by_vm = {}
+    relays = []
     for name in ("vm-1", "vm-2"):
         others = [types.SimpleNamespace(name=n) for n in ("vm-1", "vm-2") if n != name]
         parts = {
-            peers.Peers: Peers(everybody, name),
+            peers.Peers: Peers(peers_by_vm, name),
             membership.Membership: types.SimpleNamespace(near=lambda o=others: o),
         }
         kernel = gateway_builders.Kernel(parts)
-        made.append(relayed_objects.RelayedObjects(kernel))
-    return made
+        relays.append(relayed_objects.RelayedObjects(kernel))
+    return relays
 
 
 @pytest.mark.parametrize("fault", ["refuses", "silent"])
-def test_a_vm_that_the_store_turns_away_writes_by_a_peer(vms, fault):
-    # The store serves all VMs but the one that holds the lease. Its renewals
-    # failed, and for eight seconds nobody ordered models that callers moved to.
+def test_a_vm_without_the_store_writes_through_a_peer(vms, fault):
+    # The store is reachable for all VMs except the lease holder. Its renewals failed,
+    # and for eight seconds nobody ordered the models that callers switched to.
     first, second = vms
     version = second.put(KEY, b"1", None).unwrap()
-    first.own.plugin.fault = fault
+    first.store.plugin.fault = fault
     with gevent.Timeout(2):
         assert first.put(KEY, b"2", version).is_ok()
         assert first.get(KEY).unwrap().body == b"2"
 
 
-def test_a_conflict_that_its_own_write_may_have_caused_is_no_conflict(vms):
-    # The store does the write and loses its answer. The peer's copy then meets
-    # another version: the writer must read back before it gives up.
+def test_a_conflict_that_the_own_write_may_have_caused_is_unknown(vms):
+    # The store applies the write and its answer is lost. The write through the peer
+    # then conflicts: the writer must read back before it drops its lease.
     first, second = vms
     version = second.put(KEY, b"1", None).unwrap()
-    first.own.plugin.fault = "lost"
+    first.store.plugin.fault = "lost"
     assert isinstance(first.put(KEY, b"2", version).err(), objects.Unknown)
     assert second.get(KEY).unwrap().body == b"2"
 
 
-def test_a_conflict_is_told_where_nothing_was_written(vms):
+def test_a_conflict_is_reported_where_nothing_was_written(vms):
     first, second = vms
     second.put(KEY, b"1", None)
-    first.own.plugin.fault = "refuses"
+    first.store.plugin.fault = "refuses"
     assert isinstance(first.put(KEY, b"2", "none").err(), objects.Conflict)
 
 
-def test_nothing_is_claimed_while_the_store_is_away_for_all(vms):
+def test_the_store_is_unavailable_while_no_vm_reaches_it(vms):
     for vm in vms:
-        vm.own.plugin.fault = "refuses"
+        vm.store.plugin.fault = "refuses"
     assert isinstance(vms[0].put(KEY, b"2", None).err(), objects.Unavailable)
     assert isinstance(vms[0].get(KEY).err(), objects.Unavailable)
