--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -1,10 +1,10 @@
 """Credit: the usage caps of accounts hold for all VMs together.
 
-The pattern is a deployment of 60 or 300 VMs in virtual time: 16 accounts, caps of
-4,200 to 165,000 tokens a second, requests of 800 to 9,000 tokens that reach any VM,
-accounts that ask for several times their cap, and VMs that are killed, frozen or cut
-from the others. No window of 8 s may run more than the deployment tolerates, and an
-account below its cap is not refused.
+Modelled in virtual time on a deployment of 60 or 300 VMs: 16 accounts, caps of 4,200 to
+165,000 tokens a second, requests of 800 to 9,000 tokens that reach any VM, accounts
+that request several times their cap, and VMs that are killed, frozen or cut off from
+the others. The usage in no window of 8 s may exceed what the deployment tolerates, and
+an account below its cap is not refused.
 """
 
 import collections
@@ -54,26 +54,26 @@
 
 
 class Peers(fleet_builders.Peers):
-    """Connections over which VMs also ask each other, at once or not at all."""
+    """Fake connections that also carry calls, which succeed at once or fail."""
 
     def open(self, _):
         pass
 
     def call(self, vm, message, timeout_s):
-        told = []
+        replies = []
         if not {vm, self.name} & self.wire.down and not self.wire.cuts(self.name, vm):
-            unpacked, _ = messages.unpack(
+            received, _ = messages.unpack(
                 messages.msgpack.unpackb(messages.pack(message))
             )
-            handler = self.wire.peers_by_vm[vm].handler_by_class[type(unpacked)]
-            handler(self.name, unpacked, told.append)
-        if not told:
+            handler = self.wire.peers_by_vm[vm].handler_by_class[type(received)]
+            handler(self.name, received, replies.append)
+        if not replies:
             return result.Err(peers.PeerFailure(vm, "no reply in time", True))
-        return result.Ok(told[0])
+        return result.Ok(replies[0])
 
 
 class Wire(fleet_builders.Wire):
-    """A wire between groups of VMs; those of other groups are not reached."""
+    """A wire between groups of VMs; VMs of different groups cannot reach each other."""
 
     def __init__(self):
         super().__init__()
@@ -88,7 +88,7 @@
 
 
 class Freshness:
-    """Stands for a proof that ages while the VM is cut off."""
+    """Fake freshness whose declaration ages while the VM is cut off."""
 
     def __init__(self, fleet, name):
         self.fleet = fleet
@@ -102,11 +102,11 @@
 
 
 class Vm:
-    """One VM: heartbeats, gathering and credit, without network."""
+    """One VM with heartbeats, gathering and credit, without network."""
 
     def __init__(self, name, fleet):
         view = registry.Registry()
-        # As new as all heartbeats say, so that nobody asks for what it lacks.
+        # As new as all heartbeats state, so that no VM fetches state from a peer.
         view.cursor = 1
         parts = {
             lease.Lease: types.SimpleNamespace(holder=lambda: ""),
@@ -137,10 +137,10 @@
 
 
 class Fleet:
-    """VMs that heartbeat four times a second, and their callers.
+    """VMs that send heartbeats four times a second, and their callers.
 
-    :param count: VMs.
-    :param caps: units a second of each account's cap, by name.
+    :param count: number of VMs.
+    :param caps: units per second of each account's cap, by name.
     """
 
     def __init__(self, monkeypatch, count, caps, seed=1):
@@ -156,8 +156,8 @@
             windows,
         )
         self.clock = virtual_time.Clock(monkeypatch, *modules)
-        self.draw = random.Random(seed)
-        # Reserves are drawn by lot.
+        self.random = random.Random(seed)
+        # The reserve depends on a random draw.
         random.seed(seed)
         self.wire = Wire()
         self.cut_at_by_vm = {}
@@ -166,23 +166,23 @@
         )
         self.names = fleet_builders.names_of(count)
         self.vm_by_name = {name: Vm(name, self) for name in self.names}
-        self.ran = collections.defaultdict(list)
+        self.granted = collections.defaultdict(list)
         self.refused = collections.Counter()
-        self.asked = collections.Counter()
+        self.requested = collections.Counter()
         self.run(2.0, {})
 
     def age_s(self, name):
-        """Return how old a VM's proof is: up to 1.4 s, or as old as its cut."""
+        """Return the age of a VM's declaration: half of 1.4 s, plus that of its cut."""
         return 0.7 + self.clock.now - self.cut_at_by_vm.get(name, self.clock.now)
 
     def cut(self, names):
-        """Cut some VMs from all others; they reach each other."""
+        """Cut some VMs off from all others; they still reach each other."""
         for name in names:
             self.wire.group_by_vm[name] = 1
             self.cut_at_by_vm[name] = self.clock.now
 
     def notice(self):
-        """Let membership notice who is reached and who is not."""
+        """Update every VM's membership to the VMs that it reaches."""
         for name, vm in self.vm_by_name.items():
             fleet_builders.notice(vm.credits.kernel, name, self.names, self.wire)
 
@@ -192,33 +192,34 @@
         )[0]
 
     def run(self, seconds, rate_by_account, vms=None):
-        """Let time pass while callers ask.
+        """Advance time while callers send requests.
 
-        :param rate_by_account: tokens a second that are asked for.
-        :param vms: the VMs that are asked; all by default.
+        :param rate_by_account: tokens per second that each account requests.
+        :param vms: the VMs that receive the requests; all by default.
         """
         steps = round(seconds / 0.01)
         for step in range(steps):
             self.clock.advance(0.01)
             for name, per_s in rate_by_account.items():
-                mean = 3000
-                if self.draw.random() < per_s / mean * 0.01 % 1:
-                    self.ask(name, vms)
-                for _ in range(int(per_s / mean * 0.01)):
-                    self.ask(name, vms)
+                mean_units = 3000
+                if self.random.random() < per_s / mean_units * 0.01 % 1:
+                    self.request(name, vms)
+                for _ in range(int(per_s / mean_units * 0.01)):
+                    self.request(name, vms)
             if step % 25 == 0:
-                self.beat()
+                self.send_heartbeats()
 
-    def beat(self):
-        for name in self.draw.sample(self.names, len(self.names)):
+    def send_heartbeats(self):
+        for name in self.random.sample(self.names, len(self.names)):
             if name not in self.wire.down:
                 self.vm_by_name[name].heartbeats.send()
 
-    def ask(self, name, vms=None):
-        vm = self.draw.choice([vm for vm in vms or self.names if vm not in self.down])
-        units = self.draw.triangular(800, 9000, 1500) * 3000 / 3767
-        self.asked[name] += 1
-        # Past two seconds more a VM that is cut off refuses all callers with keys.
+    def request(self, name, vms=None):
+        vm = self.random.choice([vm for vm in vms or self.names if vm not in self.down])
+        units = self.random.triangular(800, 9000, 1500) * 3000 / 3767
+        self.requested[name] += 1
+        # A VM that is cut off refuses all callers with keys once its declaration is 4 s
+        # old.
         unproven = self.age_s(vm) > 4.0
         if unproven or self.admit(vm, name, units).is_err():
             self.refused[name] += 1
@@ -226,25 +227,25 @@
     def admit(self, vm, name, units):
         admitted = self.vm_by_name[vm].credits.admit(self.accounts.by_name[name], units)
         if admitted.is_ok():
-            self.ran[name].append((self.clock.now, units))
+            self.granted[name].append((self.clock.now, units))
         return admitted
 
     @property
     def down(self):
         return self.wire.down
 
-    def worst(self, name):
-        """Return the most that ran in a window, over what is tolerated."""
+    def worst_window(self, name):
+        """Return the highest usage in a window, relative to what is tolerated."""
         allowed = self.accounts.by_name[name].cap.most_in(8.0) * 1.1 + 17_000.0
-        ran = self.ran[name]
-        first, used, worst = 0, 0.0, 0.0
-        for at, units in ran:
+        granted = self.granted[name]
+        first, used, worst_window = 0, 0.0, 0.0
+        for at, units in granted:
             used += units
-            while ran[first][0] < at - 8.0:
-                used -= ran[first][1]
+            while granted[first][0] < at - 8.0:
+                used -= granted[first][1]
                 first += 1
-            worst = max(worst, used)
-        return worst / allowed
+            worst_window = max(worst_window, used)
+        return worst_window / allowed
 
 
 SMALL, LARGE = 4_200.0, 165_148.0
@@ -252,58 +253,61 @@
 
 @pytest.mark.parametrize("count", [1, 6, 60, 300])
 def test_an_account_below_its_cap_is_not_refused(monkeypatch, count):
-    # An equal part of the smallest cap is 70 tokens a second at each of 60 VMs, where
+    # With equal shares, each of 60 VMs has 70 tokens a second of the smallest cap, and
     # one request costs 800 to 9,000: nearly all were refused.
     fleet = Fleet(monkeypatch, count, {"small": SMALL, "large": LARGE})
     fleet.run(10.0, {"small": SMALL / 1.8, "large": LARGE / 1.8})
     assert fleet.refused["large"] == 0
-    # The sum of requests that come together may exceed the burst for a moment.
-    assert fleet.refused["small"] <= 0.2 * fleet.asked["small"]
+    # Concurrent requests together may briefly exceed the burst.
+    assert fleet.refused["small"] <= 0.2 * fleet.requested["small"]
 
 
 @pytest.mark.parametrize("vms", [None, 1])
 @pytest.mark.parametrize("count", [1, 6, 60, 300])
 def test_an_account_beyond_its_cap_gets_its_cap(monkeypatch, count, vms):
-    # One account sends eight times its usual, to all VMs or to one.
+    # Each account sends eight times its usual rate, to all VMs or to one.
     fleet = Fleet(monkeypatch, count, {"small": SMALL, "large": LARGE})
     chosen = fleet.names[:vms] if vms else None
     rates = {"small": 4.4 * SMALL, "large": 4.4 * LARGE}
     fleet.run(12.0, rates, chosen)
     for name, per_s in (("small", SMALL), ("large", LARGE)):
-        assert fleet.worst(name) <= 1.0
-        assert sum(units for _, units in fleet.ran[name]) >= 0.95 * per_s * 12.0
+        assert fleet.worst_window(name) <= 1.0
+        assert sum(units for _, units in fleet.granted[name]) >= 0.95 * per_s * 12.0
 
 
 @pytest.mark.parametrize("count", [6, 20, 60])
 @pytest.mark.parametrize("seed", range(3))
-def test_an_owner_that_dies_is_followed_at_once(monkeypatch, count, seed):
-    # Its account is over its cap. The next owner must neither begin with a full
-    # bucket nor refuse until membership has noticed.
+def test_a_failed_owner_is_replaced_at_once(monkeypatch, count, seed):
+    # The owner of an account over its cap fails. The next owner must neither start with
+    # a full bucket nor refuse all requests until membership notices.
     fleet = Fleet(monkeypatch, count, {"small": SMALL, "large": LARGE}, seed)
     rates = {"small": 4.4 * SMALL, "large": 4.4 * LARGE}
     fleet.run(4.0, rates)
     fleet.down.add(fleet.owner("large"))
-    before = sum(units for _, units in fleet.ran["large"])
+    before = sum(units for _, units in fleet.granted["large"])
     fleet.run(4.0, rates)
     for name in rates:
-        assert fleet.worst(name) <= 1.0
-    after = sum(units for _, units in fleet.ran["large"]) - before
+        assert fleet.worst_window(name) <= 1.0
+    after = sum(units for _, units in fleet.granted["large"]) - before
     assert after >= 0.9 * LARGE * 4.0
 
 
 @pytest.mark.parametrize("count", [6, 60])
 @pytest.mark.parametrize("share", [0.35, 0.6])
 @pytest.mark.parametrize("seed", range(3))
-def test_vms_that_are_cut_off_do_not_lend_a_cap_twice(monkeypatch, count, share, seed):
-    # A third of the machines is cut from the rest, and an account sends eight times
-    # its usual everywhere. Each part has an owner that hears nothing of the other.
+def test_both_sides_of_a_partition_do_not_grant_a_cap_twice(
+    monkeypatch, count, share, seed
+):
+    # Part of the VMs is cut off from the rest, and accounts send eight times their
+    # usual rate everywhere. Each side has an owner that receives nothing from the
+    # other.
     fleet = Fleet(monkeypatch, count, {"small": SMALL, "large": LARGE}, seed)
     rates = {"small": 4.4 * SMALL, "large": 4.4 * LARGE}
     fleet.run(4.0, rates)
-    fleet.cut(fleet.draw.sample(fleet.names, int(share * count)))
+    fleet.cut(fleet.random.sample(fleet.names, int(share * count)))
     fleet.run(8.0, rates)
     for name in rates:
-        assert fleet.worst(name) <= 1.0
+        assert fleet.worst_window(name) <= 1.0
 
 
 @pytest.mark.parametrize("count", [6, 60])
@@ -312,136 +316,138 @@
 def test_an_account_that_rises_as_vms_are_cut_off_keeps_its_cap(
     monkeypatch, count, share, seed
 ):
-    # The VMs that are cut off go on as before for a moment, since the account was far
-    # from its cap, while it sends eight times its usual to all the others.
+    # The VMs that are cut off keep granting briefly, since the account was far from its
+    # cap, while it sends eight times its usual rate to all VMs.
     fleet = Fleet(monkeypatch, count, {"small": SMALL, "large": LARGE}, seed)
     fleet.run(8.0, {"small": 0.55 * SMALL, "large": 0.55 * LARGE})
-    fleet.cut(fleet.draw.sample(fleet.names, int(share * count)))
+    fleet.cut(fleet.random.sample(fleet.names, int(share * count)))
     fleet.run(8.0, {"small": 4.4 * SMALL, "large": 4.4 * LARGE})
     for name in ("small", "large"):
-        assert fleet.worst(name) <= 1.0
+        assert fleet.worst_window(name) <= 1.0
 
 
-def test_vms_that_are_cut_off_go_on_for_a_moment(monkeypatch):
+def test_vms_that_are_cut_off_keep_serving_briefly(monkeypatch):
     # A third of the VMs is cut off, and no account is near its cap. Their callers are
-    # served until the balancer sends them elsewhere.
+    # served until the load balancer routes them to other VMs.
     fleet = Fleet(monkeypatch, 60, {"large": LARGE})
     fleet.run(8.0, {"large": 0.55 * LARGE})
-    cut = fleet.draw.sample(fleet.names, 21)
-    fleet.cut(cut)
+    cut_vms = fleet.random.sample(fleet.names, 21)
+    fleet.cut(cut_vms)
     fleet.refused.clear()
-    fleet.asked.clear()
-    fleet.run(0.5, {"large": 0.55 * LARGE}, cut)
-    assert fleet.refused["large"] <= 0.5 * fleet.asked["large"]
+    fleet.requested.clear()
+    fleet.run(0.5, {"large": 0.55 * LARGE}, cut_vms)
+    assert fleet.refused["large"] <= 0.5 * fleet.requested["large"]
 
 
-def test_credit_that_was_not_used_is_there_again(monkeypatch):
-    # A request is admitted and its model is nowhere, so that it is refused as not
-    # run. Its credit must not be lost, nor counted as used by the next owner.
+def test_unused_credit_is_refunded(monkeypatch):
+    # A request is admitted but no endpoint has its model, so it does not run. Its
+    # credit must be refunded, and the next owner must not count it as used.
     fleet = Fleet(monkeypatch, 60, {"small": SMALL})
-    asker = fleet.names[5]
-    grant = fleet.admit(asker, "small", 4000.0).unwrap()
-    fleet.vm_by_name[asker].credits.give_back(grant)
-    fleet.beat()
-    fleet.beat()
-    for name in fleet.vm_by_name[asker].credits.budgets.owners.candidates():
-        known = fleet.vm_by_name[name].credits._bucket("small")
-        known.note(0.0, fleet.clock.monotonic())
-        assert known.level == pytest.approx(SMALL)
-
-
-def test_all_candidates_know_what_was_granted(monkeypatch):
+    requester = fleet.names[5]
+    grant = fleet.admit(requester, "small", 4000.0).unwrap()
+    fleet.vm_by_name[requester].credits.give_back(grant)
+    fleet.send_heartbeats()
+    fleet.send_heartbeats()
+    for name in fleet.vm_by_name[requester].credits.budgets.owners.candidates():
+        account_bucket = fleet.vm_by_name[name].credits._bucket("small")
+        account_bucket.note(0.0, fleet.clock.monotonic())
+        assert account_bucket.level == pytest.approx(SMALL)
+
+
+def test_all_candidates_account_for_all_grants(monkeypatch):
     fleet = Fleet(monkeypatch, 60, {"small": SMALL})
     for _ in range(3):
-        fleet.admit(fleet.draw.choice(fleet.names), "small", 4000.0)
-    fleet.beat()
-    fleet.beat()
+        fleet.admit(fleet.random.choice(fleet.names), "small", 4000.0)
+    fleet.send_heartbeats()
+    fleet.send_heartbeats()
     levels = set()
     for name in fleet.vm_by_name[fleet.names[0]].credits.budgets.owners.candidates():
-        known = fleet.vm_by_name[name].credits._bucket("small")
-        known.note(0.0, fleet.clock.monotonic())
-        levels.add(round(known.level))
+        account_bucket = fleet.vm_by_name[name].credits._bucket("small")
+        account_bucket.note(0.0, fleet.clock.monotonic())
+        levels.add(round(account_bucket.level))
     assert len(levels) == 1
 
 
-def test_a_vm_that_comes_to_collect_begins_without_credit(monkeypatch):
+def test_a_vm_that_becomes_a_candidate_starts_without_credit(monkeypatch):
     fleet = Fleet(monkeypatch, 60, {"small": SMALL})
-    made = fleet.vm_by_name[fleet.names[0]].credits
-    candidates = made.budgets.owners.candidates()
+    credits_part = fleet.vm_by_name[fleet.names[0]].credits
+    candidates = credits_part.budgets.owners.candidates()
     newcomer = next(vm for vm in fleet.names if vm not in candidates)
-    made = fleet.vm_by_name[newcomer].credits
-    made.budgets._update_candidacy()
-    monkeypatch.setattr(made.budgets.owners, "candidates", lambda: [newcomer])
-    made.budgets._update_candidacy()
-    assert made._bucket("small").level == 0.0
-    assert made._bucket("small").at == fleet.clock.monotonic()
+    credits_part = fleet.vm_by_name[newcomer].credits
+    credits_part.budgets._update_candidacy()
+    monkeypatch.setattr(credits_part.budgets.owners, "candidates", lambda: [newcomer])
+    credits_part.budgets._update_candidacy()
+    assert credits_part._bucket("small").level == 0.0
+    assert credits_part._bucket("small").at == fleet.clock.monotonic()
 
 
-def test_vms_that_start_together_do_not_each_lend_the_cap(monkeypatch):
-    # All processes were killed at once. Until they know each other, each takes itself
-    # for the only one, while an account sends several times its cap to all of them.
+def test_vms_that_start_together_do_not_each_grant_the_cap(monkeypatch):
+    # All processes were killed at once. Until they discover each other, each considers
+    # itself the only VM, while an account sends several times its cap to all of them.
     fleet = Fleet(monkeypatch, 60, {"large": LARGE})
-    made = Vm("vm-60", fleet).credits
-    monkeypatch.setattr(made.budgets.owners, "candidates", lambda: ["vm-60"])
-    monkeypatch.setattr(made.budgets.owners, "ranked", lambda _: ["vm-60"])
+    credits_part = Vm("vm-60", fleet).credits
+    monkeypatch.setattr(credits_part.budgets.owners, "candidates", lambda: ["vm-60"])
+    monkeypatch.setattr(credits_part.budgets.owners, "ranked", lambda _: ["vm-60"])
     fleet.clock.advance(1.0)
     large = fleet.accounts.by_name["large"]
-    assert made.admit(large, 500.0).err() == credit.Unchecked()
+    assert credits_part.admit(large, 500.0).err() == credit.Unchecked()
     fleet.clock.advance(1.0)
-    assert made.admit(large, 500.0).is_ok()
+    assert credits_part.admit(large, 500.0).is_ok()
 
 
-def test_a_vm_without_any_owner_has_its_reserve(monkeypatch):
-    # It is cut off from all. It may go on with a part of what it used itself, and
-    # then says that it can't tell, not that the account is over its cap.
+def test_a_vm_without_an_owner_uses_its_reserve(monkeypatch):
+    # One VM is cut off from all others. It may grant a share of its own usage, and then
+    # reports that it can't check the cap, not that the account is over it.
     fleet = Fleet(monkeypatch, 60, {"large": LARGE})
     fleet.run(8.0, {"large": LARGE / 1.8}, fleet.names[:10])
-    alone = next(
+    isolated = next(
         vm
         for vm in fleet.names[:10]
         if vm not in fleet.vm_by_name[vm].credits.budgets.owners.candidates()
     )
-    fleet.cut([alone])
-    outcomes = [fleet.admit(alone, "large", 500.0) for _ in range(200)]
+    fleet.cut([isolated])
+    outcomes = [fleet.admit(isolated, "large", 500.0) for _ in range(200)]
     assert outcomes[0].is_ok()
     assert outcomes[-1].err() == credit.Unchecked()
 
 
-def test_requests_count_where_a_cap_counts_requests(monkeypatch):
+def test_a_cap_in_requests_counts_requests(monkeypatch):
     fleet = Fleet(monkeypatch, 6, {"small": SMALL})
-    counted = client_accounts.UsageCap(2.0, 2.0)
+    request_cap = client_accounts.UsageCap(2.0, 2.0)
     fleet.accounts.by_name["small"] = client_accounts.ClientAccount(
-        "small", frozenset(), None, counted
+        "small", frozenset(), None, request_cap
     )
-    assert counted.cost(9000) == 1
-    exact = settings.Bounds(cap_window_s=8.0)
+    assert request_cap.cost(9000) == 1
+    exact_bounds = settings.Bounds(cap_window_s=8.0)
     for name, vm in fleet.vm_by_name.items():
-        kept = gateway_builders.make_settings(name=name, bounds=exact)
-        vm.credits.kernel.settings = kept
-    outcomes = [fleet.admit(vm, "small", counted.cost(9000)) for vm in fleet.names[:4]]
+        node_settings = gateway_builders.make_settings(name=name, bounds=exact_bounds)
+        vm.credits.kernel.settings = node_settings
+    outcomes = [
+        fleet.admit(vm, "small", request_cap.cost(9000)) for vm in fleet.names[:4]
+    ]
     assert [item.is_ok() for item in outcomes] == [True, True, False, False]
 
 
-def test_the_book_of_an_account_is_a_bucket(monkeypatch):
+def test_an_account_has_a_bucket(monkeypatch):
     fleet = Fleet(monkeypatch, 1, {"small": SMALL})
-    made = fleet.vm_by_name["vm-0"].credits._bucket("small")
-    assert isinstance(made, bucket.Bucket)
+    account_bucket = fleet.vm_by_name["vm-0"].credits._bucket("small")
+    assert isinstance(account_bucket, bucket.Bucket)
 
 
-# Guards against parts of a partition that both reach the platform, so that their
-# declarations stay fresh, and each lend the whole cap once membership has noticed.
+# Guards against a partition whose two sides both reach the platform: declarations stay
+# fresh, and each side granted the whole cap once membership had noticed.
 @pytest.mark.parametrize("count", [6, 60])
 @pytest.mark.parametrize("share", [0.35, 0.5])
-def test_parts_that_both_reach_the_platform_do_not_lend_a_cap_twice(
+def test_sides_that_both_reach_the_platform_do_not_grant_a_cap_twice(
     monkeypatch, count, share
 ):
     fleet = Fleet(monkeypatch, count, {"small": SMALL, "large": LARGE})
     rates = {"small": 4.4 * SMALL, "large": 4.4 * LARGE}
     fleet.run(4.0, rates)
-    fleet.cut(fleet.draw.sample(fleet.names, int(share * count)))
+    fleet.cut(fleet.random.sample(fleet.names, int(share * count)))
     fleet.cut_at_by_vm.clear()
     fleet.run(3.0, rates)
     fleet.notice()
     fleet.run(10.0, rates)
     for name in rates:
-        assert fleet.worst(name) <= 1.0
+        assert fleet.worst_window(name) <= 1.0
