--- a/packages/mothctl/src/mothctl/__init__.py
+++ b/packages/mothctl/src/mothctl/__init__.py
@@ -1,1 +1,1 @@
-"""Mothctl: operators query and command mothworks from the command line."""
+"""Mothctl: the operators' command line of mothworks."""
--- a/packages/mothctl/src/mothctl/__main__.py
+++ b/packages/mothctl/src/mothctl/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the operators' command line: ``python -m mothctl``."""
+"""Entry point of the operators' command line: ``python -m mothctl``."""
 
 from mothctl import cli
 
--- a/packages/mothctl/src/mothctl/cli.py
+++ b/packages/mothctl/src/mothctl/cli.py
@@ -1,9 +1,9 @@
 """The command line of the binary ``mothctl``.
 
-Exit codes: 0 done; 1 a node could not do it, or none answers; 2 the
-statement, file or command line is wrong; 3 another operator's change came
-first; 4 the key or its role does not allow it; 5 not applied, because it
-must be confirmed with the revision. After 2 to 5 nothing was changed.
+Exit codes: 0 success; 1 a node failed, or no node answers; 2 the statement, file or
+command line is invalid; 3 conflict with another operator's change; 4 the key or its
+role does not allow the statement; 5 not applied, because the change must be confirmed
+with its revision. After codes 2 to 5 nothing has changed.
 """
 
 import collections.abc
@@ -29,8 +29,8 @@
 KEY_FILE_VARIABLE = "MOTHWORKS_KEY_FILE"
 DEFAULT_URL = "http://127.0.0.1:8000"
 
-#: Seconds between the rounds of ``watch``.
-WATCH_S = 1.0
+#: Time between the rounds of ``watch``, seconds.
+WATCH_INTERVAL_S = 1.0
 
 _EXIT_BY_STATUS = {
     400: EXIT_USAGE,
@@ -43,12 +43,12 @@
 
 
 def ask(statement: str, *, json: bool = False, rounds: int = 0) -> int:
-    """Ask or command in the operators' language.
+    """Run a query or command in the operators' language.
 
     :param statement: for example ``show models where replicas < 2``, ``why
         model menu`` or ``drain endpoint engine-1 because "new driver"``.
-    :param json: print JSON in place of tables.
-    :param rounds: how often ``watch`` shows its rows; 0 for ever.
+    :param json: print JSON instead of tables.
+    :param rounds: number of times that ``watch`` prints its rows; 0 for no limit.
     """
     match language.parse(statement):
         case result.Ok(parsed):
@@ -59,12 +59,12 @@
 
 
 def apply(file: str, *, why: str = "", revision: int | None = None) -> int:
-    """Put a catalogue file in force, as the statement ``apply`` does.
+    """Apply a catalogue file, as the statement ``apply`` does.
 
     :param file: the catalogue, JSON with comments.
     :param why: the reason, for the audit trail.
-    :param revision: the revision that ``diff`` compared the file with; not
-        needed for the first catalogue of a deployment.
+    :param revision: the revision that ``diff`` compared the file with; optional for the
+        first catalogue of a deployment.
     """
     return _run(language.Apply(file, why, revision), False, 1)
 
@@ -73,7 +73,7 @@
     """Show what a catalogue file would change, as the statement ``diff`` does.
 
     :param file: the catalogue, JSON with comments.
-    :param json: print JSON in place of lines.
+    :param json: print JSON instead of lines.
     """
     return _run(language.Diff(file), json, 1)
 
@@ -83,13 +83,13 @@
 
     :param collection: models, endpoints, callers, waiting, moves, peers,
         audit or quarantine.
-    :param json: print JSON in place of a table.
+    :param json: print JSON instead of a table.
     """
     return ask(f"show {collection}", json=json)
 
 
 def check(file: str) -> int:
-    """Check a catalogue file, without a node, and say every problem in it.
+    """Check a catalogue file without a node, and print every problem in it.
 
     :param file: the catalogue, JSON with comments.
     """
@@ -97,16 +97,16 @@
         case result.Ok(_):
             print(f"{file}: correct")
             return EXIT_DONE
-        case result.Err(wrong):
-            print(wrong.problem, file=sys.stderr)
+        case result.Err(wrong_file):
+            print(wrong_file.problem, file=sys.stderr)
             return EXIT_USAGE
 
 
 def trace(request: str, *files: pathlib.Path) -> int:
-    """Show what the logs of all VMs tell of a request, and what may explain it.
+    """Show what the logs of all VMs contain about a request, and what may explain it.
 
     :param request: its id.
-    :param files: the VMs' logs; standard input if left out.
+    :param files: the VMs' logs; standard input if omitted.
     """
     try:
         lines = request_trace.read(_log_lines(files))
@@ -114,8 +114,8 @@
         print(error, file=sys.stderr)
         return EXIT_USAGE
     match request_trace.trace(lines, request):
-        case result.Ok(found):
-            print(request_trace.render(found))
+        case result.Ok(traced):
+            print(request_trace.render(traced))
             return EXIT_DONE
         case result.Err(problem):
             print(problem, file=sys.stderr)
@@ -123,7 +123,7 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command line and exit with its code."""
     sys.exit(defopt.run([ask, apply, diff, show, check, trace], short={}))
 
 
@@ -140,19 +140,19 @@
     if key is None:
         return EXIT_USAGE
     node = client.Client(os.environ.get(URL_VARIABLE, DEFAULT_URL), key)
-    code = _finish(execution.run(statement, node), json)
+    code = _print_outcome(execution.run(statement, node), json)
     if not isinstance(statement, language.Watch):
         return code
     while code == EXIT_DONE and rounds != 1:
         rounds -= 1
-        time.sleep(WATCH_S)
+        time.sleep(WATCH_INTERVAL_S)
         print()
-        code = _finish(execution.run(statement, node), json)
+        code = _print_outcome(execution.run(statement, node), json)
     return code
 
 
 def _key() -> str | None:
-    """Return the operator's key, or None after saying why there is none."""
+    """Return the operator's key; print the error and return None on failure."""
     file = os.environ.get(KEY_FILE_VARIABLE)
     if not file:
         return os.environ.get(KEY_VARIABLE, "")
@@ -163,7 +163,7 @@
         return None
 
 
-def _finish(outcome: execution.Outcome, json: bool) -> int:
+def _print_outcome(outcome: execution.Outcome, json: bool) -> int:
     """Print an outcome and return the exit code."""
     match outcome:
         case result.Ok(execution.Done(answer)):
@@ -188,6 +188,6 @@
         case result.Err(execution.WrongFile(problem)):
             print(problem, file=sys.stderr)
             return EXIT_USAGE
-        case result.Err(failed):
-            print(printing.error(failed), file=sys.stderr)
-            return _EXIT_BY_STATUS.get(failed.status, EXIT_FAILED)
+        case result.Err(call_error):
+            print(printing.error(call_error), file=sys.stderr)
+            return _EXIT_BY_STATUS.get(call_error.status, EXIT_FAILED)
--- a/packages/mothctl/src/mothctl/client.py
+++ b/packages/mothctl/src/mothctl/client.py
@@ -1,4 +1,4 @@
-"""Client of the nodes' operator interface."""
+"""Client of the nodes' operator API."""
 
 import typing
 
@@ -8,20 +8,20 @@
 import orjson
 import result
 
-#: Longest wait for a node's reply, seconds.
-TIMEOUT_S = 30.0
-#: Longest wait for a connection, seconds.
-CONNECT_S = 2.0
+#: Timeout for a node's reply, seconds.
+REPLY_TIMEOUT_S = 30.0
+#: Timeout for opening a connection, seconds.
+CONNECT_TIMEOUT_S = 2.0
 
 
 @attrs.frozen
 class CallError:
-    """A node did not do what was asked.
+    """A call to a node failed.
 
     :param status: the HTTP status; 0 where no node answered.
-    :param message: one sentence, or one line a problem.
-    :param difference: what another operator's change differs in, if that
-        is the reason.
+    :param message: one sentence, or one line per problem.
+    :param difference: differences to another operator's change, if the call conflicts
+        with it.
     """
 
     status: int
@@ -30,10 +30,10 @@
 
 
 class Client:
-    """Calls a node; any node will do.
+    """Calls any one of the nodes.
 
     :param urls: base URLs of nodes, separated by commas. The next one is
-        tried only where no connection could be opened.
+        tried only if the connection to the previous one was refused.
     :param key: the operator's key.
     """
 
@@ -43,49 +43,49 @@
             geventhttpclient.HTTPClient.from_url(
                 url.strip(),
                 headers=headers,
-                connection_timeout=CONNECT_S,
-                network_timeout=TIMEOUT_S,
+                connection_timeout=CONNECT_TIMEOUT_S,
+                network_timeout=REPLY_TIMEOUT_S,
             )
             for url in urls.split(",")
         ]
 
     def get(self, path: str) -> result.Result[typing.Any, CallError]:
-        """Read a page.
+        """Send a GET request.
 
-        :param path: below ``/operate/``.
+        :param path: path below ``/operate/``.
         """
         return self._call("GET", path, b"")
 
     def put(self, path: str, value: typing.Any) -> result.Result[typing.Any, CallError]:
-        """Replace something.
+        """Send a PUT request with a JSON body.
 
-        :param path: below ``/operate/``.
-        :param value: plain values.
+        :param path: path below ``/operate/``.
+        :param value: plain values of the body.
         """
         return self._call("PUT", path, orjson.dumps(value))
 
     def post(
         self, path: str, value: typing.Any
     ) -> result.Result[typing.Any, CallError]:
-        """Send something.
+        """Send a POST request with a JSON body.
 
-        :param path: below ``/operate/``.
-        :param value: plain values.
+        :param path: path below ``/operate/``.
+        :param value: plain values of the body.
         """
         return self._call("POST", path, orjson.dumps(value))
 
     def _call(self, method: str, path: str, body: bytes):
-        problems = []
+        failures = []
         for node in self.nodes:
             try:
                 reply = node.request(method, f"/operate/{path}", body)
                 return _outcome(reply.status_code, reply.read())
             except ConnectionRefusedError as error:
-                problems.append(f"{node.host}:{node.port}: {error}")
+                failures.append(f"{node.host}:{node.port}: {error}")
             except (OSError, geventhttpclient.response.HTTPParseError) as error:
                 message = f"{node.host}:{node.port} does not answer: {error}"
                 return result.Err(CallError(0, message))
-        return result.Err(CallError(0, "no node answers: " + "; ".join(problems)))
+        return result.Err(CallError(0, "no node answers: " + "; ".join(failures)))
 
 
 def _outcome(status: int, body: bytes) -> result.Result[typing.Any, CallError]:
--- a/packages/mothctl/src/mothctl/execution.py
+++ b/packages/mothctl/src/mothctl/execution.py
@@ -1,7 +1,7 @@
-"""Carries out statements: sends them to a node, or works on files here.
+"""Executes statements: sends them to a node, or processes files locally.
 
-A catalogue file replaces everything that is declared, so ``apply`` needs the
-revision that the operator compared it with; ``diff`` prints it. Without it,
+A catalogue file replaces everything that is declared, so ``apply`` requires the
+revision that the operator compared it with; ``diff`` prints it. Without a revision,
 only the first catalogue of a deployment is applied.
 """
 
@@ -24,9 +24,9 @@
 
 @attrs.frozen
 class Done:
-    """A statement was carried out.
+    """A statement was executed.
 
-    :param answer: the node's answer, as it sent it.
+    :param answer: the node's answer, unchanged.
     """
 
     answer: dict[str, typing.Any]
@@ -48,9 +48,9 @@
 
 @attrs.frozen
 class Unconfirmed:
-    """A file was not applied, because nobody has seen what it would change.
+    """A file was not applied, because its changes have not been confirmed.
 
-    :param compared: what it would change.
+    :param compared: its comparison with the catalogue in force.
     """
 
     compared: Compared
@@ -58,9 +58,9 @@
 
 @attrs.frozen
 class WrongFile:
-    """A file can't be read or holds no correct catalogue.
+    """A file can't be read or does not contain a valid catalogue.
 
-    :param problem: one line a problem.
+    :param problem: one line per problem.
     """
 
     problem: str
@@ -70,9 +70,9 @@
 
 
 def run(statement: statements.Statement | language.Local, node: client.Client):
-    """Carry out one statement.
+    """Execute one statement.
 
-    :param statement: the statement; of a watch, one round.
+    :param statement: the statement; for a watch, one round is executed.
     :param node: client of the nodes.
     :returns: an :data:`Outcome`.
     """
@@ -92,7 +92,7 @@
 
 
 def read_file(file: str) -> result.Result[catalogue.Catalogue, WrongFile]:
-    """Read and check a catalogue.
+    """Read and check a catalogue file.
 
     :param file: its path.
     """
@@ -134,8 +134,8 @@
                 pass
             case error:
                 return error
-        # Applying over a revision that the operator hasn't seen would undo
-        # in silence what others changed since the file was written.
+        # Applying over a revision that the operator has not compared with would
+        # silently undo what others changed since the file was written.
         if compared.revision and compared.difference:
             return result.Err(Unconfirmed(compared))
         if compared.revision:
@@ -146,10 +146,10 @@
         "why": statement.why,
         "catalogue": documents.plain(declared),
     }
-    return node.put("catalogue", change).map(_in_force)
+    return node.put("catalogue", change).map(_applied_answer)
 
 
-def _in_force(reply: dict[str, typing.Any]) -> Done:
+def _applied_answer(reply: dict[str, typing.Any]) -> Done:
     revision = reply["revision"]
     note = f"revision {revision} is in force"
     return Done({"revision": revision, "tables": [], "notes": [note], "unanswered": []})
--- a/packages/mothctl/src/mothctl/language.py
+++ b/packages/mothctl/src/mothctl/language.py
@@ -1,7 +1,7 @@
-"""The operators' language: from a line of text to a typed statement.
+"""The operators' language: parses a line of text into a typed statement.
 
-The grammar is in ``language.lark``. A wrong statement gives an error that
-points at the place and says what could stand there.
+The grammar is in ``language.lark``. An invalid statement gives an error that points at
+the position of the problem and lists what is expected there.
 """
 
 import functools
@@ -14,7 +14,7 @@
 
 from mothworks import catalogue, row_classes, statements
 
-#: Names that people read for the grammar's terminals.
+#: Descriptions of the grammar's terminals for error messages.
 DESCRIPTION_BY_TERMINAL = {
     "NAME": "a name",
     "NUMBER": "a number",
@@ -33,11 +33,11 @@
 
 @attrs.frozen
 class SyntaxProblem:
-    """Why a statement can't be read.
+    """Why a statement can't be parsed.
 
     :param text: the statement.
-    :param column: where it goes wrong, from 0.
-    :param expected: what could stand there.
+    :param column: position of the problem, from 0.
+    :param expected: descriptions of what is valid there.
     """
 
     text: str
@@ -51,9 +51,9 @@
 
 @attrs.frozen
 class Watch:
-    """``watch COLLECTION where ...``: show rows again and again.
+    """``watch COLLECTION where ...``: show rows repeatedly.
 
-    :param show: what to show.
+    :param show: the query to repeat.
     """
 
     show: statements.Show
@@ -71,7 +71,7 @@
 
 @attrs.frozen
 class Apply:
-    """``apply FILE``: put a catalogue file in force.
+    """``apply FILE``: apply a catalogue file.
 
     :param file: its path.
     :param why: the reason, for the audit trail.
@@ -83,12 +83,12 @@
     revision: int | None = None
 
 
-#: Statements that ``mothctl`` carries out itself, with a node's help.
+#: Statements that ``mothctl`` executes itself, with calls to a node.
 Local = Watch | Diff | Apply
 
 
 def parse(text: str) -> result.Result[statements.Statement | Local, SyntaxProblem]:
-    """Read one statement.
+    """Parse one statement.
 
     :param text: the statement.
 
@@ -99,16 +99,18 @@
         tree = _parser().parse(text)
         return result.Ok(_Builder().transform(tree))
     except lark.exceptions.VisitError as error:
-        if not isinstance(error.orig_exc, _WrongWord):
+        if not isinstance(error.orig_exc, _UnknownName):
             raise
-        wrong = error.orig_exc
-        return result.Err(SyntaxProblem(text, wrong.column, (wrong.expected,)))
+        unknown_name = error.orig_exc
+        return result.Err(
+            SyntaxProblem(text, unknown_name.column, (unknown_name.expected,))
+        )
     except lark.UnexpectedInput as error:
         return result.Err(_problem(text, error))
 
 
-class _WrongWord(Exception):
-    """A word that the grammar takes, but that names nothing."""
+class _UnknownName(Exception):
+    """A name that the grammar accepts, but that does not exist."""
 
     def __init__(self, token: lark.Token, expected: str):
         super().__init__(str(token))
@@ -165,7 +167,7 @@
 
 
 def _options(items: list) -> dict[str, typing.Any]:
-    """Return the optional ends of a statement as arguments."""
+    """Return the optional clauses of a statement as keyword arguments."""
     options = {}
     for item in items:
         match item:
@@ -177,7 +179,7 @@
 
 
 class _Builder(lark.Transformer):
-    """Builds typed statements from the grammar's rules, which name methods."""
+    """Builds typed statements; each method handles the grammar rule of its name."""
 
     def show(self, items: list) -> statements.Show:
         collection = statements.Collection(items[0])
@@ -186,7 +188,7 @@
         for token, condition in conditions:
             if condition.field not in fields:
                 expected = "one of the fields " + ", ".join(fields)
-                raise _WrongWord(token, expected)
+                raise _UnknownName(token, expected)
         return statements.Show(collection, tuple(item for _, item in conditions))
 
     def watch(self, items: list) -> Watch:
@@ -197,10 +199,10 @@
 
     def condition(self, items: list) -> tuple[lark.Token, statements.Condition]:
         field, comparison, value = items
-        made = statements.Condition(
+        parsed = statements.Condition(
             str(field), statements.Comparison(comparison), _text(value)
         )
-        return field, made
+        return field, parsed
 
     def why_model(self, items: list) -> statements.WhyModel:
         return statements.WhyModel(_text(items[0]))
@@ -260,7 +262,7 @@
 
 
 def _plain(value: typing.Any) -> typing.Any:
-    """Return a field's value with the type that its writing suggests."""
+    """Return a field's value, with its type inferred from its notation."""
     match value:
         case lark.Token(type="NUMBER"):
             return float(value) if "." in value else int(value)
--- a/packages/mothctl/src/mothctl/printing.py
+++ b/packages/mothctl/src/mothctl/printing.py
@@ -1,4 +1,4 @@
-"""Printing answers: tables for people, JSON for programs."""
+"""Formats answers: tables for people, JSON for programs."""
 
 import typing
 
@@ -11,7 +11,7 @@
 def answer(value: dict[str, typing.Any]) -> str:
     """Return a node's answer as tables and notes.
 
-    :param value: the answer as the node sent it.
+    :param value: the node's answer.
     """
     parts = [_table(table, len(value["tables"]) > 1) for table in value["tables"]]
     parts += value["notes"]
@@ -22,36 +22,38 @@
 
 
 def difference(items: tuple[dict, ...]) -> str:
-    """Return differences, one line each: ``-`` and ``+`` where one side is absent.
+    """Return differences, one line each.
+
+    ``~`` marks a changed field, ``+`` an added and ``-`` a removed item.
 
     :param items: differences of two catalogues.
     """
     return "\n".join(_line(item) for item in items)
 
 
-def error(failed: client.CallError) -> str:
-    """Return why a node did not do what was asked.
+def error(call_error: client.CallError) -> str:
+    """Return the message of a failed call, with the differences of a conflict.
 
-    :param failed: the failure.
+    :param call_error: the failure.
     """
-    if not failed.difference:
-        return failed.message
-    return f"{failed.message}\n{difference(failed.difference)}"
+    if not call_error.difference:
+        return call_error.message
+    return f"{call_error.message}\n{difference(call_error.difference)}"
 
 
 def json(value: typing.Any) -> str:
     """Return plain values as indented JSON.
 
-    :param value: maps, lists, texts and numbers.
+    :param value: maps, lists, strings and numbers.
     """
     return orjson.dumps(value, option=orjson.OPT_INDENT_2).decode()
 
 
-def _table(table: dict[str, typing.Any], titled: bool) -> str:
+def _table(table: dict[str, typing.Any], has_title: bool) -> str:
     columns = table["columns"]
     rows = [[_cell(row[column]) for column in columns] for row in table["rows"]]
-    drawn = tabulate.tabulate(rows, headers=columns, disable_numparse=True)
-    return f"{table['title']}:\n{drawn}" if titled else drawn
+    rendered = tabulate.tabulate(rows, headers=columns, disable_numparse=True)
+    return f"{table['title']}:\n{rendered}" if has_title else rendered
 
 
 def _cell(value: typing.Any) -> str:
--- a/packages/mothctl/src/mothctl/request_trace.py
+++ b/packages/mothctl/src/mothctl/request_trace.py
@@ -1,7 +1,8 @@
 """Traces a request through the logs of all VMs: its own lines, and what explains them.
 
-What explains a line is told by what the two have in common: an endpoint, a model or the
-VM, and by how long before one of the request's lines it was written.
+Another line may explain one of the request's lines if both share an endpoint, a model
+or the VM, and if it was written shortly before that line or, for endpoints, after it.
+Lines about the lease need nothing in common with the request's.
 """
 
 import collections.abc
@@ -12,18 +13,18 @@
 import orjson
 import result
 
-#: Fields that a printed line shows in its first columns, or not at all.
-SHOWN_FIRST = frozenset(("time", "level", "channel", "message", "vm", "request_id"))
+#: Fields that a printed line shows in its first columns or omits.
+LEADING_FIELDS = frozenset(("time", "level", "channel", "message", "vm", "request_id"))
 
 
 @attrs.frozen
 class Line:
     """A line of a VM's log.
 
-    :param at: when it was written, by the VM's clock, UTC.
+    :param at: time at which it was written, by the VM's clock, UTC.
     :param vm: the VM.
-    :param message: what happened.
-    :param fields: all fields, as they were written.
+    :param message: the event that it reports, such as ``refused``.
+    :param fields: all fields of the log line.
     """
 
     at: datetime.datetime
@@ -33,7 +34,7 @@
 
     @property
     def request(self) -> str:
-        """Return the request that the line is about, or an empty text."""
+        """Return the id of the request that the line is about, or an empty string."""
         return self.fields.get("request") or ""
 
 
@@ -42,9 +43,9 @@
     """Messages that may explain the lines of a request.
 
     :param messages: the messages.
-    :param shared: the field that must be equal in both; empty for none.
-    :param before_s: time by which they are older at most, seconds.
-    :param after_s: time by which they are newer at most, seconds.
+    :param shared: the field that must be equal in both lines; empty for none.
+    :param before_s: longest time by which they precede the request's line, seconds.
+    :param after_s: longest time by which they follow the request's line, seconds.
     """
 
     messages: frozenset[str]
@@ -53,7 +54,7 @@
     after_s: float = 0.0
 
     def explains(self, line: Line, own: Line) -> bool:
-        """Return whether a line may explain one of the request's own.
+        """Return whether a line may explain one of the request's lines.
 
         :param line: the line.
         :param own: the request's line.
@@ -82,7 +83,7 @@
         ),
         "endpoint",
         5.0,
-        # An endpoint's crash is known to the registry after it broke off.
+        # The registry notices an endpoint's crash only after requests broke off.
         after_s=2.0,
     ),
     Context(
@@ -111,11 +112,11 @@
 
 @attrs.frozen
 class Trace:
-    """A request's lines and those that may explain them, by time.
+    """A request's lines and those that may explain them, ordered by time.
 
-    :param request: its id.
-    :param own: its own lines.
-    :param around: the others.
+    :param request: the request's id.
+    :param own: the request's lines.
+    :param around: the lines that may explain them.
     """
 
     request: str
@@ -124,7 +125,7 @@
 
     @property
     def left_out(self) -> dict[str, int]:
-        """Return how many lines VMs say they left out just before one of these."""
+        """Return the number of lines that each VM left out just before these lines."""
         count_by_vm: dict[str, int] = {}
         for line in (*self.own, *self.around):
             left_out = line.fields.get("left_out", 0)
@@ -134,21 +135,21 @@
 
 
 def read(texts: collections.abc.Iterable[str]) -> list[Line]:
-    """Read the lines of logs; what is not a line of ours is passed over.
+    """Parse log lines, ordered by time; lines of other programs are skipped.
 
-    :param texts: lines of any logs. What stands before the first brace, such as the
-        name of a container, does not matter.
+    :param texts: lines of any logs. A prefix before the first brace, such as the name
+        of a container, is ignored.
     """
-    read_lines = (_line(text) for text in texts)
-    return sorted(filter(None, read_lines), key=lambda line: line.at)
+    parsed_lines = (_line(text) for text in texts)
+    return sorted(filter(None, parsed_lines), key=lambda line: line.at)
 
 
 def trace(lines: list[Line], request: str) -> result.Result[Trace, str]:
-    """Find what is known of a request.
+    """Collect the lines of a request and those that may explain them.
 
-    :param lines: the lines of all VMs, by time.
-    :param request: its id.
-    :returns: the trace, or why there is none.
+    :param lines: the lines of all VMs, ordered by time.
+    :param request: the request's id.
+    :returns: the trace, or an error message.
     """
     own = tuple(line for line in lines if line.request == request)
     if not own:
@@ -156,21 +157,23 @@
     around = tuple(
         line
         for line in lines
-        if any(context.explains(line, mine) for context in CONTEXTS for mine in own)
+        if any(
+            context.explains(line, own_line) for context in CONTEXTS for own_line in own
+        )
     )
     return result.Ok(Trace(request, own, around))
 
 
-def render(found: Trace) -> str:
-    """Return a trace as text, the request's own lines marked.
+def render(traced: Trace) -> str:
+    """Return a trace as text, in which ``*`` marks the request's lines.
 
-    :param found: the trace.
+    :param traced: the trace.
     """
-    both = sorted((*found.own, *found.around), key=lambda line: line.at)
-    rows = [_row(line, line.request == found.request) for line in both]
+    lines_by_time = sorted((*traced.own, *traced.around), key=lambda line: line.at)
+    rows = [_row(line, line.request == traced.request) for line in lines_by_time]
     rows += [
         f"INCOMPLETE: {vm} left out {count} lines"
-        for vm, count in sorted(found.left_out.items())
+        for vm, count in sorted(traced.left_out.items())
     ]
     return "\n".join(rows)
 
@@ -185,10 +188,10 @@
 
 
 def _row(line: Line, is_own: bool) -> str:
-    told = " ".join(
+    shown_fields = " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
-        if name not in SHOWN_FIRST and value not in ("", None)
+        if name not in LEADING_FIELDS and value not in ("", None)
     )
     mark = "*" if is_own else " "
-    return f"{mark} {line.at:%H:%M:%S.%f} {line.vm} {line.message}: {told}"
+    return f"{mark} {line.at:%H:%M:%S.%f} {line.vm} {line.message}: {shown_fields}"
--- a/packages/mothctl/tests/test_cli.py
+++ b/packages/mothctl/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line against a node: output, exit codes, conflicts."""
+"""The command line with a node: output, exit codes, conflicts."""
 
 import pathlib
 
@@ -28,17 +28,17 @@
 
 @pytest.fixture
 def write(tmp_path):
-    def make(name="catalogue.json", **changes):
+    def write_catalogue(name="catalogue.json", **changes):
         path: pathlib.Path = tmp_path / name
         declared = documents.plain(builders.declared(**changes))
         path.write_bytes(b"// declared\n" + orjson.dumps(declared))
         return str(path)
 
-    return make
+    return write_catalogue
 
 
 def test_apply_diff_and_conflict(node, write, capsys):
-    """A file written before a drain would end the drain without a word."""
+    """A catalogue file that was written before a drain would silently end the drain."""
     file = write()
     assert cli.apply(file) == cli.EXIT_DONE
     assert "revision 1 is in force" in capsys.readouterr().out
@@ -47,10 +47,10 @@
     assert cli.ask("drain endpoint engine-1 because driver") == cli.EXIT_DONE
     changed = write("changed.json", models=(builders.model(), builders.model("wine")))
     assert cli.apply(changed) == cli.EXIT_UNCONFIRMED
-    shown = capsys.readouterr().err
-    assert "~ endpoints/engine-1 drain: True -> False" in shown
-    assert "+ models/wine" in shown
-    assert "at revision 2" in shown
+    printed = capsys.readouterr().err
+    assert "~ endpoints/engine-1 drain: True -> False" in printed
+    assert "+ models/wine" in printed
+    assert "at revision 2" in printed
     assert cli.ask(f"apply {changed} at revision 1") == cli.EXIT_CONFLICT
     assert "drain: False -> True" in capsys.readouterr().err
     assert cli.ask("show endpoints where drain = true", json=True) == cli.EXIT_DONE
--- a/packages/mothctl/tests/test_language.py
+++ b/packages/mothctl/tests/test_language.py
@@ -1,4 +1,4 @@
-"""The operators' language: every statement, and errors that point at the place."""
+"""The operators' language: every statement, and the positions of syntax errors."""
 
 import pytest
 
@@ -60,8 +60,8 @@
     ),
 }
 
-#: Wrong text; the column that is pointed at; a part of what is expected.
-WRONG = (
+#: Invalid text; column of the problem; part of what is expected there.
+SYNTAX_ERRORS = (
     ("", 0, "show"),
     ("show", 4, "models"),
     ("show modles", 5, "one of models"),
@@ -78,12 +78,12 @@
 
 
 @pytest.mark.parametrize("text", PARSED_BY_TEXT)
-def test_statement(text):
+def test_a_statement_is_parsed(text):
     assert language.parse(text).unwrap() == PARSED_BY_TEXT[text]
 
 
-@pytest.mark.parametrize(("text", "column", "expected"), WRONG)
-def test_error_points_at_the_place(text, column, expected):
+@pytest.mark.parametrize(("text", "column", "expected"), SYNTAX_ERRORS)
+def test_an_error_points_at_its_column(text, column, expected):
     problem = language.parse(text).unwrap_err()
     assert problem.column == column
     assert expected in " ".join(problem.expected)
@@ -98,5 +98,5 @@
         if isinstance(item, statements.Statement)
     ],
 )
-def test_a_statement_survives_its_way_to_the_node(statement):
+def test_a_statement_survives_serialisation(statement):
     assert statements.read(statements.plain(statement)).unwrap() == statement
--- a/packages/mothctl/tests/test_request_trace.py
+++ b/packages/mothctl/tests/test_request_trace.py
@@ -1,4 +1,4 @@
-"""Tracing a request: its lines, and what explains them, from the logs of all VMs."""
+"""Request traces: a request's lines and what explains them, from all VMs' logs."""
 
 import io
 
@@ -11,17 +11,24 @@
 
 
 def line(second, message, vm="vm-1", **fields):
-    """Return a line of a VM's log."""
-    told = {"time": f"{MINUTE}:{second:09.6f}", "message": message, "vm": vm, **fields}
-    return orjson.dumps(told).decode()
+    """Return a line of a VM's log as JSON."""
+    log_fields = {
+        "time": f"{MINUTE}:{second:09.6f}",
+        "message": message,
+        "vm": vm,
+        **fields,
+    }
+    return orjson.dumps(log_fields).decode()
 
 
 def messages(*texts, request="q-1"):
-    found = request_trace.trace(request_trace.read(texts), request).unwrap()
-    return [item.message for item in found.own], [item.message for item in found.around]
+    traced = request_trace.trace(request_trace.read(texts), request).unwrap()
+    return [item.message for item in traced.own], [
+        item.message for item in traced.around
+    ]
 
 
-def test_lines_of_all_vms_are_told_by_time():
+def test_lines_of_all_vms_are_ordered_by_time():
     own, _ = messages(
         line(3, "refused", "vm-2", request="q-1"),
         line(1, "sent", "vm-1", request="q-1"),
@@ -30,7 +37,7 @@
     assert own == ["sent", "refused"]
 
 
-def test_a_refusal_is_explained_by_what_was_ordered_for_its_model():
+def test_orders_of_its_model_explain_a_refusal():
     _, around = messages(
         line(1, "load decided", "vm-2", model="m-a"),
         line(2, "order", "vm-2", model="m-b"),
@@ -40,7 +47,7 @@
     assert around == ["load decided"]
 
 
-def test_a_send_is_explained_by_its_endpoint_also_shortly_after():
+def test_lines_of_its_endpoint_explain_a_send_also_shortly_after():
     _, around = messages(
         line(1, "endpoint limit", "vm-3", endpoint="i-1", request=""),
         line(2, "sent", request="q-1", endpoint="i-1"),
@@ -51,7 +58,7 @@
     assert around == ["endpoint limit", "endpoint"]
 
 
-def test_what_other_vms_lost_does_not_explain_a_request_but_the_lease_does():
+def test_dependencies_of_other_vms_explain_nothing_but_the_lease_does():
     _, around = messages(
         line(1, "dependency lost", "vm-1"),
         line(1, "dependency lost", "vm-2"),
@@ -62,23 +69,23 @@
 
 
 @pytest.mark.parametrize("text", ["", "started", "{not json}", "[]", '{"time": 5}'])
-def test_what_is_no_line_of_ours_is_passed_over(text):
+def test_lines_of_other_programs_are_skipped(text):
     assert request_trace.read([text]) == []
 
 
-def test_a_prefix_of_a_log_collector_is_passed_over():
+def test_the_prefix_of_a_log_collector_is_ignored():
     text = f"edge-1 | {line(1, 'sent', request='q-1')}"
     assert messages(text) == (["sent"], [])
 
 
-# Guards against a trace that looks complete though the VM left lines out.
-def test_lines_that_were_left_out_are_said():
+# Guards against a trace that looks complete although a VM left out lines.
+def test_lines_that_a_vm_left_out_are_reported():
     lines = request_trace.read([line(1, "sent", request="q-1", left_out=7)])
-    found = request_trace.trace(lines, "q-1").unwrap()
-    assert "INCOMPLETE: vm-1 left out 7 lines" in request_trace.render(found)
+    traced = request_trace.trace(lines, "q-1").unwrap()
+    assert "INCOMPLETE: vm-1 left out 7 lines" in request_trace.render(traced)
 
 
-def test_the_command_marks_the_own_lines(tmp_path, capsys):
+def test_the_command_marks_the_lines_of_the_request(tmp_path, capsys):
     log = tmp_path / "vm-1.log"
     log.write_text(
         f"{line(1, 'lease', outcome='held')}\n{line(2, 'sent', request='q')}"
