--- a/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
@@ -1,9 +1,9 @@
 """Shared budgets: what all VMs together may spend, granted by one owner per budget.
 
 Each budget, such as the usage cap of a client account, has an owner (:mod:`owners`),
-which every VM calls before it spends. The heartbeats tell all candidates for ownership
-what was spent and which VM granted it: when the owner falls silent, the next candidate
-takes over at once, behind by no more than two heartbeats, half a second.
+which every VM calls before it spends. Heartbeats publish what was spent, and which VM
+granted it, to all candidates for ownership: when the owner falls silent, the next
+candidate takes over at once, behind by no more than two heartbeats, half a second.
 
 During a partition two VMs may consider themselves the owner. So a VM only grants while
 it receives heartbeats from most candidates, and no more than the share of the VMs it
