--- a/packages/mothworks_gateway/src/mothworks_gateway/choice.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/choice.py
@@ -1,10 +1,11 @@
-"""Choice: which endpoint a request is sent to.
-
-Each request has a preferred endpoint among those that hold its model: the one
-where requests that share its prompt meet, since its parts are kept there. It
-is compared with another one drawn at random, and the less loaded of the two is
-taken, with some credit for the first: what VMs know of each other's load is a
-little old, and if all took the least loaded, they would all take the same.
+"""Endpoint selection: orders the endpoints that a request can be sent to.
+
+Each request has a preferred endpoint among those that hold its model: requests that
+share a prompt go to the same endpoint, whose prefix cache holds that prompt. The
+preferred endpoint is compared with a second one picked at random, and the less loaded
+of the two comes first, with a margin in favour of the preferred one. VMs know each
+other's load with a delay: if every VM picked the least loaded endpoint, all of them
+would pick the same one.
 """
 
 import random
@@ -14,22 +15,23 @@
 from mothworks import kernel, ownership
 from mothworks_gateway import asked, declared, discovery, health, load, registry
 
-#: Load, as a share of an endpoint's places, that a kept prompt is worth, and by
-#: which an endpoint in another data centre must be lower, since bytes between
-#: data centres are priced.
-MARGIN = 0.1
-#: Requests that this margin is at most. What it stands for does not grow with an
-#: endpoint's places: of 96, a tenth let one endpoint run ten requests more than its
-#: neighbour, where a dozen keep it busy with reading prompts.
-MOST_MARGIN = 3
+#: Difference in load, as a share of an endpoint's batch slots, up to which a request
+#: still goes to the endpoint that caches its prompt. An endpoint in another data
+#: centre must be less loaded by as much, since traffic between data centres is billed.
+LOAD_MARGIN = 0.1
+#: Upper bound of this margin, in requests. The benefit of a cached prompt does not
+#: grow with the batch size: with 96 batch slots, a margin of a tenth let one endpoint
+#: run ten requests more than the next one, and the prefill of a dozen requests keeps
+#: an endpoint busy.
+MAX_MARGIN_REQUESTS = 3
 
 
 @attrs.frozen
 class Candidates:
     """Endpoints that could run a request.
 
-    :param ready: those that hold what it needs, the best first.
-    :param all: the open endpoints of the service.
+    :param ready: endpoints that hold the request's model and adapter, the best first.
+    :param all: all open endpoints of the service.
     """
 
     ready: tuple[registry.Endpoint, ...]
@@ -37,7 +39,7 @@
 
 
 class Choice(kernel.Part):
-    """Orders the endpoints for each request.
+    """Orders the endpoints for each request by prompt affinity and load.
 
     :param node_kernel: the node's kernel.
     """
@@ -50,7 +52,7 @@
         self.load = node_kernel.get(load.Load)
 
     def service(self, route: declared.Route) -> str:
-        """Return the service that runs a request, by the route's weights.
+        """Pick a service for a request at random, by the route's weights.
 
         :param route: the route.
         """
@@ -60,17 +62,17 @@
         return random.choices(route.shares, weights)[0].service
 
     def candidates(self, request: asked.Asked) -> Candidates:
-        """Return the endpoints that could run a request.
+        """Return the endpoints that could run a request, best first.
 
         :param request: the request.
         """
         target = request.target
-        everyone = self.registry.of_service(target.service)
+        endpoints = self.registry.of_service(target.service)
         holding = [
-            item for item in everyone if item.holds(target.model, target.adapter)
+            item for item in endpoints if item.holds(target.model, target.adapter)
         ]
         ready = self.health.usable(holding) if holding else []
-        return Candidates(tuple(self._order(ready, request)), tuple(everyone))
+        return Candidates(tuple(self._order(ready, request)), tuple(endpoints))
 
     def _order(
         self, ready: list[registry.Endpoint], request: asked.Asked
@@ -79,32 +81,35 @@
             return ready
         if not request.prompt:
             shuffled = random.sample(ready, len(ready))
-            return sorted(shuffled, key=self._share)
+            return sorted(shuffled, key=self._occupancy)
         preferred = self._preferred(ready, request)
         other = random.choice([item for item in ready if item is not preferred])
         pair = [preferred, other]
-        if self._share(other) + _margin(preferred) < self._share(preferred):
+        if self._occupancy(other) + _margin(preferred) < self._occupancy(preferred):
             pair.reverse()
         rest = [item for item in ready if item not in pair]
-        return [*pair, *sorted(rest, key=self._share)]
+        return [*pair, *sorted(rest, key=self._occupancy)]
+
+    def _occupancy(self, endpoint: registry.Endpoint) -> float:
+        """Return an endpoint's load as a share of its batch slots.
 
-    def _share(self, endpoint: registry.Endpoint) -> float:
-        """Return how full an endpoint is, with a surcharge for distance."""
+        Endpoints in other data centres get a surcharge.
+        """
         running = self.load.of_endpoint(endpoint.id)
-        share = running / max(1, endpoint.entry.places)
-        near = endpoint.entry.data_centre == self.data_centre
-        return share if near else share + _margin(endpoint)
+        occupancy = running / max(1, endpoint.entry.places)
+        is_local = endpoint.entry.data_centre == self.data_centre
+        return occupancy if is_local else occupancy + _margin(endpoint)
 
     def _preferred(
         self, ready: list[registry.Endpoint], request: asked.Asked
     ) -> registry.Endpoint:
-        """Return where requests meet that share this one's prompt."""
-        # The last part is the request's own, or its session's.
+        """Return the endpoint to which rendezvous hashing maps a request's prompt."""
+        # The last part belongs to this request or its session, so it is left out.
         parts = request.prompt[:-1] or request.prompt
         key = f"{request.target.model}/{request.target.adapter}/{parts[-1].id}"
         return max(ready, key=lambda item: ownership.weight(key, item.id))
 
 
 def _margin(endpoint: registry.Endpoint) -> float:
-    """Return a difference in load that does not yet count, as a share of places."""
-    return min(MARGIN, MOST_MARGIN / max(1, endpoint.entry.places))
+    """Return the load margin of an endpoint, as a share of its batch slots."""
+    return min(LOAD_MARGIN, MAX_MARGIN_REQUESTS / max(1, endpoint.entry.places))
