--- a/packages/mothworks_gateway/src/mothworks_gateway/bucket.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/bucket.py
@@ -1,23 +1,24 @@
-"""Bucket: the credit of one client account, as one VM sees it."""
+"""Token bucket: the credit of one usage cap or rate limit, as one VM knows it."""
 
 from mothworks_gateway import client_accounts
 
-#: Longest time by which refused requests are told to come back, seconds: past that
-#: the account asks for several times its cap, and later ones would come in vain.
-MOST_AHEAD_S = 8.0
-#: Least such time, seconds.
-LEAST_AHEAD_S = 0.05
+#: Upper bound of the retry delay of refused requests, seconds. Where it is reached,
+#: the account requests several times its cap, and a longer delay would not help.
+MAX_RETRY_DELAY_S = 8.0
+#: Lower bound of the retry delay, seconds.
+MIN_RETRY_DELAY_S = 0.05
 
 
 class Bucket:
-    """A token bucket, and the order in which refused requests may return.
+    """A token bucket that staggers the retries of refused requests.
 
-    A request that costs more than the burst needs a full bucket and leaves a debt: it
-    could otherwise never run. The account pays the debt before its next request.
+    A request that costs more than the burst is granted once the bucket is full, and
+    leaves a negative balance: it could otherwise never run. The balance has to recover
+    before the account's next request is granted.
 
-    :param cap: the account's usage cap.
-    :param since: monotonic time at which it was empty.
-    :param grace: units that may be granted beyond the credit that is there.
+    :param cap: the usage cap.
+    :param since: monotonic time at which the bucket was empty.
+    :param grace: units that may be granted beyond the available credit.
 
     >>> cap = client_accounts.UsageCap(per_s=10.0, burst=20.0)
     >>> bucket = Bucket(cap, since=0.0)
@@ -32,15 +33,16 @@
         self.grace = grace
         self.level = 0.0
         self.at = since
-        #: Monotonic time at which the credit of all who were told to return is there.
-        self.promised_at = since
+        #: Monotonic time at which there is credit for all refused requests that were
+        #: given a retry delay.
+        self.reserved_until = since
 
     def change(
         self, cap: client_accounts.UsageCap, now: float, grace: float = 0.0
     ) -> None:
-        """Put another cap in force.
+        """Replace the cap; the level is cut to the new burst.
 
-        :param cap: the cap.
+        :param cap: the new cap.
         :param now: monotonic time.
         :param grace: see :class:`Bucket`.
         """
@@ -50,44 +52,44 @@
         self.level = min(self.level, cap.burst)
 
     def take(self, units: float, now: float, ahead_s: float = 0.0) -> float:
-        """Take the credit of a request.
+        """Spend the credit of a request, if there is enough.
 
-        :param units: what it costs.
+        :param units: cost of the request.
         :param now: monotonic time.
-        :param ahead_s: time for which the request can wait for credit that is not
-            there yet, seconds; :meth:`room_s` before says how long it has to.
-        :returns: 0 if it is granted; else the seconds until it should come back.
+        :param ahead_s: time for which the request can wait for credit to accrue,
+            seconds; call :meth:`wait_s` first for how long it has to wait.
+        :returns: 0 if it is granted, else the retry delay, seconds.
         """
         self._refill(now)
-        lent = self.grace + ahead_s * self.cap.per_s
-        lacking = min(units, self.cap.burst) - self.level - lent
-        if lacking <= 0:
+        allowance = self.grace + ahead_s * self.cap.per_s
+        shortfall = min(units, self.cap.burst) - self.level - allowance
+        if shortfall <= 0:
             self.level -= units
             return 0.0
-        ready_at = max(now + lacking / self.cap.per_s, self.promised_at)
-        ready_at = min(ready_at, now + MOST_AHEAD_S)
-        self.promised_at = ready_at + units / self.cap.per_s
-        return max(LEAST_AHEAD_S, ready_at - now)
+        retry_at = max(now + shortfall / self.cap.per_s, self.reserved_until)
+        retry_at = min(retry_at, now + MAX_RETRY_DELAY_S)
+        self.reserved_until = retry_at + units / self.cap.per_s
+        return max(MIN_RETRY_DELAY_S, retry_at - now)
 
-    def room_s(self, units: float, now: float) -> float:
-        """Return the seconds until the credit of a request is there.
+    def wait_s(self, units: float, now: float) -> float:
+        """Return the seconds until there is credit for a request.
 
-        :param units: what it costs.
+        :param units: cost of the request.
         :param now: monotonic time.
         """
         self._refill(now)
         return max(0.0, min(units, self.cap.burst) - self.level) / self.cap.per_s
 
     def note(self, units: float, now: float) -> None:
-        """Count what was used by the word of another VM.
+        """Debit units that another VM reports as spent.
 
-        :param units: what was used; below 0 for what was given back.
+        :param units: the units; negative for units that were given back.
         :param now: monotonic time.
         """
         self._refill(now)
         self.level = min(self.cap.burst, self.level - units)
 
     def _refill(self, now: float) -> None:
-        earned = (now - self.at) * self.cap.per_s
+        refill = (now - self.at) * self.cap.per_s
         self.at = now
-        self.level = min(self.cap.burst, self.level + earned)
+        self.level = min(self.cap.burst, self.level + refill)
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -327,7 +327,7 @@
         refusals = self.refusals_by_id[endpoint_id]
         most_s = OVERLOADED_AHEAD_S if refusals.last(now) else MOST_AHEAD_S
         ahead_s = min(ask.ahead_s, most_s / (1 + rank))
-        room_s = kept.room_s(1, now)
+        room_s = kept.wait_s(1, now)
         return_s = kept.take(1, now, ahead_s)
         if return_s:
             if ask.ahead_s:
@@ -343,7 +343,7 @@
         first requests at the same moment.
         """
         now = time.monotonic()
-        full = not kept.room_s(1, now)
+        full = not kept.wait_s(1, now)
         if full and endpoint_id not in self.drawn_ids:
             self.drawn_ids.add(endpoint_id)
             kept.note(random.random(), now)
--- a/packages/mothworks_gateway/tests/limit_ways.py
+++ b/packages/mothworks_gateway/tests/limit_ways.py
@@ -34,7 +34,7 @@
         cap = client_accounts.UsageCap(per_s, send_slots.BURST).part(self.part())
         now = self.clock.monotonic()
         kept = self.bucket_by_key.setdefault((name, cap), bucket.Bucket(cap, now))
-        room_s = kept.room_s(1, now)
+        room_s = kept.wait_s(1, now)
         return_s = kept.take(1, now, left_s)
         if return_s:
             return result.Err(send_slots.Full(endpoint, per_s, 0.0, return_s, ""))
