--- a/packages/mothworks_gateway/src/mothworks_gateway/windows.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/windows.py
@@ -1,11 +1,11 @@
-"""Windows: events and amounts, counted over the last seconds."""
+"""Sliding windows: counts of events and sums of amounts over the last seconds."""
 
 import collections
 import time
 
 
 class Window:
-    """Times of events in a sliding window.
+    """Counts events in a sliding window.
 
     Example::
 
@@ -21,19 +21,19 @@
         self.times: collections.deque[float] = collections.deque()
 
     def add(self) -> None:
-        """Count an event now."""
+        """Record an event at the current time."""
         self.times.append(time.monotonic())
 
     def count(self) -> int:
-        """Return the events in the window that ends now."""
-        oldest = time.monotonic() - self.seconds
-        while self.times and self.times[0] < oldest:
+        """Return the number of events in the window that ends now."""
+        cutoff = time.monotonic() - self.seconds
+        while self.times and self.times[0] < cutoff:
             self.times.popleft()
         return len(self.times)
 
 
 class Amounts:
-    """Amounts in a sliding window.
+    """Sums amounts in a sliding window.
 
     Example::
 
@@ -50,22 +50,22 @@
         self._total = 0.0
 
     def add(self, amount: float) -> None:
-        """Count an amount now; one below 0 takes away.
+        """Add an amount at the current time.
 
-        :param amount: the amount.
+        :param amount: the amount; a negative one reduces the total.
         """
-        self._forget_old()
+        self._expire()
         self.entries.append((time.monotonic(), amount))
         self._total += amount
 
     def total(self) -> float:
         """Return the sum of the amounts in the window that ends now."""
-        self._forget_old()
+        self._expire()
         return self._total
 
-    def _forget_old(self) -> None:
-        oldest = time.monotonic() - self.seconds
-        while self.entries and self.entries[0][0] < oldest:
+    def _expire(self) -> None:
+        cutoff = time.monotonic() - self.seconds
+        while self.entries and self.entries[0][0] < cutoff:
             self._total -= self.entries.popleft()[1]
         if not self.entries:
             self._total = 0.0
--- a/packages/mothworks_gateway/tests/test_windows.py
+++ b/packages/mothworks_gateway/tests/test_windows.py
@@ -1,4 +1,4 @@
-"""Windows: an event counts until it is as old as the window is long."""
+"""Sliding windows: an event counts until it is older than the window's length."""
 
 from mothworks_gateway import windows
 
@@ -6,14 +6,14 @@
 def test_events_leave_the_window(monkeypatch):
     now = 100.0
     monkeypatch.setattr(windows.time, "monotonic", lambda: now)
-    made = windows.Window(10.0)
-    made.add()
+    window = windows.Window(10.0)
+    window.add()
     now = 104.0
-    made.add()
-    assert made.count() == 2
+    window.add()
+    assert window.count() == 2
     now = 110.0
-    assert made.count() == 2
+    assert window.count() == 2
     now = 110.1
-    assert made.count() == 1
+    assert window.count() == 1
     now = 115.0
-    assert made.count() == 0
+    assert window.count() == 0
