--- a/packages/mothworks_gateway/src/mothworks_gateway/budget.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/budget.py
@@ -1,10 +1,10 @@
-"""Retry budget: bounds the requests that are sent again, over all VMs.
+"""Retry budget: limits retries over all VMs.
 
-Where endpoints fail, each request would be sent twice just when capacity is
-short. The deployment allows a share of the recent requests of a service and
-a fixed number beside it, for all VMs together. Each VM takes the share of its
-own requests, and an equal part of the fixed number. Parts of a partition must not take
-the fixed number each, so the VMs that were live of late count.
+Without it, failing endpoints would double the number of requests just when capacity is
+short. For all VMs together, the deployment allows a share of a service's recent
+requests plus a fixed number of retries. Each VM may use the share of its own requests
+and an equal part of the fixed number. The divisor is the number of VMs that were live
+recently: otherwise, each side of a network partition would use the whole fixed number.
 """
 
 import collections
@@ -12,13 +12,13 @@
 from mothworks import kernel
 from mothworks_gateway import fleet_size, windows
 
-#: Part of the allowance that is used; the rest covers VMs that count each
-#: other wrongly for a moment.
-USED = 0.8
+#: Share of the allowance that is used; the rest covers moments in which VMs disagree
+#: on how many VMs there are.
+ALLOWANCE_SHARE = 0.8
 
 
 class Budget(kernel.Part):
-    """Counts requests and repeats by service.
+    """Counts requests and retries by service.
 
     :param node_kernel: the node's kernel.
     """
@@ -26,31 +26,31 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.fleet = node_kernel.get(fleet_size.FleetSize)
-        self.requests_by_service = self._window_by_service()
-        self.repeats_by_service = self._window_by_service()
+        self.requests_by_service = self._new_window_by_service()
+        self.retries_by_service = self._new_window_by_service()
 
     def add_request(self, service: str) -> None:
-        """Count a caller's request.
+        """Count a caller's request towards the budget.
 
         :param service: the service that runs it.
         """
         self.requests_by_service[service].add()
 
     def take(self, service: str) -> bool:
-        """Spend one repeat; returns whether there was one.
+        """Spend one retry of the budget; returns whether one was left.
 
-        :param service: the service that it is sent to.
+        :param service: the service that the request is sent to.
         """
-        repeats = self.repeats_by_service[service]
+        retries = self.retries_by_service[service]
         requests = self.requests_by_service[service].count()
         bounds = self.kernel.settings.bounds
-        slack = bounds.retry_slack / self.fleet.most
-        allowed = USED * (bounds.retry_share * requests + slack)
-        if repeats.count() + 1 > allowed:
+        slack_per_vm = bounds.retry_slack / self.fleet.most
+        allowed = ALLOWANCE_SHARE * (bounds.retry_share * requests + slack_per_vm)
+        if retries.count() + 1 > allowed:
             return False
-        repeats.add()
+        retries.add()
         return True
 
-    def _window_by_service(self) -> collections.defaultdict[str, windows.Window]:
+    def _new_window_by_service(self) -> collections.defaultdict[str, windows.Window]:
         seconds = self.kernel.settings.bounds.retry_window_s
         return collections.defaultdict(lambda: windows.Window(seconds))
