--- a/packages/mothworks_gateway/src/mothworks_gateway/turns.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/turns.py
@@ -1,12 +1,13 @@
-"""Turns: prompts are read one after another at each endpoint.
-
-An endpoint reads prompts between the tokens of the streams that it runs. Where
-several prompts reach it at once, all its streams pause until they are read, and
-each of them is late. So one VM, the endpoint's owner by rendezvous hashing (among the
-collectors, where VMs are many: each other VM must be connected to it), keeps
-the moment at which the endpoint will have read what it was given, and tells each
-request how long to wait. It answers at once and keeps nothing else: an owner
-that is silent or gone costs one short timeout, and its successor begins anew.
+"""Prefill pacing: each endpoint processes one prompt after another.
+
+An endpoint runs prefill between the decoding steps of its streams. Several prompts that
+arrive together stall all of its streams until the last prompt is processed, and every
+stream is late. Therefore one VM owns the endpoint's prefill schedule: it records when
+the endpoint will have finished the prompts sent so far, and replies to each request
+with the time to wait for its prefill slot. The owner is chosen by rendezvous hashing,
+in large deployments among the collectors, since every VM has to be connected to it. The
+owner replies at once and stores nothing else: one that is silent or gone costs one
+short timeout, and its successor starts with an empty schedule.
 """
 
 import time
@@ -20,41 +21,43 @@
 
 log = logbook.Logger("turns")
 
-#: Prompt tokens a second that an endpoint is given, where its speed is not known.
+#: Prompt tokens per second that are sent to an endpoint whose prefill speed is unknown.
 READ_TOKENS_PER_S = 28_000.0
-#: Part of an endpoint's reading speed that is planned; the rest is left for the
-#: tokens of the streams that run.
-PACE = 0.75
-USUAL_SPEED = READ_TOKENS_PER_S / PACE
-#: Longest time by which an owner plans ahead, seconds: past that an endpoint is
+#: Share of an endpoint's prefill speed that is scheduled; the rest is left for decoding
+#: the running streams.
+PREFILL_SHARE = 0.75
+#: Prefill speed that is assumed for an endpoint before it has been measured.
+DEFAULT_SPEED_TOKENS_PER_S = READ_TOKENS_PER_S / PREFILL_SHARE
+#: Longest time for which an owner schedules ahead, seconds: beyond it, the endpoint is
 #: overloaded, and waiting would not help its streams.
-MOST_AHEAD_S = 0.5
-#: Tokens that a prompt counts at most: its length is the caller's word, and a plan
-#: reaches no further.
-MOST_TOKENS = int(READ_TOKENS_PER_S * MOST_AHEAD_S)
-#: Slowest pace that a peer may ask for.
-LEAST_TOKENS_PER_S = 1_000.0
-#: Part of a request's objective that it waits at most for its turn: its prompt
-#: must still be read in time.
-WAIT_SHARE = 0.35
-#: Time for an owner to answer, seconds: several times the longest way between
-#: data centres of a region.
-REPLY_S = 0.02
-#: Seconds between looks for owners that this VM is not connected to.
-LINK_S = 1.0
-#: Waits that are not worth a timer, seconds.
-LEAST_S = 0.001
+MAX_AHEAD_S = 0.5
+#: Upper bound of the prompt length that is scheduled: callers declare the length, and a
+#: schedule reaches no further ahead.
+MAX_TOKENS = int(READ_TOKENS_PER_S * MAX_AHEAD_S)
+#: Lower bound of the pace that a peer may request, prompt tokens per second.
+MIN_TOKENS_PER_S = 1_000.0
+#: Longest wait for a prefill slot, as a share of the request's objective: the prompt
+#: must still be processed in time.
+MAX_WAIT_SHARE = 0.35
+#: Timeout for an owner's reply, seconds: several times the longest network delay
+#: between data centres of a region.
+REPLY_TIMEOUT_S = 0.02
+#: Interval at which missing connections to owners are opened, seconds.
+CONNECT_INTERVAL_S = 1.0
+#: Waits below this are skipped, seconds: they are not worth a timer.
+MIN_WAIT_S = 0.001
 
 
 @messages.message(117)
 @attrs.frozen
-class AskTurn:
-    """Asks the owner of an endpoint when a prompt may be sent there.
+class PrefillSlotRequest:
+    """Requests a prefill slot from the owner of an endpoint's schedule.
 
     :param endpoint: the endpoint's id.
     :param tokens: the prompt's length.
-    :param urgency: rank of the request's route.
-    :param tokens_per_s: how fast the asker has seen the endpoint's service read.
+    :param urgency: rank of the request.
+    :param tokens_per_s: pace at which the sender wants prompts of the endpoint's
+        service to be scheduled, by the prefill speed that it measured.
     """
 
     endpoint: str
@@ -65,28 +68,28 @@
 
 @messages.message(118)
 @attrs.frozen
-class Turn:
-    """Tells when.
+class PrefillSlot:
+    """The owner's reply: when the prompt may be sent.
 
-    :param wait_s: seconds from now on.
+    :param wait_s: seconds to wait from now on.
     """
 
     wait_s: float
 
 
-class Plan:
-    """When an endpoint will have read the prompts that it was given.
+class PrefillSchedule:
+    """When an endpoint will have processed the prompts that were sent to it.
 
-    >>> plan = Plan()
-    >>> plan.reserve(tokens=2800, urgency=1, now=5.0)
+    >>> schedule = PrefillSchedule()
+    >>> schedule.reserve(tokens=2800, urgency=1, now=5.0)
     0.0
-    >>> round(plan.reserve(tokens=2800, urgency=1, now=5.0), 3)
+    >>> round(schedule.reserve(tokens=2800, urgency=1, now=5.0), 3)
     0.1
     """
 
     def __init__(self):
-        #: Monotonic time at which the prompts of each rank, and all more urgent
-        #: ones, are read.
+        #: Monotonic time at which the prompts of each rank and of all more urgent ranks
+        #: are processed.
         self.free_at_by_urgency = [0.0] * (declared.LEAST_URGENT + 1)
 
     def reserve(
@@ -96,25 +99,25 @@
         now: float,
         tokens_per_s: float = READ_TOKENS_PER_S,
     ) -> float:
-        """Return the seconds until a prompt's turn, and keep it free.
+        """Reserve a prefill slot, and return the seconds until it starts.
 
-        Less urgent prompts make way.
+        Slots of less urgent prompts that are reserved later are delayed by it.
 
         :param tokens: the prompt's length.
         :param urgency: its rank.
         :param now: monotonic time.
         :param tokens_per_s: the pace at which prompts are sent.
         """
-        starts = min(max(now, self.free_at_by_urgency[urgency]), now + MOST_AHEAD_S)
-        reading_s = tokens / tokens_per_s
+        start_at = min(max(now, self.free_at_by_urgency[urgency]), now + MAX_AHEAD_S)
+        prefill_s = tokens / tokens_per_s
         for rank in range(urgency, len(self.free_at_by_urgency)):
             free_at = max(now, self.free_at_by_urgency[rank])
-            self.free_at_by_urgency[rank] = min(free_at + reading_s, now + MOST_AHEAD_S)
-        return starts - now
+            self.free_at_by_urgency[rank] = min(free_at + prefill_s, now + MAX_AHEAD_S)
+        return start_at - now
 
 
 class Turns(kernel.Part):
-    """Hands out turns for the endpoints that this VM owns, and asks for others.
+    """Grants prefill slots at endpoints that this VM owns, and requests all others.
 
     :param node_kernel: the node's kernel.
     """
@@ -125,34 +128,40 @@
         self.peers = node_kernel.get(peers.Peers)
         self.owners = node_kernel.get(owners.Owners)
         self.reading = node_kernel.get(reading.Reading)
-        self.plan_by_endpoint: dict[str, Plan] = {}
-        self.owners.on_change.append(self.plan_by_endpoint.clear)
-        self.peers.handle(AskTurn, self._serve)
-        self.waits = node_kernel.metrics.seconds(
+        self.schedule_by_endpoint: dict[str, PrefillSchedule] = {}
+        self.owners.on_change.append(self.schedule_by_endpoint.clear)
+        self.peers.handle(PrefillSlotRequest, self._serve)
+        self.wait_seconds = node_kernel.metrics.seconds(
             "turn_seconds", "Time that requests waited for their turn."
         )
 
     def start(self) -> None:
-        """Start to keep connections to owners open."""
-        self.tasks.every(LINK_S, self._open_links)
+        """Start to open missing connections to owners periodically."""
+        self.tasks.every(CONNECT_INTERVAL_S, self._connect_to_owners)
 
     def wait(self, request: asked.Asked, endpoint: registry.Endpoint) -> None:
-        """Wait until it is a request's turn at an endpoint.
+        """Wait for a request's prefill slot at an endpoint.
 
-        :param request: the request; one without a prompt need not wait.
-        :param endpoint: where it is to be sent.
+        :param request: the request; one without a prompt does not wait.
+        :param endpoint: the endpoint that it will be sent to.
         """
         if not request.input_tokens:
             return
-        tokens = min(request.own_tokens, MOST_TOKENS)
-        speed = self.reading.tokens_per_s(request.target.service, USUAL_SPEED)
-        pace = PACE * speed
-        ask = AskTurn(endpoint.id, tokens, request.urgency, pace)
+        tokens = min(request.own_tokens, MAX_TOKENS)
+        speed = self.reading.tokens_per_s(
+            request.target.service, DEFAULT_SPEED_TOKENS_PER_S
+        )
+        pace = PREFILL_SHARE * speed
+        slot_request = PrefillSlotRequest(endpoint.id, tokens, request.urgency, pace)
         owner = self.owners.ranked(endpoint.id)[0]
-        turn_s = self._reserve(ask) if owner == self.name else self._ask(owner, ask)
-        wait_s = min(turn_s, WAIT_SHARE * request.route.objective_s)
-        self.waits.observe({"service": request.target.service}, wait_s)
-        if wait_s < LEAST_S:
+        slot_in_s = (
+            self._reserve(slot_request)
+            if owner == self.name
+            else self._request_slot(owner, slot_request)
+        )
+        wait_s = min(slot_in_s, MAX_WAIT_SHARE * request.route.objective_s)
+        self.wait_seconds.observe({"service": request.target.service}, wait_s)
+        if wait_s < MIN_WAIT_S:
             return
         logs.event(
             log,
@@ -160,31 +169,40 @@
             request=request.id,
             endpoint=endpoint.id,
             owner=owner,
-            tokens=ask.tokens,
-            pace=round(ask.tokens_per_s),
-            turn_ms=round(turn_s * 1000),
+            tokens=slot_request.tokens,
+            pace=round(slot_request.tokens_per_s),
+            turn_ms=round(slot_in_s * 1000),
             outcome=f"waits {wait_s * 1000:.0f} ms",
         )
         gevent.sleep(wait_s)
 
-    def _ask(self, owner: str, ask: AskTurn) -> float:
-        """Return the seconds until a turn; none where the owner does not tell."""
-        match self.owners.ask(owner, ask, REPLY_S, f"turns at {ask.endpoint}"):
-            case Turn(wait_s):
+    def _request_slot(self, owner: str, slot_request: PrefillSlotRequest) -> float:
+        """Return the seconds until a prefill slot; 0 if the owner does not reply."""
+        match self.owners.ask(
+            owner,
+            slot_request,
+            REPLY_TIMEOUT_S,
+            f"prefill slots at {slot_request.endpoint}",
+        ):
+            case PrefillSlot(wait_s):
                 return wait_s
         return 0.0
 
-    def _serve(self, _: str, ask: AskTurn, answer: peers.Answer) -> None:
-        answer(Turn(self._reserve(ask)))
+    def _serve(
+        self, _: str, slot_request: PrefillSlotRequest, reply: peers.Answer
+    ) -> None:
+        reply(PrefillSlot(self._reserve(slot_request)))
 
-    def _reserve(self, ask: AskTurn) -> float:
-        plan = self.plan_by_endpoint.setdefault(ask.endpoint, Plan())
-        urgency = min(max(ask.urgency, 0), declared.LEAST_URGENT)
-        pace = max(ask.tokens_per_s, LEAST_TOKENS_PER_S)
-        return plan.reserve(ask.tokens, urgency, time.monotonic(), pace)
+    def _reserve(self, slot_request: PrefillSlotRequest) -> float:
+        schedule = self.schedule_by_endpoint.setdefault(
+            slot_request.endpoint, PrefillSchedule()
+        )
+        urgency = min(max(slot_request.urgency, 0), declared.LEAST_URGENT)
+        pace = max(slot_request.tokens_per_s, MIN_TOKENS_PER_S)
+        return schedule.reserve(slot_request.tokens, urgency, time.monotonic(), pace)
 
-    def _open_links(self) -> None:
-        """Be connected to all that may own an endpoint before a request needs it."""
+    def _connect_to_owners(self) -> None:
+        """Connect to all VMs that may own an endpoint before a request needs them."""
         for owner in self.owners.candidates():
             if owner != self.name and not self.peers.linked(owner):
                 self.peers.open(owner)
