--- a/packages/mothworks_gateway/tests/virtual_time.py
+++ b/packages/mothworks_gateway/tests/virtual_time.py
@@ -1,10 +1,10 @@
-"""A clock that tests move, for modules that read the time by themselves."""
+"""A virtual clock for modules that read the time themselves."""
 
 from mothworks_gateway import suspension
 
 
 class Clock:
-    """Stands for the module ``time`` of some modules, and for the suspension clock.
+    """Replaces the module ``time`` in some modules, and the suspension clock.
 
     :param monkeypatch: pytest's fixture.
     :param modules: the modules under test.
@@ -12,7 +12,7 @@
 
     def __init__(self, monkeypatch, *modules):
         self.now = 1000.0
-        #: Time that the steady clock did not count.
+        #: Total time that the monotonic clock did not count, seconds.
         self.suspended = 0.0
         for module in modules:
             monkeypatch.setattr(module, "time", self)
@@ -25,6 +25,6 @@
         self.now += seconds
 
     def suspend(self, seconds):
-        """Let time pass that the steady clock does not count."""
+        """Advance the time without advancing the monotonic clock."""
         self.now += seconds
         self.suspended += seconds
