--- a/packages/mothworks_gateway/src/mothworks_gateway/answering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/answering.py
@@ -128,7 +128,7 @@
         others = [item for item in ready if item.id not in self.tried]
         if not others:
             return False
-        match self.attempts.slots.find(self.request, others, RESUME_WAIT_S):
+        match self.attempts.slots.acquire(self.request, others, RESUME_WAIT_S):
             case result.Ok(slot) if self.attempts.slots.wait(slot):
                 left_s = self.request.deadline - time.monotonic()
                 return left_s >= LEAST_S and self._send_on(slot.endpoint, left_s)
--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -173,7 +173,7 @@
         """
         if verdict not in (adapters.Verdict.FOREIGN, adapters.Verdict.MISDIRECTED):
             ran = verdict is adapters.Verdict.ANSWER
-            self.limits.note(endpoint, answer, sent_at, request.id, ran)
+            self.limits.observe(endpoint, answer, sent_at, request.id, ran)
 
     def _read(
         self,
--- a/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
@@ -103,7 +103,7 @@
 
     def _find(
         self, request: asked.Asked, course: attempts.Course
-    ) -> result.Result[send_slots.Slot, outcomes.Refusal]:
+    ) -> result.Result[send_slots.SendSlot, outcomes.Refusal]:
         """Return where and when to send a request, waiting for its model if needed."""
         empty_until = time.monotonic() + EMPTY_SHARE * request.route.objective_s
         while True:
@@ -130,16 +130,16 @@
         request: asked.Asked,
         course: attempts.Course,
         allowed: list[registry.Endpoint],
-    ) -> result.Result[send_slots.Slot, outcomes.Refusal]:
+    ) -> result.Result[send_slots.SendSlot, outcomes.Refusal]:
         """Return a slot at one of some endpoints, or refuse the request at once."""
         most_wait_s = self._wait_until(request) - time.monotonic()
-        match self.slots.find(request, allowed, most_wait_s):
+        match self.slots.acquire(request, allowed, most_wait_s):
             case result.Err(full):
                 course.reason = (
                     f"{full.endpoint.id} takes {full.per_s:g} requests a second "
                     f"(told {full.age_s:.1f} s ago): {full.reason}"
                 )
-                return self._refuse(request, course, 503, full.return_s)
+                return self._refuse(request, course, 503, full.retry_after_s)
             case found:
                 return found
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_limits.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_limits.py
@@ -1,8 +1,8 @@
-"""Endpoint limits: the requests a second that endpoints in need say they take.
+"""Endpoint limits: rate limits that overloaded endpoints report in their answers.
 
-Such a limit counts for all VMs together, for as long as the endpoint names it in its
-answers. A VM that learns of a change publishes it at once. What answers say is repeated
-in the heartbeats, for VMs that started since.
+A limit applies to the requests of all VMs together, for as long as the endpoint reports
+it. A VM whose answer changes a limit publishes the change at once. Limits are repeated
+in the heartbeats for VMs that started later.
 """
 
 import collections.abc
@@ -24,18 +24,19 @@
 
 log = logbook.Logger("endpoint_limits")
 
-#: Time for which a limit that was lifted is remembered, seconds: an older answer that
-#: still names it may arrive late.
-REMEMBERED_S = 5.0
+#: Time for which a lifted limit is remembered, seconds: an older answer that still
+#: reports it may arrive late.
+LIFTED_RETENTION_S = 5.0
 
 
 @attrs.frozen
 class Limit:
-    """What an endpoint last said of the most that it takes.
+    """The rate limit that an endpoint last reported.
 
-    :param per_s: requests a second, of all VMs; None where it names no limit any more.
-    :param sent_at: monotonic time at which the request was sent whose answer says so.
-    :param received_at: monotonic time at which that answer came.
+    :param per_s: requests per second of all VMs; None if it was lifted.
+    :param sent_at: monotonic time at which the request was sent whose answer reported
+        the limit.
+    :param received_at: monotonic time at which that answer arrived.
     """
 
     per_s: float | None
@@ -46,16 +47,17 @@
 @messages.message(133)
 @attrs.frozen
 class LimitUpdate:
-    """Publishes what an endpoint said of its limit.
+    """Publishes a changed limit.
 
-    :param row: its id, the limit, and the ages of the request and the answer.
+    :param row: the endpoint's id, the limit, and the ages of the request and the
+        answer.
     """
 
     row: heartbeat.LimitRow
 
 
 class NewestLimits:
-    """The newest of what endpoints said of their limits, to be passed on."""
+    """Collects the newest limit of each endpoint to be published."""
 
     def __init__(self):
         self.limit_by_id: dict[str, Limit] = {}
@@ -69,29 +71,29 @@
         :param now: monotonic time.
         """
         for row in rows:
-            self.put(row[0], limit_of(row, now))
+            self.update(row[0], limit_from_row(row, now))
 
-    def put(self, endpoint_id: str, limit: Limit) -> None:
-        """Add what an endpoint said.
+    def update(self, endpoint_id: str, limit: Limit) -> None:
+        """Add a limit, unless a newer one is known.
 
         :param endpoint_id: the endpoint.
         :param limit: its limit.
         """
-        known = self.limit_by_id.get(endpoint_id)
-        if known is None or limit.sent_at > known.sent_at:
+        current = self.limit_by_id.get(endpoint_id)
+        if current is None or limit.sent_at > current.sent_at:
             self.limit_by_id[endpoint_id] = limit
 
     def take(self, now: float) -> tuple[heartbeat.LimitRow, ...]:
-        """Return what was added as rows, and begin anew.
+        """Return the limits as rows of a message, and remove them.
 
         :param now: monotonic time.
         """
         newest, self.limit_by_id = self.limit_by_id, {}
-        return tuple(row_of(key, limit, now) for key, limit in newest.items())
+        return tuple(row_from_limit(key, limit, now) for key, limit in newest.items())
 
 
 class EndpointLimits(kernel.Part):
-    """Knows which endpoints name a limit.
+    """Tracks the rate limits of endpoints.
 
     :param node_kernel: the node's kernel.
     """
@@ -100,37 +102,37 @@
         super().__init__(node_kernel)
         self.protocol = node_kernel.get(endpoints_client.EndpointsClient).protocol
         self.registry = node_kernel.get(discovery.Discovery).registry
-        self.registry.on_change.append(self._forget)
+        self.registry.on_change.append(self._remove_gone)
         self.broadcast = node_kernel.get(broadcast.Broadcast)
         self.limit_by_id: dict[str, Limit] = {}
-        #: What this VM's answers said since the last heartbeat.
+        #: Limits in the answers to this VM since its last heartbeat.
         self.newest = NewestLimits()
         #: Set and cleared after each change of a limit.
         self.changed = gevent.event.Event()
         #: Functions to call with an endpoint's id after its limit changed.
         self.on_change: list[collections.abc.Callable[[str], None]] = []
         heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        heartbeats.on_heartbeat.append(self._fill)
+        heartbeats.on_heartbeat.append(self._heartbeat_fields)
         heartbeats.on_received.append(self._on_heartbeat)
         node_kernel.get(peers.Peers).handle(LimitUpdate, self._on_update)
 
     def per_s(self, endpoint_id: str) -> float | None:
-        """Return the most requests a second that an endpoint takes; None for no limit.
+        """Return an endpoint's limit in requests per second; None if it has none.
 
         :param endpoint_id: the endpoint.
         """
-        known = self.limit_by_id.get(endpoint_id)
-        return known.per_s if known else None
+        current = self.limit_by_id.get(endpoint_id)
+        return current.per_s if current else None
 
-    def named(self) -> dict[str, float]:
-        """Return the limits that endpoints name now, by id."""
+    def all_per_s(self) -> dict[str, float]:
+        """Return the limits in force in requests per second, by endpoint's id."""
         return {
-            endpoint_id: known.per_s
-            for endpoint_id, known in self.limit_by_id.items()
-            if known.per_s is not None
+            endpoint_id: current.per_s
+            for endpoint_id, current in self.limit_by_id.items()
+            if current.per_s is not None
         }
 
-    def note(
+    def observe(
         self,
         endpoint: registry.Endpoint,
         answer: transport.HttpAnswer,
@@ -138,21 +140,21 @@
         request_id: str,
         ran: bool = True,
     ) -> None:
-        """Take what an endpoint's answer to a request says of its limit.
+        """Update an endpoint's limit from its answer to a request.
 
         :param endpoint: the endpoint.
         :param answer: its answer, the body not read.
         :param sent_at: monotonic time at which the request was sent.
-        :param request_id: the request, for the log.
-        :param ran: whether the request ran; a refusal or failure that names no limit
-            says nothing of it.
+        :param request_id: the request's id, for the log.
+        :param ran: whether the request ran; a refusal or failure that reports no limit
+            does not lift one.
         """
         match self.protocol.limit(answer):
             case result.Ok(None) if not ran:
                 pass
             case result.Ok(per_s):
                 limit = Limit(per_s, sent_at, time.monotonic())
-                self._note(endpoint.id, limit, request_id)
+                self._observe(endpoint.id, limit, request_id)
             case result.Err(problem):
                 logs.event(
                     log,
@@ -166,30 +168,30 @@
     def receive(
         self, rows: collections.abc.Iterable[heartbeat.LimitRow], vm: str
     ) -> None:
-        """Take what another VM knows.
+        """Merge limits that another VM knows.
 
-        :param rows: what endpoints said.
+        :param rows: the limits.
         :param vm: the VM.
         """
         now = time.monotonic()
         for row in rows:
-            self._take(row[0], limit_of(row, now), vm=vm)
+            self._take(row[0], limit_from_row(row, now), vm=vm)
 
-    def _note(self, endpoint_id: str, limit: Limit, request_id: str) -> None:
-        """Take what this VM's own answer says."""
+    def _observe(self, endpoint_id: str, limit: Limit, request_id: str) -> None:
+        """Apply the limit of an answer to this VM, and publish a change."""
         if limit.per_s is not None or endpoint_id in self.limit_by_id:
-            self.newest.put(endpoint_id, limit)
+            self.newest.update(endpoint_id, limit)
         if self._take(endpoint_id, limit, request=request_id):
-            row = row_of(endpoint_id, limit, time.monotonic())
+            row = row_from_limit(endpoint_id, limit, time.monotonic())
             self.broadcast.publish_now(LimitUpdate(row))
 
     def _take(self, endpoint_id: str, limit: Limit, **source: str) -> bool:
-        """Keep what is newer than what is known; returns whether the limit changed."""
-        known = self.limit_by_id.get(endpoint_id)
-        if not _is_newer(limit, known):
+        """Store a limit if it is newer; returns whether the limit's value changed."""
+        current = self.limit_by_id.get(endpoint_id)
+        if not _is_newer(limit, current):
             return False
         self.limit_by_id[endpoint_id] = limit
-        before = known.per_s if known else None
+        before = current.per_s if current else None
         if before == limit.per_s:
             return False
         logs.event(
@@ -200,7 +202,7 @@
             per_s=limit.per_s,
             age_ms=round((time.monotonic() - limit.sent_at) * 1000),
             **source,
-            outcome=_change(before, limit.per_s),
+            outcome=_change_outcome(before, limit.per_s),
         )
         self.changed.set()
         self.changed.clear()
@@ -208,25 +210,25 @@
             notify(endpoint_id)
         return True
 
-    def _fill(self) -> dict:
+    def _heartbeat_fields(self) -> dict:
         return {"limits": self.newest.take(time.monotonic())}
 
     def _on_heartbeat(self, vm: str, received: heartbeat.Heartbeat) -> None:
-        # This VM's own answers come back to it where they are added up.
+        # Heartbeats of this VM are passed in, too; their limits are applied already.
         if vm != self.kernel.settings.name:
             self.receive(received.limits, vm)
 
     def _on_update(self, vm: str, update: LimitUpdate, _: peers.Answer) -> None:
         self.receive([update.row], vm)
 
-    def _forget(self) -> None:
-        """Drop the limits of endpoints that are gone."""
+    def _remove_gone(self) -> None:
+        """Remove the limits of endpoints that are gone."""
         for endpoint_id in self.limit_by_id.keys() - self.registry.by_id.keys():
             del self.limit_by_id[endpoint_id]
 
 
-def row_of(endpoint_id: str, limit: Limit, now: float) -> heartbeat.LimitRow:
-    """Return what an endpoint said as a row of a message.
+def row_from_limit(endpoint_id: str, limit: Limit, now: float) -> heartbeat.LimitRow:
+    """Return an endpoint's limit as a row of a message.
 
     :param endpoint_id: the endpoint.
     :param limit: its limit.
@@ -235,8 +237,8 @@
     return endpoint_id, limit.per_s, now - limit.sent_at, now - limit.received_at
 
 
-def limit_of(row: heartbeat.LimitRow, now: float) -> Limit:
-    """Return what a row of a message says; the reverse of :func:`row_of`.
+def limit_from_row(row: heartbeat.LimitRow, now: float) -> Limit:
+    """Return the limit in a row of a message; the reverse of :func:`row_from_limit`.
 
     :param row: the row.
     :param now: monotonic time.
@@ -245,22 +247,24 @@
     return Limit(per_s, now - sent_age_s, now - received_age_s)
 
 
-def _is_newer(limit: Limit, known: Limit | None) -> bool:
-    """Return whether an answer is newer than what is known.
+def _is_newer(limit: Limit, current: Limit | None) -> bool:
+    """Return whether a reported limit supersedes the current one.
 
-    Answers may overtake each other, so only the times of sending order them. An answer
-    without a limit lifts the one that is known only if its request was sent after
-    that was received.
+    Answers may overtake each other, so they are ordered by the times at which their
+    requests were sent. An answer without a limit lifts the current limit only if its
+    request was sent after that limit was received.
     """
-    if known is None:
+    if current is None:
         return limit.per_s is not None
-    if limit.per_s is None and known.per_s is not None:
-        return limit.sent_at >= known.received_at
-    lifted = known.per_s is None and limit.sent_at - known.sent_at > REMEMBERED_S
-    return lifted or limit.sent_at > known.sent_at
+    if limit.per_s is None and current.per_s is not None:
+        return limit.sent_at >= current.received_at
+    lifted_long_ago = (
+        current.per_s is None and limit.sent_at - current.sent_at > LIFTED_RETENTION_S
+    )
+    return lifted_long_ago or limit.sent_at > current.sent_at
 
 
-def _change(before: float | None, after: float | None) -> str:
+def _change_outcome(before: float | None, after: float | None) -> str:
     if before is None:
         return "learnt"
     return "lifted" if after is None else "changed"
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -1,9 +1,10 @@
-"""Send slots: when a request may be sent to an endpoint that names a limit.
+"""Send slots: permits to send a request to an endpoint that reports a rate limit.
 
-A limit (:mod:`endpoint_limits`) is a budget that all VMs share
-(:mod:`shared_budgets`): the VM that owns it grants each sending its slot, at once or a
-little ahead, and the request waits for it. A VM that finds nobody to ask sends nothing
-there: hundreds of VMs that each try a single request would be hundreds of requests.
+A rate limit (:mod:`endpoint_limits`) is a budget that all VMs share
+(:mod:`shared_budgets`). The VM that owns it grants a send slot to each request, for now
+or for a moment shortly ahead, until which the request waits. A VM that reaches no owner
+sends nothing to that endpoint: if each of several hundred VMs sent a single request,
+the endpoint would receive several hundred.
 """
 
 import collections
@@ -30,47 +31,48 @@
 
 log = logbook.Logger("send_slots")
 
-#: Sendings that may gather while nobody asks for a slot: one more than the next, so
-#: that the pauses between requests cost nothing of the limit.
+#: Slots that accrue while none is requested: one more than the next request needs, so
+#: that gaps between requests do not waste a part of the limit.
 BURST = 2.0
-#: Least requests a second that an endpoint gets whose limit is lower, so that it is
-#: noticed when that is lifted.
-LEAST_PER_S = 0.25
-#: Longest time by which an owner grants slots ahead, seconds, for the most urgent
-#: requests; the others leave the end of the line to them.
-MOST_AHEAD_S = 2.0
-#: The same while requests are refused for longer than :data:`OVERLOADED_S`: what is
-#: served then would otherwise all be late.
-OVERLOADED_AHEAD_S = 0.1
-#: Time of refusals after which an endpoint counts as overloaded, and time without any
-#: after which it no longer does, seconds.
-OVERLOADED_S = 2.0
-#: Limited endpoints that are asked about for one request.
-MOST_TRIED = 3
-#: Hint to a caller where no owner of a limit answers, seconds: it comes to another VM.
-UNLENT_RETRY_S = 0.3
-#: Time for which an owner that has no slot is not asked for one at once, at least,
+#: Requests per second that an endpoint receives even if its limit is lower: without
+#: requests, VMs would not learn that the limit was lifted.
+MIN_RATE_PER_S = 0.25
+#: Longest time for which an owner grants slots ahead, seconds. It holds for the most
+#: urgent requests; less urgent ones get less, so that the last slots are left to those.
+MAX_AHEAD_S = 2.0
+#: The same once requests have been refused for longer than :data:`OVERLOAD_AFTER_S`: in
+#: a lasting overload, long waits would make all served requests late.
+OVERLOAD_MAX_AHEAD_S = 0.1
+#: Duration of refusals after which an endpoint counts as overloaded, and time without a
+#: refusal after which it no longer does, seconds.
+OVERLOAD_AFTER_S = 2.0
+#: Endpoints with a limit for which a slot is requested for one request.
+MAX_LIMITED_TRIED = 3
+#: Retry-After for callers if no owner of a limit replies, seconds: the retry reaches
+#: another VM.
+NO_OWNER_RETRY_S = 0.3
+#: Shortest time for which an endpoint counts as full after its owner refused a slot,
 #: seconds.
-LEAST_FULL_S = 0.02
-#: Begins the names of the shared budgets that limits are; see
+MIN_FULL_S = 0.02
+#: Prefix of the names of the shared budgets that stand for limits; see
 #: :meth:`shared_budgets.SharedBudgets.spend`.
 BUDGET_PREFIX = "endpoint limit\n"
-#: Time over which sendings are counted for the metrics, seconds.
-REPORTED_S = 4.0
-#: Seconds between updates of the metrics.
-REPORT_S = 1.0
-#: Most endpoints in the metrics.
-MOST_REPORTED = 50
+#: Window over which the metrics count sent requests, seconds.
+RATE_WINDOW_S = 4.0
+#: Interval between updates of the metrics, seconds.
+REPORT_INTERVAL_S = 1.0
+#: Upper bound of the number of endpoints in the metrics.
+MAX_REPORTED_ENDPOINTS = 50
 
 
 @messages.message(134)
 @attrs.frozen
-class AskSlot:
-    """Asks the owner of an endpoint's limit when a request may be sent there.
+class SendSlotRequest:
+    """Requests a send slot from the owner of an endpoint's limit.
 
-    :param row: what the asker knows of the limit.
+    :param row: the limit as the sender knows it.
     :param ahead_s: time for which the request can wait, seconds.
-    :param urgency: its rank.
+    :param urgency: rank of the request.
     """
 
     row: heartbeat.LimitRow
@@ -79,35 +81,36 @@
 
     @property
     def endpoint_id(self) -> str:
-        """Return the endpoint that is asked about."""
+        """Return the id of the endpoint."""
         return self.row[0]
 
 
 @messages.message(135)
 @attrs.frozen
-class SlotReply:
-    """Answers.
-
-    :param lends: whether the sender may decide at all now.
-    :param granted: whether the request has a slot.
-    :param wait_s: seconds until its slot; where it has none, until the endpoint has
-        room again for one that does not wait.
-    :param return_s: where it has none, seconds until its caller should return.
+class SendSlotReply:
+    """The owner's reply.
+
+    :param is_owner: whether the replying VM may act as the owner now.
+    :param granted: whether the request got a slot.
+    :param wait_s: seconds until its slot; if it was refused, until a slot is free
+        without a wait.
+    :param retry_after_s: if it was refused, seconds after which the caller should
+        retry.
     """
 
-    lends: bool
+    is_owner: bool
     granted: bool = False
     wait_s: float = 0.0
-    return_s: float = 0.0
+    retry_after_s: float = 0.0
 
 
 @attrs.frozen
-class Slot:
-    """Leave to send one request.
+class SendSlot:
+    """Permit to send one request.
 
-    :param endpoint: where to.
-    :param per_s: the endpoint's limit; None where it names none.
-    :param at: monotonic time from which on it may be sent.
+    :param endpoint: the endpoint.
+    :param per_s: its limit, requests per second; None if it reports none.
+    :param at: monotonic time from which on the request may be sent.
     """
 
     endpoint: registry.Endpoint
@@ -116,54 +119,54 @@
 
 
 @attrs.define
-class Refusals:
-    """The refusals of one endpoint's slots that follow each other closely.
+class RefusalStreak:
+    """Consecutive refusals of slots of one endpoint, without longer gaps.
 
-    :param since: monotonic time of the first one.
-    :param last_at: of the last one.
+    :param started_at: monotonic time of the first one.
+    :param last_at: monotonic time of the last one.
     """
 
-    since: float = -math.inf
+    started_at: float = -math.inf
     last_at: float = -math.inf
 
     def add(self, now: float) -> None:
-        """Note one.
+        """Record a refusal.
 
         :param now: monotonic time.
         """
-        if now - self.last_at > OVERLOADED_S:
-            self.since = now
+        if now - self.last_at > OVERLOAD_AFTER_S:
+            self.started_at = now
         self.last_at = now
 
-    def last(self, now: float) -> bool:
-        """Return whether they have gone on for long.
+    def is_sustained(self, now: float) -> bool:
+        """Return whether refusals have lasted long enough to count as an overload.
 
         :param now: monotonic time.
         """
-        goes_on = now - self.last_at <= OVERLOADED_S
-        return goes_on and now - self.since > OVERLOADED_S
+        is_ongoing = now - self.last_at <= OVERLOAD_AFTER_S
+        return is_ongoing and now - self.started_at > OVERLOAD_AFTER_S
 
 
 @attrs.frozen
-class Full:
+class AtLimit:
     """All endpoints that could run a request are at their limits.
 
-    :param endpoint: the one that has room first.
-    :param per_s: its limit.
+    :param endpoint: the one that has a free slot first.
+    :param per_s: its limit, requests per second.
     :param age_s: age of that limit, seconds.
-    :param return_s: seconds until the caller should return.
+    :param retry_after_s: seconds after which the caller should retry.
     :param reason: why there is no slot.
     """
 
     endpoint: registry.Endpoint
     per_s: float
     age_s: float
-    return_s: float
+    retry_after_s: float
     reason: str
 
 
 class SendSlots(kernel.Part):
-    """Grants slots for the endpoints whose limits this VM owns, and asks for others.
+    """Grants slots under limits that this VM owns, and requests all others.
 
     :param node_kernel: the node's kernel.
     """
@@ -173,18 +176,18 @@
         self.name = node_kernel.settings.name
         self.peers = node_kernel.get(peers.Peers)
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
-        self.limits.on_change.append(self._follow_limit)
+        self.limits.on_change.append(self._on_limit_change)
         self.budgets = node_kernel.get(shared_budgets.SharedBudgets)
-        self.budgets.on_spent.append(self._note_spent)
+        self.budgets.on_spent.append(self._on_spent)
         self.bucket_by_id: dict[str, bucket.Bucket] = {}
         self.budgets.on_begin.append(self.bucket_by_id.clear)
-        self.refusals_by_id = collections.defaultdict(Refusals)
-        #: Endpoints at which a lot was drawn that was not used yet.
-        self.drawn_ids: set[str] = set()
-        #: Monotonic time until which an endpoint has no room, by its owner's reply.
+        self.refusals_by_id = collections.defaultdict(RefusalStreak)
+        #: Endpoints whose bucket was set to a random level and granted no slot since.
+        self.randomised_ids: set[str] = set()
+        #: Monotonic time until which, by its owner's reply, an endpoint is full.
         self.full_until_by_id: dict[str, float] = {}
-        self.sent_by_id = collections.defaultdict(lambda: windows.Window(REPORTED_S))
-        self.peers.handle(AskSlot, self._serve)
+        self.sent_by_id = collections.defaultdict(lambda: windows.Window(RATE_WINDOW_S))
+        self.peers.handle(SendSlotRequest, self._serve)
         metrics = node_kernel.metrics
         self.limit_gauge = metrics.gauge(
             "endpoint_limit_per_second",
@@ -196,46 +199,46 @@
         )
 
     def start(self) -> None:
-        """Start to report limits."""
-        self.tasks.every(REPORT_S, self._report)
+        """Start to update the metrics."""
+        self.tasks.every(REPORT_INTERVAL_S, self._report)
 
-    def find(
+    def acquire(
         self,
         request: asked.Asked,
         ranked: list[registry.Endpoint],
-        most_wait_s: float,
-    ) -> result.Result[Slot, Full]:
-        """Get a slot at one of some endpoints.
+        max_wait_s: float,
+    ) -> result.Result[SendSlot, AtLimit]:
+        """Acquire a slot at one of several endpoints.
 
-        Those without a limit, or with room under theirs, go first; then the one that
-        has room first.
+        Endpoints without a limit or with a free slot are preferred; otherwise the
+        request waits for the endpoint that has a free slot first.
 
         :param request: the request.
-        :param ranked: the endpoints that could run it, the best first; one at least.
-        :param most_wait_s: time for which it can wait, seconds.
+        :param ranked: the endpoints that could run it, the best first; at least one.
+        :param max_wait_s: longest wait for a slot, seconds.
         """
         tried = 0
         for endpoint in ranked:
             if self.limits.per_s(endpoint.id) is None:
-                return result.Ok(Slot(endpoint))
-            if self._is_full(endpoint) or tried >= MOST_TRIED:
+                return result.Ok(SendSlot(endpoint))
+            if self._is_full(endpoint) or tried >= MAX_LIMITED_TRIED:
                 continue
             tried += 1
-            taken = self._take(request, endpoint, 0.0)
-            if taken.is_ok():
-                return taken
+            granted_slot = self._request_slot(request, endpoint, 0.0)
+            if granted_slot.is_ok():
+                return granted_slot
         limited = [item for item in ranked if self.limits.per_s(item.id) is not None]
         if not limited:
-            # A limit was lifted while its owner was asked.
-            return result.Ok(Slot(ranked[0]))
-        first = min(limited, key=lambda item: self.full_until_by_id.get(item.id, 0.0))
-        return self._take(request, first, max(0.0, most_wait_s))
+            # A limit was lifted while the owner's reply was pending.
+            return result.Ok(SendSlot(ranked[0]))
+        soonest = min(limited, key=lambda item: self.full_until_by_id.get(item.id, 0.0))
+        return self._request_slot(request, soonest, max(0.0, max_wait_s))
 
-    def wait(self, slot: Slot) -> bool:
-        """Wait for a slot; returns whether the request may be sent then.
+    def wait(self, slot: SendSlot) -> bool:
+        """Wait until a slot starts; returns whether it is still valid then.
 
-        It may not where the endpoint lowered its limit meanwhile: the slot was
-        granted by the higher one.
+        A slot is void if the endpoint lowered its limit in the meantime, since it was
+        granted under the higher one.
 
         :param slot: the slot.
         """
@@ -252,37 +255,39 @@
     def _is_full(self, endpoint: registry.Endpoint) -> bool:
         return time.monotonic() < self.full_until_by_id.get(endpoint.id, 0.0)
 
-    def _take(
+    def _request_slot(
         self, request: asked.Asked, endpoint: registry.Endpoint, ahead_s: float
-    ) -> result.Result[Slot, Full]:
-        """Ask for a slot at one endpoint."""
-        known = self.limits.limit_by_id.get(endpoint.id)
-        if known is None or known.per_s is None:
-            return result.Ok(Slot(endpoint))
+    ) -> result.Result[SendSlot, AtLimit]:
+        """Request a slot at one endpoint from the owner of its limit."""
+        limit = self.limits.limit_by_id.get(endpoint.id)
+        if limit is None or limit.per_s is None:
+            return result.Ok(SendSlot(endpoint))
         now = time.monotonic()
-        row = endpoint_limits.row_of(endpoint.id, known, now)
-        ask = AskSlot(row, ahead_s, request.urgency)
-        age_s = now - known.sent_at
-        for owner in self.budgets.lenders(key_of(endpoint.id)):
-            reply = self._ask(owner, ask)
-            if reply is None or not reply.lends:
+        row = endpoint_limits.row_from_limit(endpoint.id, limit, now)
+        slot_request = SendSlotRequest(row, ahead_s, request.urgency)
+        age_s = now - limit.sent_at
+        for owner in self.budgets.lenders(owner_key(endpoint.id)):
+            reply = self._request_from(owner, slot_request)
+            if reply is None or not reply.is_owner:
                 continue
             at = time.monotonic() + reply.wait_s
             if reply.granted:
                 self.budgets.spend(BUDGET_PREFIX + endpoint.id, owner, 1)
                 self.sent_by_id[endpoint.id].add()
-                self._say(request, endpoint, known.per_s, owner, reply.wait_s)
-                return result.Ok(Slot(endpoint, known.per_s, at))
-            self.full_until_by_id[endpoint.id] = max(at, now + LEAST_FULL_S)
-            reason = f"room in {reply.wait_s:.2f} s"
+                self._log_granted(request, endpoint, limit.per_s, owner, reply.wait_s)
+                return result.Ok(SendSlot(endpoint, limit.per_s, at))
+            self.full_until_by_id[endpoint.id] = max(at, now + MIN_FULL_S)
+            reason = f"next free slot in {reply.wait_s:.2f} s"
             return result.Err(
-                Full(endpoint, known.per_s, age_s, reply.return_s, reason)
+                AtLimit(endpoint, limit.per_s, age_s, reply.retry_after_s, reason)
             )
-        self.full_until_by_id[endpoint.id] = now + UNLENT_RETRY_S
-        reason = "no VM answers that keeps its limit"
-        return result.Err(Full(endpoint, known.per_s, age_s, UNLENT_RETRY_S, reason))
+        self.full_until_by_id[endpoint.id] = now + NO_OWNER_RETRY_S
+        reason = "no owner of its limit replies"
+        return result.Err(
+            AtLimit(endpoint, limit.per_s, age_s, NO_OWNER_RETRY_S, reason)
+        )
 
-    def _say(
+    def _log_granted(
         self,
         request: asked.Asked,
         endpoint: registry.Endpoint,
@@ -300,105 +305,116 @@
             outcome=f"waits {wait_s * 1000:.0f} ms",
         )
 
-    def _ask(self, owner: str, ask: AskSlot) -> SlotReply | None:
+    def _request_from(
+        self, owner: str, slot_request: SendSlotRequest
+    ) -> SendSlotReply | None:
         if owner == self.name:
-            return self._lend(ask)
-        match self.budgets.ask(owner, ask, f"the limit of {ask.endpoint_id}"):
-            case SlotReply() as reply:
+            return self._grant(slot_request)
+        match self.budgets.ask(
+            owner, slot_request, f"the limit of {slot_request.endpoint_id}"
+        ):
+            case SendSlotReply() as reply:
                 return reply
         return None
 
-    def _serve(self, vm: str, ask: AskSlot, answer: peers.Answer) -> None:
-        self.limits.receive([ask.row], vm)
-        answer(self._lend(ask))
+    def _serve(
+        self, vm: str, slot_request: SendSlotRequest, reply: peers.Answer
+    ) -> None:
+        self.limits.receive([slot_request.row], vm)
+        reply(self._grant(slot_request))
 
-    def _lend(self, ask: AskSlot) -> SlotReply:
-        endpoint_id = ask.endpoint_id
+    def _grant(self, slot_request: SendSlotRequest) -> SendSlotReply:
+        endpoint_id = slot_request.endpoint_id
         if self.limits.per_s(endpoint_id) is None:
-            # It was lifted, which the asker does not know yet.
-            return SlotReply(True, True)
+            # The limit was lifted, which the requesting VM does not know yet.
+            return SendSlotReply(True, True)
         if not self.budgets.may_lend():
-            return SlotReply(False)
+            return SendSlotReply(False)
         now = time.monotonic()
-        kept = self._bucket(endpoint_id)
-        if kept.cap.burst < BURST:
-            self._draw_lot(endpoint_id, kept)
-        rank = min(max(ask.urgency, 0), declared.LEAST_URGENT)
-        refusals = self.refusals_by_id[endpoint_id]
-        most_s = OVERLOADED_AHEAD_S if refusals.last(now) else MOST_AHEAD_S
-        ahead_s = min(ask.ahead_s, most_s / (1 + rank))
-        room_s = kept.wait_s(1, now)
-        return_s = kept.take(1, now, ahead_s)
-        if return_s:
-            if ask.ahead_s:
-                refusals.add(now)
-            return SlotReply(True, False, room_s, return_s)
-        self.drawn_ids.discard(endpoint_id)
-        return SlotReply(True, True, room_s)
-
-    def _draw_lot(self, endpoint_id: str, kept: bucket.Bucket) -> None:
-        """Let a small part of a partition begin at a time drawn by lot.
-
-        Hundreds of VMs that are all cut from each other would otherwise send their
-        first requests at the same moment.
+        limit_bucket = self._bucket_of(endpoint_id)
+        if limit_bucket.cap.burst < BURST:
+            self._randomise_level(endpoint_id, limit_bucket)
+        rank = min(max(slot_request.urgency, 0), declared.LEAST_URGENT)
+        refusal_streak = self.refusals_by_id[endpoint_id]
+        max_ahead_s = (
+            OVERLOAD_MAX_AHEAD_S if refusal_streak.is_sustained(now) else MAX_AHEAD_S
+        )
+        ahead_s = min(slot_request.ahead_s, max_ahead_s / (1 + rank))
+        wait_s = limit_bucket.wait_s(1, now)
+        retry_after_s = limit_bucket.take(1, now, ahead_s)
+        if retry_after_s:
+            if slot_request.ahead_s:
+                refusal_streak.add(now)
+            return SendSlotReply(True, False, wait_s, retry_after_s)
+        self.randomised_ids.discard(endpoint_id)
+        return SendSlotReply(True, True, wait_s)
+
+    def _randomise_level(self, endpoint_id: str, limit_bucket: bucket.Bucket) -> None:
+        """Randomise the level of a full bucket on a small side of a network partition.
+
+        Several hundred VMs that are all cut off from each other would otherwise send
+        their first requests at the same moment.
         """
         now = time.monotonic()
-        full = not kept.wait_s(1, now)
-        if full and endpoint_id not in self.drawn_ids:
-            self.drawn_ids.add(endpoint_id)
-            kept.note(random.random(), now)
+        full = not limit_bucket.wait_s(1, now)
+        if full and endpoint_id not in self.randomised_ids:
+            self.randomised_ids.add(endpoint_id)
+            limit_bucket.note(random.random(), now)
 
-    def _bucket(self, endpoint_id: str) -> bucket.Bucket:
-        """Return the credit of an endpoint that names a limit."""
+    def _bucket_of(self, endpoint_id: str) -> bucket.Bucket:
+        """Return the token bucket of an endpoint that reports a limit."""
         now = time.monotonic()
-        per_s = max(LEAST_PER_S, self.limits.per_s(endpoint_id))
+        per_s = max(MIN_RATE_PER_S, self.limits.per_s(endpoint_id))
         cap = client_accounts.UsageCap(per_s, BURST).part(self.budgets.part())
-        kept = self.bucket_by_id.get(endpoint_id)
-        if kept is None:
-            since = max(now - cap.burst / cap.per_s, self.budgets.synced_since)
-            kept = self.bucket_by_id[endpoint_id] = bucket.Bucket(cap, since)
-        elif kept.cap != cap:
-            kept.change(cap, now)
-        return kept
-
-    def _follow_limit(self, endpoint_id: str) -> None:
-        """Let a changed limit count at once."""
+        limit_bucket = self.bucket_by_id.get(endpoint_id)
+        if limit_bucket is None:
+            empty_since = max(now - cap.burst / cap.per_s, self.budgets.synced_since)
+            limit_bucket = self.bucket_by_id[endpoint_id] = bucket.Bucket(
+                cap, empty_since
+            )
+        elif limit_bucket.cap != cap:
+            limit_bucket.change(cap, now)
+        return limit_bucket
+
+    def _on_limit_change(self, endpoint_id: str) -> None:
+        """Apply a changed limit at once."""
         self.full_until_by_id.pop(endpoint_id, None)
         per_s = self.limits.per_s(endpoint_id)
         if per_s is None:
             self.bucket_by_id.pop(endpoint_id, None)
             return
-        kept = self.bucket_by_id.get(endpoint_id)
-        if kept is not None and per_s < kept.cap.per_s:
-            # Requests that wait for slots under the higher limit ask again.
-            kept.note(min(0.0, kept.level), time.monotonic())
-
-    def _note_spent(self, budget: str, _: str, units: float) -> None:
-        """Count what other owners granted, for the case that this VM follows them."""
+        limit_bucket = self.bucket_by_id.get(endpoint_id)
+        if limit_bucket is not None and per_s < limit_bucket.cap.per_s:
+            # Slots granted ahead under the higher limit are void, and their requests
+            # request new ones, so the credit that they used is returned.
+            limit_bucket.note(min(0.0, limit_bucket.level), time.monotonic())
+
+    def _on_spent(self, budget: str, _: str, units: float) -> None:
+        """Debit what other owners granted, in case this VM becomes the owner."""
         endpoint_id = budget.removeprefix(BUDGET_PREFIX)
         if endpoint_id != budget and self.limits.per_s(endpoint_id) is not None:
-            self._bucket(endpoint_id).note(units, time.monotonic())
+            self._bucket_of(endpoint_id).note(units, time.monotonic())
 
     def _report(self) -> None:
-        """Update the metrics, and forget endpoints that name no limit any more."""
-        named = self.limits.named()
+        """Update the metrics, and drop the state of endpoints without a limit."""
+        per_s_by_id = self.limits.all_per_s()
         by_id = (self.sent_by_id, self.full_until_by_id, self.bucket_by_id)
-        for kept in (*by_id, self.refusals_by_id):
-            for endpoint_id in kept.keys() - named.keys():
-                del kept[endpoint_id]
-        self.drawn_ids &= named.keys()
+        for state_by_id in (*by_id, self.refusals_by_id):
+            for endpoint_id in state_by_id.keys() - per_s_by_id.keys():
+                del state_by_id[endpoint_id]
+        self.randomised_ids &= per_s_by_id.keys()
         self.limit_gauge.values.clear()
         self.sent_gauge.values.clear()
-        for endpoint_id in sorted(named)[:MOST_REPORTED]:
+        for endpoint_id in sorted(per_s_by_id)[:MAX_REPORTED_ENDPOINTS]:
             labels = {"endpoint": endpoint_id}
-            self.limit_gauge.set(labels, named[endpoint_id])
+            self.limit_gauge.set(labels, per_s_by_id[endpoint_id])
             sent = self.sent_by_id[endpoint_id].count()
-            self.sent_gauge.set(labels, sent / REPORTED_S)
+            self.sent_gauge.set(labels, sent / RATE_WINDOW_S)
 
 
-def key_of(endpoint_id: str) -> str:
-    """Return the key by which an endpoint's limit has its owner.
+def owner_key(endpoint_id: str) -> str:
+    """Return the key that decides which VM owns an endpoint's limit.
 
-    :param endpoint_id: the endpoint.
+    :param endpoint_id: the endpoint's id.
     """
     return f"limit {endpoint_id}"
--- a/packages/mothworks_gateway/tests/limit_ways.py
+++ b/packages/mothworks_gateway/tests/limit_ways.py
@@ -1,6 +1,6 @@
-"""Ways to keep an endpoint's limit over all VMs, beside the one that ships.
+"""Alternative strategies for enforcing an endpoint's limit over all VMs.
 
-Run as a program it prints the table of ``docs/design/endpoint-limits.md``.
+Run as a program, it prints the table in ``docs/design/endpoint-limits.md``.
 """
 
 import statistics
@@ -11,104 +11,111 @@
 import limited_fleet
 from mothworks_gateway import bucket, client_accounts, send_slots
 
-#: Multiple of the limits that callers ask for.
-DEMAND = 6.0
+#: Requested rate as a multiple of the limit.
+OVERLOAD_FACTOR = 6.0
 WARM_UP_S, RUN_S = 4.0, 12.0
 
 
-class EachByItself(limited_fleet.Fleet):
-    """Each VM keeps the whole limit by itself, and nobody asks."""
+class PerVmLimit(limited_fleet.Fleet):
+    """Each VM enforces the whole limit on its own, without an owner."""
 
     def __init__(self, *args, **fields):
         self.bucket_by_key = {}
         super().__init__(*args, **fields)
 
-    def part(self):
+    def share_per_vm(self):
         return 1.0
 
-    def find(self, name, request, ranked, left_s):
+    def acquire(self, name, request, ranked, max_wait_s):
         (endpoint,) = ranked
         per_s = self.vm_by_name[name].limits.per_s(endpoint.id)
         if per_s is None:
-            return result.Ok(send_slots.Slot(endpoint))
-        cap = client_accounts.UsageCap(per_s, send_slots.BURST).part(self.part())
+            return result.Ok(send_slots.SendSlot(endpoint))
+        cap = client_accounts.UsageCap(per_s, send_slots.BURST).part(
+            self.share_per_vm()
+        )
         now = self.clock.monotonic()
-        kept = self.bucket_by_key.setdefault((name, cap), bucket.Bucket(cap, now))
-        room_s = kept.wait_s(1, now)
-        return_s = kept.take(1, now, left_s)
-        if return_s:
-            return result.Err(send_slots.Full(endpoint, per_s, 0.0, return_s, ""))
-        return result.Ok(send_slots.Slot(endpoint, per_s, now + room_s))
-
-
-class EqualParts(EachByItself):
-    """Each VM has an equal part of the limit."""
-
-    def part(self):
+        limit_bucket = self.bucket_by_key.setdefault(
+            (name, cap), bucket.Bucket(cap, now)
+        )
+        wait_s = limit_bucket.wait_s(1, now)
+        retry_after_s = limit_bucket.take(1, now, max_wait_s)
+        if retry_after_s:
+            return result.Err(
+                send_slots.AtLimit(endpoint, per_s, 0.0, retry_after_s, "")
+            )
+        return result.Ok(send_slots.SendSlot(endpoint, per_s, now + wait_s))
+
+
+class EqualShares(PerVmLimit):
+    """Each VM enforces an equal share of the limit."""
+
+    def share_per_vm(self):
         return 1.0 / len(self.names)
 
 
-class NoLine(limited_fleet.Fleet):
-    """An owner grants slots at once or not at all, so that no request waits."""
+class NoQueue(limited_fleet.Fleet):
+    """The owner grants slots at once or refuses them, so that no request waits."""
 
-    def find(self, name, request, ranked, left_s):
-        return super().find(name, request, ranked, 0.0)
+    def acquire(self, name, request, ranked, max_wait_s):
+        return super().acquire(name, request, ranked, 0.0)
 
 
-class LongLine(limited_fleet.Fleet):
-    """An owner whose line is as long under lasting overload as in a burst."""
+class LongQueue(limited_fleet.Fleet):
+    """The owner's queue is as long in a lasting overload as in a burst."""
 
     def __init__(self, monkeypatch, *args, **fields):
-        monkeypatch.setattr(send_slots, "OVERLOADED_AHEAD_S", send_slots.MOST_AHEAD_S)
+        monkeypatch.setattr(send_slots, "OVERLOAD_MAX_AHEAD_S", send_slots.MAX_AHEAD_S)
         super().__init__(monkeypatch, *args, **fields)
 
 
-WAYS = {
-    "each VM by itself": EachByItself,
-    "equal parts": EqualParts,
-    "an owner, no line": NoLine,
-    "an owner, a line": LongLine,
-    "an owner, a line that overload shortens": limited_fleet.Fleet,
+STRATEGIES = {
+    "each VM on its own": PerVmLimit,
+    "equal shares": EqualShares,
+    "an owner, no queue": NoQueue,
+    "an owner, a queue": LongQueue,
+    "an owner, a queue that overload shortens": limited_fleet.Fleet,
 }
 
 
-class Outcome:
-    """What one way does to one endpoint.
+class Trial:
+    """Measures one strategy at one endpoint.
 
-    :param way: the way's name.
-    :param count: VMs.
-    :param per_s: the limit.
-    :param vms: how many VMs callers reach; all where it is None.
+    :param strategy: the strategy's name.
+    :param count: number of VMs.
+    :param per_s: the limit, requests per second.
+    :param vms: number of VMs that receive requests; None for all.
     """
 
-    def __init__(self, monkeypatch, way, count, per_s, vms=None):
-        fleet = WAYS[way](monkeypatch, count)
+    def __init__(self, monkeypatch, strategy, count, per_s, vms=None):
+        fleet = STRATEGIES[strategy](monkeypatch, count)
         (endpoint,) = fleet.endpoints
         endpoint.per_s = per_s
-        fleet.run(WARM_UP_S, DEMAND * per_s)
+        fleet.run(WARM_UP_S, OVERLOAD_FACTOR * per_s)
         since = fleet.now
         fleet.waits.clear()
-        fleet.run(RUN_S, DEMAND * per_s, fleet.names[:vms])
-        sent = endpoint.between(since, fleet.now)
-        self.worst = endpoint.worst()
-        self.used = len(sent) / (per_s * RUN_S)
+        fleet.run(RUN_S, OVERLOAD_FACTOR * per_s, fleet.names[:vms])
+        sent = endpoint.arrivals_between(since, fleet.now)
+        self.worst_ratio = endpoint.worst_ratio()
+        self.utilisation = len(sent) / (per_s * RUN_S)
         self.wait_s = statistics.median(fleet.waits) if fleet.waits else 0.0
 
 
 def main():
-    print("| way | VMs | limit | worst | used | one VM: used | wait, s |")
+    print("| strategy | VMs | limit | worst | used | one VM: used | wait, s |")
     print("|---|---|---|---|---|---|---|")
     for per_s in (1.5, 12.0):
         for count in (8, 60, 300):
-            for way in WAYS:
-                row = []
+            for strategy in STRATEGIES:
+                trials = []
                 for vms in (None, 1):
                     with pytest.MonkeyPatch.context() as monkeypatch:
-                        row.append(Outcome(monkeypatch, way, count, per_s, vms))
-                all_vms, one = row
+                        trials.append(Trial(monkeypatch, strategy, count, per_s, vms))
+                all_vms, single_vm = trials
                 print(
-                    f"| {way} | {count} | {per_s:g} | {all_vms.worst:.2f} "
-                    f"| {all_vms.used:.2f} | {one.used:.2f} | {all_vms.wait_s:.2f} |",
+                    f"| {strategy} | {count} | {per_s:g} | {all_vms.worst_ratio:.2f} "
+                    f"| {all_vms.utilisation:.2f} | {single_vm.utilisation:.2f} "
+                    f"| {all_vms.wait_s:.2f} |",
                     flush=True,
                 )
 
--- a/packages/mothworks_gateway/tests/limited_fleet.py
+++ b/packages/mothworks_gateway/tests/limited_fleet.py
@@ -1,4 +1,4 @@
-"""Builders of VMs before endpoints that name limits, in virtual time."""
+"""Simulates VMs, callers and endpoints with rate limits in virtual time."""
 
 import collections
 import heapq
@@ -35,60 +35,63 @@
     windows,
 )
 
-#: Time from a request's arrival until the head of its answer is there, seconds.
+#: Time from a request's arrival at its endpoint to the head of its answer, seconds.
 ANSWER_S = 0.03
-#: Step of the clock, seconds.
+#: Step of the virtual clock, seconds.
 STEP_S = 0.01
-#: Time for which a request can wait for a slot, seconds.
-MOST_WAIT_S = 1.0
-#: Length of the windows in which requests count; multiple of the limit and requests
-#: beside that which an endpoint may get in one; time from a VM's first answer with the
-#: limit until its requests count, seconds.
-WINDOW_S, FACTOR, SLACK, TOLD_S = 4.0, 1.5, 5, 0.5
+#: Longest wait of a request for a slot, seconds.
+MAX_WAIT_S = 1.0
+#: What an endpoint may receive in a window of WINDOW_S seconds: the limit times
+#: ALLOWED_FACTOR, plus ALLOWED_EXTRA requests. A VM's requests count once GRACE_S
+#: seconds have passed since its first answer with the limit.
+WINDOW_S, ALLOWED_FACTOR, ALLOWED_EXTRA, GRACE_S = 4.0, 1.5, 5, 0.5
 
 
 @attrs.define
 class Endpoint:
-    """An endpoint and the requests that reached it.
+    """An endpoint and the requests that it received.
 
-    :param known: as VMs know it.
-    :param per_s: the limit that it names now.
+    :param registered: the endpoint in the registry of the VMs.
+    :param per_s: the limit that it reports now, requests per second; None for none.
     :param arrivals: the time, VM and limit of each request.
     """
 
-    known: registry.Endpoint
+    registered: registry.Endpoint
     per_s: float | None = None
     arrivals: list = attrs.field(factory=list)
 
-    def between(self, since, until):
+    def arrivals_between(self, since, until):
         return [item for item in self.arrivals if since <= item[0] < until]
 
-    def worst(self):
-        """Return the most of a window, over what is allowed, of VMs that were told."""
-        told_at_by_vm = {}
+    def worst_ratio(self):
+        """Return the highest ratio of received to allowed requests of all windows.
+
+        Only requests of VMs that know the limit count.
+        """
+        informed_at_by_vm = {}
         times = []
         for at, vm, per_s in self.arrivals:
             if per_s is None:
-                told_at_by_vm.clear()
-            elif at >= told_at_by_vm.setdefault(vm, at + ANSWER_S) + TOLD_S:
+                informed_at_by_vm.clear()
+            elif at >= informed_at_by_vm.setdefault(vm, at + ANSWER_S) + GRACE_S:
                 times.append((at, per_s))
-        worst = 0.0
+        worst_ratio = 0.0
         for at, per_s in times:
             count = sum(at <= other <= at + WINDOW_S for other, _ in times)
-            allowed = int(FACTOR * per_s * WINDOW_S + SLACK)
-            worst = max(worst, count / allowed)
-        return worst
+            allowed = int(ALLOWED_FACTOR * per_s * WINDOW_S + ALLOWED_EXTRA)
+            worst_ratio = max(worst_ratio, count / allowed)
+        return worst_ratio
 
 
 class Vm:
-    """One VM: heartbeats, gathering, limits and slots, without network."""
+    """One VM with its heartbeats, limits and send slots, without a network."""
 
     def __init__(self, name, fleet):
         parts = {
             lease.Lease: types.SimpleNamespace(holder=lambda: ""),
             declarations.Declarations: types.SimpleNamespace(version=1),
             discovery.Discovery: types.SimpleNamespace(
-                registry=fleet.view, changed_at=1
+                registry=fleet.registry_view, changed_at=1
             ),
             feeding.Feeding: None,
         }
@@ -114,10 +117,10 @@
 
 
 class Fleet:
-    """VMs that heartbeat four times a second, endpoints, and callers.
+    """VMs that send four heartbeats a second, endpoints, and callers.
 
-    :param count: VMs.
-    :param endpoints: how many.
+    :param count: number of VMs.
+    :param endpoints: number of endpoints.
     """
 
     def __init__(self, monkeypatch, count, endpoints=1, seed=1):
@@ -134,20 +137,22 @@
             windows,
         )
         self.clock = virtual_time.Clock(monkeypatch, *modules)
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         random.seed(seed)
         self.wire = test_credit.Wire()
-        self.view = registry.Registry()
-        # As new as all heartbeats say, so that nobody asks for what it lacks.
-        self.view.cursor = 1
+        self.registry_view = registry.Registry()
+        # The revision in all heartbeats, so that no VM requests missing updates.
+        self.registry_view.cursor = 1
         self.endpoints = [
             Endpoint(gateway_builders.endpoint(f"i-{n}")) for n in range(endpoints)
         ]
-        self.view.by_id = {item.known.id: item.known for item in self.endpoints}
+        self.registry_view.by_id = {
+            item.registered.id: item.registered for item in self.endpoints
+        }
         self.names = fleet_builders.names_of(count)
         self.vm_by_name = {name: Vm(name, self) for name in self.names}
-        self.due = []
-        self.order = itertools.count()
+        self.scheduled = []
+        self.sequence = itertools.count()
         self.waits = []
         self.refusals = []
         self.began = collections.Counter()
@@ -158,94 +163,103 @@
     def now(self):
         return self.clock.now
 
-    def at(self, when, act, *arguments):
-        heapq.heappush(self.due, (when, next(self.order), act, arguments))
+    def schedule(self, run_at, action, *arguments):
+        heapq.heappush(self.scheduled, (run_at, next(self.sequence), action, arguments))
 
     def run(self, seconds, per_s, vms=None):
-        """Let time pass while callers ask.
+        """Advance the clock while callers send requests.
 
-        :param per_s: requests a second, of all callers.
-        :param vms: the VMs that are asked; all by default.
+        :param per_s: requests per second of all callers.
+        :param vms: the VMs that receive them; all by default.
         """
         for _ in range(round(seconds / STEP_S)):
             self.clock.advance(STEP_S)
             self.steps += 1
-            while self.due and self.due[0][0] <= self.now:
-                _, _, act, arguments = heapq.heappop(self.due)
-                act(*arguments)
-            expected = per_s * STEP_S
-            arriving = int(expected) + (self.draw.random() < expected % 1)
-            for _ in range(arriving):
-                self.ask(vms)
+            while self.scheduled and self.scheduled[0][0] <= self.now:
+                _, _, action, arguments = heapq.heappop(self.scheduled)
+                action(*arguments)
+            expected_arrivals = per_s * STEP_S
+            arrivals_now = int(expected_arrivals) + (
+                self.rng.random() < expected_arrivals % 1
+            )
+            for _ in range(arrivals_now):
+                self.send_request(vms)
             if self.steps % 25 == 0:
-                self.beat()
+                self.send_heartbeats()
 
-    def beat(self):
-        for name in self.draw.sample(self.names, len(self.names)):
+    def send_heartbeats(self):
+        for name in self.rng.sample(self.names, len(self.names)):
             if name not in self.wire.down:
                 self.vm_by_name[name].heartbeats.send()
 
-    def ask(self, vms=None):
-        """Let one caller ask a VM; its request waits for at most a while."""
-        up = [vm for vm in vms or self.names if vm not in self.wire.down]
-        self.seek(self.draw.choice(up), self.now)
-
-    def seek(self, name, asked_at):
-        ranked = [item.known for item in self.endpoints]
-        self.draw.shuffle(ranked)
-        left_s = asked_at + MOST_WAIT_S - self.now
-        found = self.find(name, gateway_builders.request(), ranked, left_s)
-        match found:
+    def send_request(self, vms=None):
+        """Send one caller's request to a random VM."""
+        live_vms = [vm for vm in vms or self.names if vm not in self.wire.down]
+        self.process_request(self.rng.choice(live_vms), self.now)
+
+    def process_request(self, name, requested_at):
+        ranked = [item.registered for item in self.endpoints]
+        self.rng.shuffle(ranked)
+        max_wait_s = requested_at + MAX_WAIT_S - self.now
+        acquired = self.acquire(name, gateway_builders.request(), ranked, max_wait_s)
+        match acquired:
             case result.Ok(slot):
-                self.at(max(slot.at, self.now), self.send, name, slot, asked_at)
-            case result.Err(full):
-                self.refusals.append((self.now, full))
+                self.schedule(
+                    max(slot.at, self.now), self.send, name, slot, requested_at
+                )
+            case result.Err(at_limit):
+                self.refusals.append((self.now, at_limit))
 
-    def find(self, name: str, request: asked.Asked, ranked, left_s):
-        return self.vm_by_name[name].slots.find(request, ranked, left_s)
+    def acquire(self, name: str, request: asked.Asked, ranked, max_wait_s):
+        return self.vm_by_name[name].slots.acquire(request, ranked, max_wait_s)
 
-    def send(self, name, slot, asked_at):
+    def send(self, name, slot, requested_at):
         if name in self.wire.down:
             return
         if not self.vm_by_name[name].slots.wait(slot):
-            self.seek(name, asked_at)
+            self.process_request(name, requested_at)
             return
-        self.waits.append(self.now - asked_at)
-        endpoint = next(i for i in self.endpoints if i.known is slot.endpoint)
+        self.waits.append(self.now - requested_at)
+        endpoint = next(i for i in self.endpoints if i.registered is slot.endpoint)
         endpoint.arrivals.append((self.now, name, endpoint.per_s))
-        self.at(
-            self.now + ANSWER_S, self.answer, name, endpoint, endpoint.per_s, self.now
+        self.schedule(
+            self.now + ANSWER_S,
+            self.deliver_answer,
+            name,
+            endpoint,
+            endpoint.per_s,
+            self.now,
         )
 
-    def answer(self, name, endpoint, per_s, sent_at):
+    def deliver_answer(self, name, endpoint, per_s, sent_at):
         if name not in self.wire.down:
             limits = self.vm_by_name[name].limits
-            limits.note(endpoint.known, per_s, sent_at, "q-1")
+            limits.observe(endpoint.registered, per_s, sent_at, "q-1")
 
-    def kill(self, names):
-        """Let VMs vanish at once."""
+    def stop_vms(self, names):
+        """Stop VMs without notice."""
         self.wire.down |= set(names)
 
-    def start(self, names):
-        """Let VMs start that know nothing."""
+    def start_vms(self, names):
+        """Start VMs without any state."""
         for name in names:
             self.vm_by_name[name] = Vm(name, self)
             self.wire.down.discard(name)
 
-    def cut(self, names):
-        """Cut some VMs from all others; they reach each other and the endpoints."""
+    def partition(self, names):
+        """Cut off some VMs from all others; they reach each other and the endpoints."""
         for name in names:
             self.wire.group_by_vm[name] = 1
 
-    def heal(self):
+    def end_partition(self):
         self.wire.group_by_vm.clear()
 
-    def notice(self):
-        """Let membership notice who is reached and who is not."""
+    def update_membership(self):
+        """Update the membership of all VMs by who reaches whom."""
         for name, vm in self.vm_by_name.items():
             fleet_builders.notice(vm.kernel, name, self.names, self.wire)
 
-    def owner(self, endpoint):
+    def owner_of(self, endpoint):
         slots = self.vm_by_name[self.names[0]].slots
-        key = send_slots.key_of(endpoint.known.id)
+        key = send_slots.owner_key(endpoint.registered.id)
         return slots.budgets.owners.ranked(key)[0]
--- a/packages/mothworks_gateway/tests/test_endpoint_limits.py
+++ b/packages/mothworks_gateway/tests/test_endpoint_limits.py
@@ -1,4 +1,4 @@
-"""What VMs know of the limits that endpoints name."""
+"""Endpoint limits: which of the limits that endpoints report are in force."""
 
 import types
 
@@ -17,7 +17,7 @@
 
 
 class Limits:
-    """The limits that one of two VMs knows, on a clock that tests move."""
+    """The limits that two VMs know, on a virtual clock."""
 
     def __init__(self, monkeypatch):
         self.clock = virtual_time.Clock(monkeypatch, endpoint_limits)
@@ -25,10 +25,10 @@
         self.endpoint = gateway_builders.endpoint("i-1")
         self.view.by_id = {"i-1": self.endpoint}
         self.wire = fleet_builders.Wire()
-        self.part = self._part("vm-0")
-        self.other = self._part("vm-1")
+        self.limits_here = self._limits_of("vm-0")
+        self.limits_there = self._limits_of("vm-1")
 
-    def _part(self, name):
+    def _limits_of(self, name):
         parts = {
             discovery.Discovery: types.SimpleNamespace(registry=self.view),
             heartbeat.Heartbeats: gateway_builders.Heartbeats(),
@@ -37,13 +37,13 @@
         return fleet_builders.add_limits(kernel)
 
     def answer(self, per_s, sent_at, received_at, ran=True):
-        """Let an answer come, times in seconds from the beginning."""
+        """Simulate an answer; times are seconds since the start of the test."""
         self.clock.now = 1000.0 + received_at
-        self.part.note(self.endpoint, per_s, 1000.0 + sent_at, "q-1", ran)
+        self.limits_here.observe(self.endpoint, per_s, 1000.0 + sent_at, "q-1", ran)
 
     @property
     def per_s(self):
-        return self.part.per_s("i-1")
+        return self.limits_here.per_s("i-1")
 
 
 @pytest.fixture
@@ -51,28 +51,28 @@
     return Limits(monkeypatch)
 
 
-def test_a_named_limit_is_known_until_an_answer_names_none(limits):
+def test_a_reported_limit_is_in_force_until_an_answer_reports_none(limits):
     limits.answer(1.5, 0.0, 0.1)
     assert limits.per_s == 1.5
     limits.answer(None, 0.2, 0.3)
     assert limits.per_s is None
 
 
-# Guards against an older answer that arrives late and undoes a newer limit.
-def test_an_older_answer_does_not_undo_a_newer_limit(limits):
+# Guards against an older answer that arrives late and replaces a newer limit.
+def test_an_older_answer_does_not_replace_a_newer_limit(limits):
     limits.answer(2.0, 0.5, 0.6)
     limits.answer(9.0, 0.1, 0.7)
     assert limits.per_s == 2.0
 
 
-# Guards against a limit that is lifted by an answer from before it was named.
-def test_an_answer_sent_before_a_limit_was_heard_does_not_lift_it(limits):
+# Guards against a limit that is lifted by an answer from before it was reported.
+def test_an_answer_to_a_request_from_before_a_limit_arrived_does_not_lift_it(limits):
     limits.answer(2.0, 0.1, 0.5)
     limits.answer(None, 0.2, 0.6)
     assert limits.per_s == 2.0
 
 
-# Guards against a limit that comes back after it was lifted.
+# Guards against a lifted limit that an older answer puts in force again.
 def test_an_older_answer_does_not_restore_a_lifted_limit(limits):
     limits.answer(2.0, 0.1, 0.2)
     limits.answer(None, 0.3, 0.4)
@@ -82,8 +82,8 @@
     assert limits.per_s == 3.0
 
 
-# Guards against a limit that is lifted by a full endpoint's refusal.
-def test_a_refusal_names_a_limit_and_does_not_lift_one(limits):
+# Guards against a limit that is lifted by a refusal of an overloaded endpoint.
+def test_a_refusal_can_report_a_limit_but_not_lift_one(limits):
     limits.answer(2.0, 0.1, 0.2, ran=False)
     assert limits.per_s == 2.0
     limits.answer(None, 0.3, 0.4, ran=False)
@@ -98,35 +98,35 @@
     assert limits.per_s == 2.0
 
 
-# Guards against a limit that outlives its endpoint at a reused address.
-def test_a_limit_ends_with_its_endpoint(limits):
+# Guards against a limit that stays in force for another endpoint at a reused address.
+def test_a_limit_is_removed_with_its_endpoint(limits):
     limits.answer(2.0, 0.1, 0.2)
     limits.view.by_id = {}
     limits.view.changed()
     assert limits.per_s is None
 
 
-# Guards against a VM that learns of a limit only from its own first answer.
-def test_a_change_is_told_to_all_vms_at_once(limits):
+# Guards against a VM that learns of a limit only from the first answer to itself.
+def test_a_change_is_published_to_all_vms_at_once(limits):
     limits.answer(2.0, 0.1, 0.2)
-    assert limits.other.per_s("i-1") == 2.0
+    assert limits.limits_there.per_s("i-1") == 2.0
     limits.answer(None, 0.3, 0.4)
-    assert limits.other.per_s("i-1") is None
+    assert limits.limits_there.per_s("i-1") is None
 
 
-# Guards against a VM that started since and is told of no limit, since none changes.
-def test_what_answers_say_is_repeated_in_heartbeats(limits):
+# Guards against a VM that started later and learns of no limit, since none changes.
+def test_limits_in_answers_are_repeated_in_heartbeats(limits):
     limits.answer(2.0, 0.1, 0.2)
-    limits.part._fill()
+    limits.limits_here._heartbeat_fields()
     limits.answer(2.0, 0.3, 0.4)
-    (row,) = limits.part._fill()["limits"]
-    started = limits._part("vm-1")
-    started.receive([row], "vm-0")
-    assert started.per_s("i-1") == 2.0
-    assert limits.part._fill()["limits"] == ()
+    (row,) = limits.limits_here._heartbeat_fields()["limits"]
+    started_later = limits._limits_of("vm-1")
+    started_later.receive([row], "vm-0")
+    assert started_later.per_s("i-1") == 2.0
+    assert limits.limits_here._heartbeat_fields()["limits"] == ()
 
 
-def test_of_several_rows_the_newest_is_passed_on():
+def test_only_the_newest_limit_of_an_endpoint_is_published():
     newest = endpoint_limits.NewestLimits()
     newest.add([("i-1", 2.0, 0.5, 0.4), ("i-2", 1.0, 0.1, 0.0)], now=10.0)
     newest.add([("i-1", None, 0.2, 0.1), ("i-2", 3.0, 0.6, 0.5)], now=10.0)
