--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -232,7 +232,7 @@
         if not failure.sent:
             # Nothing left this VM, so the endpoint was not tried at all.
             course.tried.discard(endpoint.id)
-            self.health.failed(endpoint, failure.reason, in_a_row=2)
+            self.health.failed(endpoint, failure.reason, consecutive_failures=2)
             return
         self._note_break(request, endpoint, course, failure.reason)
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/evidence.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/evidence.py
@@ -1,8 +1,8 @@
-"""Evidence: what all VMs see of endpoints decides which are passed over.
+"""Shared outlier detection: ejects endpoints by the answers that all VMs received.
 
-Each VM publishes with its heartbeats how endpoints answered it, and adds up what it
-receives; see :mod:`seen_answers`. An endpoint that stands out is passed over here as if
-it had failed this VM's own requests.
+Each VM publishes in its heartbeats how endpoints answered its requests, and adds up the
+counts of all VMs; see :mod:`seen_answers`. An outlier is ejected as if it had failed
+requests of this VM.
 """
 
 import collections
@@ -11,37 +11,37 @@
 from mothworks import kernel
 from mothworks_gateway import discovery, health, heartbeat, registry, seen_answers
 
-#: Reason for the log.
-REASON = "all VMs together see it fail"
+#: Reason of the ejection, for the log.
+EJECTION_REASON = "high error rate over all VMs"
 
 
 class AnswerCounts:
-    """Answers since they were last taken, by endpoint's id."""
+    """Counts the answers since the last :meth:`take`, by endpoint's id."""
 
     def __init__(self):
-        self.good: collections.Counter[str] = collections.Counter()
+        self.successes: collections.Counter[str] = collections.Counter()
         self.errors: collections.Counter[str] = collections.Counter()
 
     def add(self, rows: collections.abc.Iterable[heartbeat.AnswerRow]) -> None:
-        """Add answers that a heartbeat tells of.
+        """Add the counts of a heartbeat.
 
         :param rows: its rows.
         """
-        for endpoint_id, good, errors in rows:
-            self.good[endpoint_id] += good
+        for endpoint_id, successes, errors in rows:
+            self.successes[endpoint_id] += successes
             self.errors[endpoint_id] += errors
 
     def take(self) -> tuple[heartbeat.AnswerRow, ...]:
-        """Return what was counted, and begin anew."""
-        ids = self.good.keys() | self.errors.keys()
-        rows = tuple((key, self.good[key], self.errors[key]) for key in ids)
-        self.good.clear()
+        """Return the counts, and reset them."""
+        ids = self.successes.keys() | self.errors.keys()
+        rows = tuple((key, self.successes[key], self.errors[key]) for key in ids)
+        self.successes.clear()
         self.errors.clear()
         return rows
 
 
 class Evidence(kernel.Part):
-    """Publishes how endpoints answered this VM, and receives how they answered others.
+    """Publishes this VM's answer counts, and evaluates those of all VMs.
 
     :param node_kernel: the node's kernel.
     """
@@ -49,35 +49,36 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.health = node_kernel.get(health.Health)
-        self.health.on_answer.append(self._count)
+        self.health.on_answer.append(self._record)
         self.registry = node_kernel.get(discovery.Discovery).registry
-        self.registry.on_change.append(self._forget)
-        self.own = AnswerCounts()
-        self.seen = seen_answers.SeenAnswers()
+        self.registry.on_change.append(self._remove_gone)
+        self.own_counts = AnswerCounts()
+        self.error_rates = seen_answers.ErrorRates()
         heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        heartbeats.on_heartbeat.append(lambda: {"answers": self.own.take()})
+        heartbeats.on_heartbeat.append(lambda: {"answers": self.own_counts.take()})
         heartbeats.on_received.append(self._on_heartbeat)
 
-    def _on_heartbeat(self, vm: str, told: heartbeat.Heartbeat) -> None:
-        # This VM's own answers come back to it where they are added up.
+    def _on_heartbeat(self, vm: str, received: heartbeat.Heartbeat) -> None:
+        # Heartbeats of this VM are passed in, too; its counts are added when it sends
+        # them, or with the totals of a collector.
         if vm != self.kernel.settings.name:
-            self.receive(told.answers)
+            self.receive(received.answers)
 
     def receive(self, rows: collections.abc.Iterable[heartbeat.AnswerRow]) -> None:
-        """Take what VMs saw of endpoints.
+        """Add answer counts of a VM, and eject the outliers.
 
-        :param rows: answers by endpoint.
+        :param rows: the counts by endpoint.
         """
-        for endpoint_id, good, errors in rows:
+        for endpoint_id, successes, errors in rows:
             endpoint = self.registry.by_id.get(endpoint_id)
             if endpoint is None:
                 continue
-            self.seen.add(endpoint_id, endpoint.entry.service, good, errors)
-            if errors and self.seen.stands_out(endpoint_id):
-                self.health.pass_over(endpoint, REASON)
+            self.error_rates.add(endpoint_id, endpoint.entry.service, successes, errors)
+            if errors and self.error_rates.is_outlier(endpoint_id):
+                self.health.eject(endpoint, EJECTION_REASON)
 
-    def _count(self, endpoint: registry.Endpoint, good: bool) -> None:
-        self.own.add([(endpoint.id, int(good), int(not good))])
+    def _record(self, endpoint: registry.Endpoint, succeeded: bool) -> None:
+        self.own_counts.add([(endpoint.id, int(succeeded), int(not succeeded))])
 
-    def _forget(self) -> None:
-        self.seen.forget(set(self.registry.by_id))
+    def _remove_gone(self) -> None:
+        self.error_rates.retain(set(self.registry.by_id))
--- a/packages/mothworks_gateway/src/mothworks_gateway/health.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/health.py
@@ -1,9 +1,10 @@
-"""Health: which endpoints' answers can be relied on, from answers alone.
+"""Health: passive outlier detection by the answers of endpoints.
 
-Probes cost as much as requests and miss an endpoint that fails only part of
-its requests while its health check is good. So each answer counts: failures
-in a row, or a share of failures far above that of its neighbours, take an
-endpoint out for a while. If most of a service are bad, all are used.
+Active probes cost as much as requests, and miss an endpoint that fails only a part of
+its requests while its health check succeeds. Instead, every answer is evaluated:
+consecutive failures, or a failure rate far above that of the service's other endpoints,
+eject an endpoint from selection for a while. If most endpoints of a service are
+ejected, all of them are used.
 """
 
 import random
@@ -17,84 +18,85 @@
 
 log = logbook.Logger("health")
 
-#: Failures in a row after which an endpoint is passed over.
-FAILURES_IN_A_ROW = 3
-#: Weight of the newest answer in the moving share of failures.
+#: Consecutive failures after which an endpoint is ejected.
+MAX_CONSECUTIVE_FAILURES = 3
+#: Weight of the newest answer in the moving averages.
 SMOOTHING = 0.15
-#: Share of failures above the service's others at which it is passed over.
-EXCESS = 0.3
-#: Answers before the share of failures means something.
-LEAST_ANSWERS = 6
-#: First and longest time for which an endpoint is passed over, seconds.
-PAUSE_S = 1.0
-MOST_PAUSE_S = 6.0
-#: Share of a service's endpoints that may be passed over at a time.
-MOST_SHARE = 0.5
+#: Failure rate above the median of the service's other endpoints at which an endpoint
+#: is ejected.
+EXCESS_FAILURE_RATE = 0.3
+#: Answers that an endpoint must have given before its failure rate is evaluated.
+MIN_ANSWERS = 6
+#: First and longest time for which an endpoint is ejected, seconds.
+MIN_EJECTION_S = 1.0
+MAX_EJECTION_S = 6.0
+#: Share of the candidate endpoints that may be ejected at a time.
+MAX_EJECTED_SHARE = 0.5
 
 
 @attrs.define
-class Record:
-    """What answers have shown of one endpoint.
+class EndpointRecord:
+    """Statistics of the answers of one endpoint.
 
     :param service: the endpoint's service.
     :param answers: answers and failures so far.
-    :param in_a_row: failures since the last good answer.
-    :param failing: moving share of failures.
-    :param seconds: moving mean of the time to an answer, seconds.
-    :param until: monotonic time until which it is passed over.
-    :param pause_s: length of its last pause, seconds.
+    :param consecutive_failures: failures since the last success.
+    :param failure_rate: moving average of the share of failures.
+    :param answer_s: moving average of the time until an answer begins, seconds.
+    :param ejected_until: monotonic time until which it is ejected.
+    :param ejection_s: length of its last ejection, seconds.
     """
 
     service: str
     answers: int = 0
-    in_a_row: int = 0
-    failing: float = 0.0
-    seconds: float = 0.0
-    until: float = 0.0
-    pause_s: float = 0.0
+    consecutive_failures: int = 0
+    failure_rate: float = 0.0
+    answer_s: float = 0.0
+    ejected_until: float = 0.0
+    ejection_s: float = 0.0
 
 
 class Health(kernel.Part):
-    """Judges endpoints by their answers.
+    """Ejects endpoints whose answers show that they fail.
 
     :param node_kernel: the node's kernel.
     """
 
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
-        self.record_by_id: dict[str, Record] = {}
+        self.record_by_id: dict[str, EndpointRecord] = {}
         self.registry = node_kernel.get(discovery.Discovery).registry
-        self.registry.on_change.append(self._forget)
-        #: Functions to call with an endpoint that answered, and whether the answer
-        #: was good or an error in the endpoint's own words.
+        self.registry.on_change.append(self._remove_gone)
+        #: Functions to call with an endpoint that answered, and whether the answer was
+        #: a success; otherwise it was an error that the endpoint itself returned.
         self.on_answer: list = []
 
-    def record(self, endpoint: registry.Endpoint) -> Record:
-        """Return what is known of an endpoint.
+    def record(self, endpoint: registry.Endpoint) -> EndpointRecord:
+        """Return the record of an endpoint, which is created if it is missing.
 
         :param endpoint: the endpoint.
         """
-        known = self.record_by_id.get(endpoint.id)
-        if known is None:
-            known = Record(endpoint.entry.service)
-            self.record_by_id[endpoint.id] = known
-        return known
+        endpoint_record = self.record_by_id.get(endpoint.id)
+        if endpoint_record is None:
+            endpoint_record = EndpointRecord(endpoint.entry.service)
+            self.record_by_id[endpoint.id] = endpoint_record
+        return endpoint_record
 
-    def succeeded(self, endpoint: registry.Endpoint, seconds: float) -> None:
-        """Count a good answer.
+    def succeeded(self, endpoint: registry.Endpoint, answer_s: float) -> None:
+        """Record a success.
 
-        :param endpoint: who answered.
-        :param seconds: time until the answer began.
+        :param endpoint: the endpoint that answered.
+        :param answer_s: time until the answer began, seconds.
         """
         record = self.record(endpoint)
         record.answers += 1
-        record.in_a_row = 0
-        record.failing *= 1 - SMOOTHING
+        record.consecutive_failures = 0
+        record.failure_rate *= 1 - SMOOTHING
         if record.answers == 1:
-            record.seconds = seconds
-        record.seconds += (seconds - record.seconds) * SMOOTHING
-        if record.failing < EXCESS / 2:
-            record.pause_s = 0.0
+            record.answer_s = answer_s
+        record.answer_s += (answer_s - record.answer_s) * SMOOTHING
+        if record.failure_rate < EXCESS_FAILURE_RATE / 2:
+            record.ejection_s = 0.0
         for notify in self.on_answer:
             notify(endpoint, True)
 
@@ -103,77 +105,88 @@
         endpoint: registry.Endpoint,
         reason: str,
         weight: float = 1.0,
-        in_a_row: int = 1,
+        consecutive_failures: int = 1,
     ) -> None:
-        """Count a failure that the endpoint is to blame for.
-
-        :param endpoint: who failed.
-        :param reason: how, for the log.
-        :param weight: below 1 for errors that requests may cause themselves.
-        :param in_a_row: how many failures it counts as, where they are counted
-            in a row: more where no connection opened at all.
+        """Record a failure that is attributed to the endpoint.
+
+        :param endpoint: the endpoint that failed.
+        :param reason: what failed, for the log.
+        :param weight: weight in the failure rate; below 1 for errors that may be
+            caused by the request.
+        :param consecutive_failures: number of consecutive failures it counts as; more
+            than one if no connection could be opened.
         """
         record = self.record(endpoint)
         record.answers += 1
-        record.failing += (weight - record.failing) * SMOOTHING
+        record.failure_rate += (weight - record.failure_rate) * SMOOTHING
         if weight >= 1:
-            record.in_a_row += in_a_row
+            record.consecutive_failures += consecutive_failures
         else:
             for notify in self.on_answer:
                 notify(endpoint, False)
-        if record.in_a_row >= FAILURES_IN_A_ROW or self._stands_out(endpoint, record):
-            self.pass_over(endpoint, reason)
+        if record.consecutive_failures >= MAX_CONSECUTIVE_FAILURES or self._is_outlier(
+            endpoint, record
+        ):
+            self.eject(endpoint, reason)
 
     def usable(self, candidates: list[registry.Endpoint]) -> list[registry.Endpoint]:
-        """Return the candidates that are not passed over now.
+        """Return the candidates that are not ejected now.
 
         :param candidates: endpoints of one service.
-        :returns: all of them where most are bad, since then something else is.
+        :returns: all of them if most are ejected: then the cause is elsewhere.
         """
         now = time.monotonic()
-        good = [item for item in candidates if self.record(item).until <= now]
-        if len(good) < len(candidates) * (1 - MOST_SHARE):
+        healthy = [
+            item for item in candidates if self.record(item).ejected_until <= now
+        ]
+        if len(healthy) < len(candidates) * (1 - MAX_EJECTED_SHARE):
             return candidates
-        return good or candidates
+        return healthy or candidates
 
-    def _forget(self) -> None:
-        """Drop what is known of endpoints that are gone."""
+    def _remove_gone(self) -> None:
+        """Remove the records of endpoints that are gone."""
         for endpoint_id in self.record_by_id.keys() - self.registry.by_id.keys():
             del self.record_by_id[endpoint_id]
 
-    def _stands_out(self, endpoint: registry.Endpoint, record: Record) -> bool:
-        if record.answers < LEAST_ANSWERS:
+    def _is_outlier(self, endpoint: registry.Endpoint, record: EndpointRecord) -> bool:
+        if record.answers < MIN_ANSWERS:
             return False
-        others = [
-            item.failing
+        other_failure_rates = [
+            item.failure_rate
             for key, item in self.record_by_id.items()
             if key != endpoint.id
             and item.service == record.service
-            and item.answers >= LEAST_ANSWERS
+            and item.answers >= MIN_ANSWERS
         ]
-        usual = sorted(others)[len(others) // 2] if others else 0.0
-        return record.failing > usual + EXCESS
+        median_failure_rate = (
+            sorted(other_failure_rates)[len(other_failure_rates) // 2]
+            if other_failure_rates
+            else 0.0
+        )
+        return record.failure_rate > median_failure_rate + EXCESS_FAILURE_RATE
 
-    def pass_over(self, endpoint: registry.Endpoint, reason: str) -> None:
-        """Use an endpoint no more for a while; longer each time.
+    def eject(self, endpoint: registry.Endpoint, reason: str) -> None:
+        """Eject an endpoint from selection for a while, longer each time.
 
         :param endpoint: the endpoint.
-        :param reason: why, for the log.
+        :param reason: the cause, for the log.
         """
         record = self.record(endpoint)
         now = time.monotonic()
-        if record.until > now:
+        if record.ejected_until > now:
             return
-        record.pause_s = min(MOST_PAUSE_S, max(PAUSE_S, 2 * record.pause_s))
-        # VMs must not all try it again at the same moment.
-        record.until = now + record.pause_s * random.uniform(0.8, 1.2)
-        record.in_a_row = FAILURES_IN_A_ROW - 1
+        record.ejection_s = min(
+            MAX_EJECTION_S, max(MIN_EJECTION_S, 2 * record.ejection_s)
+        )
+        # Jitter keeps the VMs from all trying it again at the same moment.
+        record.ejected_until = now + record.ejection_s * random.uniform(0.8, 1.2)
+        record.consecutive_failures = MAX_CONSECUTIVE_FAILURES - 1
         logs.event(
             log,
             "endpoint passed over",
             endpoint=endpoint.id,
             reason=reason[:120],
-            failing=round(record.failing, 2),
+            failing=round(record.failure_rate, 2),
             answers=record.answers,
-            outcome=f"for {record.pause_s:g} s",
+            outcome=f"for {record.ejection_s:g} s",
         )
--- a/packages/mothworks_gateway/src/mothworks_gateway/seen_answers.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/seen_answers.py
@@ -1,12 +1,12 @@
-"""Seen answers: how endpoints answered requests in the last seconds, by all VMs.
+"""Error rates: the recent answers of endpoints to the requests of all VMs.
 
-An endpoint that fails a third of its requests shows within a second, if its answers
-are seen together. Each of 195 VMs sees it once in ten seconds, so none of them passed
-it over by its own answers, and a lookup that failed there was sent to another
-endpoint that also failed.
+The answers to all VMs together show within a second that an endpoint fails a third of
+its requests. Each of 195 VMs alone gets an answer from it once in ten seconds: no VM
+ejected it, and a lookup that failed there was retried at another endpoint that failed,
+too.
 
-Only answers count here: success, or an error in the endpoint's own words. Whether a VM
-reaches an endpoint is for that VM alone to judge.
+Only answers count here, successes and errors that the endpoint itself returned. Whether
+an endpoint is reachable is evaluated by each VM on its own.
 """
 
 import math
@@ -15,93 +15,96 @@
 
 import attrs
 
-#: Half-life of what was seen, seconds: a fault shows within one or two, and an
-#: endpoint that has recovered is used again within a few.
+#: Half-life of the counts, seconds: a fault is detected within one or two seconds, and
+#: an endpoint that has recovered is used again within a few.
 HALF_LIFE_S = 2.0
-#: Errors of late below which an endpoint's share of errors is chance: requests may
-#: cause single errors themselves.
-LEAST_ERRORS = 3.0
-#: Share of errors above that of the service's other endpoints at which one stands out.
-EXCESS = 0.12
+#: Recent errors below which an endpoint's error rate is not significant: single errors
+#: may be caused by the requests.
+MIN_ERRORS = 3.0
+#: Error rate above the median of the service's other endpoints at which an endpoint is
+#: an outlier.
+EXCESS_ERROR_RATE = 0.12
 
 
 @attrs.define
-class _Seen:
-    """Answers of one endpoint, fading.
+class _DecayingCounts:
+    """Exponentially decaying counts of the answers of one endpoint.
 
     :param service: its service.
-    :param good: answers that were not errors.
+    :param successes: answers that were not errors.
     :param errors: errors.
-    :param at: monotonic time as of which the two hold.
+    :param updated_at: monotonic time of the last decay.
     """
 
     service: str
-    good: float = 0.0
+    successes: float = 0.0
     errors: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
-    def fade(self, now: float) -> None:
-        kept = math.exp2((self.at - now) / HALF_LIFE_S)
-        self.good *= kept
-        self.errors *= kept
-        self.at = now
+    def decay(self, now: float) -> None:
+        factor = math.exp2((self.updated_at - now) / HALF_LIFE_S)
+        self.successes *= factor
+        self.errors *= factor
+        self.updated_at = now
 
     @property
-    def share(self) -> float:
-        """Return the share of errors among its answers."""
-        return self.errors / max(1.0, self.good + self.errors)
+    def error_rate(self) -> float:
+        """Return the share of errors among the answers."""
+        return self.errors / max(1.0, self.successes + self.errors)
 
 
-class SeenAnswers:
-    """Answers of all endpoints, by endpoint's id.
+class ErrorRates:
+    """Error rates of all endpoints.
 
-    >>> seen = SeenAnswers()
-    >>> seen.add("i-1", "lookups", good=50, errors=0)
-    >>> seen.add("i-2", "lookups", good=30, errors=20)
-    >>> seen.stands_out("i-1"), seen.stands_out("i-2")
+    >>> error_rates = ErrorRates()
+    >>> error_rates.add("i-1", "lookups", successes=50, errors=0)
+    >>> error_rates.add("i-2", "lookups", successes=30, errors=20)
+    >>> error_rates.is_outlier("i-1"), error_rates.is_outlier("i-2")
     (False, True)
     """
 
     def __init__(self):
-        self.seen_by_id: dict[str, _Seen] = {}
+        self.counts_by_id: dict[str, _DecayingCounts] = {}
 
-    def add(self, endpoint_id: str, service: str, good: int, errors: int) -> None:
-        """Add answers that were seen just now.
+    def add(self, endpoint_id: str, service: str, successes: int, errors: int) -> None:
+        """Add answers that have just been received.
 
-        :param endpoint_id: whose.
+        :param endpoint_id: the endpoint that answered.
         :param service: its service.
-        :param good: answers that were not errors.
+        :param successes: answers that were not errors.
         :param errors: errors.
         """
         now = time.monotonic()
-        seen = self.seen_by_id.setdefault(endpoint_id, _Seen(service, at=now))
-        seen.fade(now)
-        seen.good += good
-        seen.errors += errors
+        counts = self.counts_by_id.setdefault(
+            endpoint_id, _DecayingCounts(service, updated_at=now)
+        )
+        counts.decay(now)
+        counts.successes += successes
+        counts.errors += errors
 
-    def stands_out(self, endpoint_id: str) -> bool:
-        """Return whether an endpoint fails far more often than its neighbours.
+    def is_outlier(self, endpoint_id: str) -> bool:
+        """Return whether an endpoint's error rate is far above that of its service.
 
         :param endpoint_id: the endpoint.
         """
-        seen = self.seen_by_id.get(endpoint_id)
-        if seen is None:
+        counts = self.counts_by_id.get(endpoint_id)
+        if counts is None:
             return False
-        seen.fade(time.monotonic())
-        if seen.errors < LEAST_ERRORS:
+        counts.decay(time.monotonic())
+        if counts.errors < MIN_ERRORS:
             return False
-        others = [
-            item.share
-            for other_id, item in self.seen_by_id.items()
-            if other_id != endpoint_id and item.service == seen.service
+        other_rates = [
+            item.error_rate
+            for other_id, item in self.counts_by_id.items()
+            if other_id != endpoint_id and item.service == counts.service
         ]
-        usual = statistics.median(others) if others else 0.0
-        return seen.share > usual + EXCESS
+        median_rate = statistics.median(other_rates) if other_rates else 0.0
+        return counts.error_rate > median_rate + EXCESS_ERROR_RATE
 
-    def forget(self, endpoint_ids: set[str]) -> None:
-        """Drop endpoints that are gone.
+    def retain(self, endpoint_ids: set[str]) -> None:
+        """Remove the counts of endpoints that are gone.
 
-        :param endpoint_ids: those that are still there.
+        :param endpoint_ids: the endpoints whose counts are kept.
         """
-        for endpoint_id in self.seen_by_id.keys() - endpoint_ids:
-            del self.seen_by_id[endpoint_id]
+        for endpoint_id in self.counts_by_id.keys() - endpoint_ids:
+            del self.counts_by_id[endpoint_id]
