--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -1,8 +1,8 @@
-"""Attempts: one sending of a request to one endpoint, and what came of it.
+"""Attempts: sends a request to one endpoint once, and evaluates the outcome.
 
-What an attempt shows of its endpoint is noted at once: for health, for poison
-requests, for what the endpoint holds. What it means for the request is kept in
-its course, from which the dispatch decides whether to go on.
+What the outcome shows about the endpoint is recorded at once: its health, whether the
+request crashed it, and which models it lacks. What it means for the request is recorded
+in the request's progress, by which the dispatch decides whether to retry.
 """
 
 import time
@@ -32,27 +32,28 @@
 
 log = logbook.Logger("attempts")
 
-#: Time kept back from the caller's deadline for the answer's way, seconds.
-RETURN_S = 0.02
-#: Pause before an endpoint that was full is asked again, seconds.
-FULL_PAUSE_S = 0.03
-#: Share of the objective after which a repeatable plain request that is not
+#: Time before the caller's deadline that is reserved for returning the answer, seconds.
+RESPONSE_MARGIN_S = 0.02
+#: Pause after a refusal by a busy endpoint, seconds.
+BUSY_PAUSE_S = 0.03
+#: Share of the objective after which a repeatable, non-streaming request that is not
 #: answered is sent to another endpoint.
 HEDGE_SHARE = 0.6
-#: Least such time, seconds.
-LEAST_HEDGE_S = 0.05
-#: Weight of an error that the endpoint itself answered: some requests cause it.
+#: Lower bound of that time, seconds.
+MIN_HEDGE_S = 0.05
+#: Weight in the failure rate of an error that the endpoint itself returned: some are
+#: caused by the request.
 ERROR_WEIGHT = 0.5
 
 
 @attrs.define
-class Course:
-    """What has happened to a request so far.
+class RequestProgress:
+    """The attempts at a request so far.
 
-    :param tried: ids of endpoints that it was sent to.
+    :param tried: ids of the endpoints that it was sent to.
     :param may_have_run: whether one of them may have run it.
-    :param sends: how often it was sent.
-    :param reason: what stopped the last attempt.
+    :param sends: number of attempts.
+    :param reason: why the last attempt failed.
     """
 
     tried: set[str] = attrs.field(factory=set)
@@ -62,7 +63,7 @@
 
 
 class Attempts(kernel.Part):
-    """Sends requests.
+    """Sends requests to endpoints.
 
     :param node_kernel: the node's kernel.
     """
@@ -70,41 +71,44 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.protocol = node_kernel.get(endpoints_client.EndpointsClient).protocol
-        self.choice = node_kernel.get(choice.Choice)
+        self.choice = node_kernel.get(choice.EndpointSelection)
         self.registry = self.choice.registry
         self.health = node_kernel.get(health.Health)
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
         self.slots = node_kernel.get(send_slots.SendSlots)
         self.load = node_kernel.get(load.Load)
-        self.budget = node_kernel.get(budget.Budget)
-        self.poison = node_kernel.get(poison.Poison)
+        self.budget = node_kernel.get(budget.RetryBudget)
+        self.poison = node_kernel.get(poison.PoisonRequests)
         self.reading = node_kernel.get(reading.Reading)
         self.residency = node_kernel.get(residency.Residency)
         self.head_seconds = node_kernel.metrics.seconds(
             "head_seconds", "Time from a request's arrival to its answer's head."
         )
 
-    def make(
-        self, request: asked.Asked, endpoint: registry.Endpoint, course: Course
+    def send_once(
+        self,
+        request: asked.Asked,
+        endpoint: registry.Endpoint,
+        progress: RequestProgress,
     ) -> calls.Reply | None:
         """Send a request once.
 
         :param request: the request.
-        :param endpoint: where to.
-        :param course: takes what happens.
-        :returns: its answer; None where there is none, as the course says.
+        :param endpoint: the endpoint that it is sent to.
+        :param progress: the request's progress, which is updated.
+        :returns: the answer; None if the attempt failed, with the reason in `progress`.
         """
-        course.tried.add(endpoint.id)
-        course.sends += 1
-        began = time.monotonic()
+        progress.tried.add(endpoint.id)
+        progress.sends += 1
+        started_at = time.monotonic()
         self.load.begin(endpoint, request.target)
-        kept = False
+        has_reply = False
         try:
-            reply = self._send(request, endpoint, course, began)
-            kept = reply is not None
+            reply = self._send(request, endpoint, progress, started_at)
+            has_reply = reply is not None
             return reply
         finally:
-            if not kept:
+            if not has_reply:
                 self.load.end(endpoint, request.target)
             logs.event(
                 log,
@@ -115,47 +119,47 @@
                 endpoint=endpoint.id,
                 model=request.target.model,
                 adapter=request.target.adapter,
-                attempt=course.sends,
+                attempt=progress.sends,
                 running=self.load.of_endpoint(endpoint.id),
-                left_ms=round((request.deadline - began) * 1000),
-                took_ms=round((time.monotonic() - began) * 1000, 1),
-                outcome="answer begun" if kept else course.reason,
+                left_ms=round((request.deadline - started_at) * 1000),
+                took_ms=round((time.monotonic() - started_at) * 1000, 1),
+                outcome="answer begun" if has_reply else progress.reason,
             )
 
     def _send(
         self,
         request: asked.Asked,
         endpoint: registry.Endpoint,
-        course: Course,
-        began: float,
+        progress: RequestProgress,
+        started_at: float,
     ) -> calls.Reply | None:
-        left_s = request.deadline - began - RETURN_S
-        head_by = request.deadline
-        if self._hedges(request, course):
-            hedge_after_s = max(LEAST_HEDGE_S, HEDGE_SHARE * request.route.objective_s)
-            head_by = min(head_by, began + hedge_after_s)
-        sent = self.protocol.send(endpoint, request, left_s, head_by)
+        left_s = request.deadline - started_at - RESPONSE_MARGIN_S
+        head_deadline = request.deadline
+        if self._may_hedge(request, progress):
+            hedge_after_s = max(MIN_HEDGE_S, HEDGE_SHARE * request.route.objective_s)
+            head_deadline = min(head_deadline, started_at + hedge_after_s)
+        sent = self.protocol.send(endpoint, request, left_s, head_deadline)
         match sent:
             case result.Err(failure):
-                return self._note_failure(request, endpoint, course, failure)
+                return self._handle_send_failure(request, endpoint, progress, failure)
             case result.Ok(answer):
                 pass
         verdict = self.protocol.judge(request, answer)
-        self.note_limit(request, endpoint, answer, verdict, began)
+        self.update_limit(request, endpoint, answer, verdict, started_at)
         if verdict not in (adapters.Verdict.ANSWER, adapters.Verdict.FAILED):
             answer.close()
-            self._note_verdict(request, endpoint, course, verdict)
+            self._handle_verdict(request, endpoint, progress, verdict)
             return None
         failed = verdict is adapters.Verdict.FAILED
-        if failed and self._hedges(request, course):
+        if failed and self._may_hedge(request, progress):
             answer.close()
             self.health.failed(endpoint, f"status {answer.status}", ERROR_WEIGHT)
-            course.may_have_run = True
-            course.reason = f"status {answer.status}"
+            progress.may_have_run = True
+            progress.reason = f"status {answer.status}"
             return None
-        return self._read(request, endpoint, course, answer, verdict, began)
+        return self._read(request, endpoint, progress, answer, verdict, started_at)
 
-    def note_limit(
+    def update_limit(
         self,
         request: asked.Asked,
         endpoint: registry.Endpoint,
@@ -163,13 +167,13 @@
         verdict: adapters.Verdict,
         sent_at: float,
     ) -> None:
-        """Take what an answer says of its endpoint's limit.
+        """Update an endpoint's rate limit from its answer.
 
-        :param request: what was sent.
-        :param endpoint: where to.
+        :param request: the request.
+        :param endpoint: the endpoint.
         :param answer: the answer.
-        :param verdict: what its head says.
-        :param sent_at: monotonic time of sending.
+        :param verdict: the meaning of the answer's head.
+        :param sent_at: monotonic time at which the request was sent.
         """
         if verdict not in (adapters.Verdict.FOREIGN, adapters.Verdict.MISDIRECTED):
             ran = verdict is adapters.Verdict.ANSWER
@@ -179,31 +183,33 @@
         self,
         request: asked.Asked,
         endpoint: registry.Endpoint,
-        course: Course,
+        progress: RequestProgress,
         answer: transport.HttpAnswer,
         verdict: adapters.Verdict,
-        began: float,
+        started_at: float,
     ) -> calls.Reply | None:
-        """Turn an answer into a reply; plain ones are read whole first."""
+        """Turn an answer into a reply; non-streaming ones are read whole first."""
         if request.route.streaming and verdict is adapters.Verdict.ANSWER:
-            took = time.monotonic() - began
-            self.health.succeeded(endpoint, took)
-            self.reading.note(request, took)
-            if took > request.route.objective_s:
+            took_s = time.monotonic() - started_at
+            self.health.succeeded(endpoint, took_s)
+            self.reading.note(request, took_s)
+            if took_s > request.route.objective_s:
                 self.load.note_late(request.target)
-            body = answering.Running(self, request, endpoint, answer)
+            body = answering.StreamRelay(self, request, endpoint, answer)
             return self._reply(request, answer, body)
-        read = transport.whole(answer)
-        if read.is_err():
-            self._note_break(request, endpoint, course, read.err_value)
+        whole_body = transport.whole(answer)
+        if whole_body.is_err():
+            self._handle_broken_answer(
+                request, endpoint, progress, whole_body.err_value
+            )
             return None
         self.load.end(endpoint, request.target)
         if verdict is adapters.Verdict.ANSWER:
-            self.health.succeeded(endpoint, time.monotonic() - began)
-            self.poison.ran_well(request)
+            self.health.succeeded(endpoint, time.monotonic() - started_at)
+            self.poison.clear(request)
         else:
             self.health.failed(endpoint, f"status {answer.status}", ERROR_WEIGHT)
-        return self._reply(request, answer, [read.ok_value])
+        return self._reply(request, answer, [whole_body.ok_value])
 
     def _reply(
         self, request: asked.Asked, answer: transport.HttpAnswer, body
@@ -212,58 +218,58 @@
         self.head_seconds.observe(labels, time.monotonic() - request.arrived)
         return calls.Reply(answer.status, answer.headers, body)
 
-    def _hedges(self, request: asked.Asked, course: Course) -> bool:
-        """Return whether a slow attempt should make way for another one."""
+    def _may_hedge(self, request: asked.Asked, progress: RequestProgress) -> bool:
+        """Return whether a slow attempt may be abandoned for another endpoint."""
         return (
             request.route.repeatable
             and not request.route.streaming
-            and len(course.tried) < request.route.most_endpoints
+            and len(progress.tried) < request.route.most_endpoints
             and len(self.registry.of_service(request.target.service)) > 1
         )
 
-    def _note_failure(
+    def _handle_send_failure(
         self,
         request: asked.Asked,
         endpoint: registry.Endpoint,
-        course: Course,
+        progress: RequestProgress,
         failure: endpoints.SendFailure,
     ) -> None:
-        course.reason = failure.reason[:80]
+        progress.reason = failure.reason[:80]
         if not failure.sent:
-            # Nothing left this VM, so the endpoint was not tried at all.
-            course.tried.discard(endpoint.id)
+            # Nothing was sent, so the endpoint does not count as tried.
+            progress.tried.discard(endpoint.id)
             self.health.failed(endpoint, failure.reason, consecutive_failures=2)
             return
-        self._note_break(request, endpoint, course, failure.reason)
+        self._handle_broken_answer(request, endpoint, progress, failure.reason)
 
-    def _note_break(
+    def _handle_broken_answer(
         self,
         request: asked.Asked,
         endpoint: registry.Endpoint,
-        course: Course,
+        progress: RequestProgress,
         reason: str,
     ) -> None:
-        course.may_have_run = True
-        course.reason = reason[:80]
+        progress.may_have_run = True
+        progress.reason = reason[:80]
         self.health.failed(endpoint, reason)
         if "timed out" not in reason and "late" not in reason:
-            self.poison.broke(request, endpoint)
+            self.poison.record_crash(request, endpoint)
 
-    def _note_verdict(
+    def _handle_verdict(
         self,
         request: asked.Asked,
         endpoint: registry.Endpoint,
-        course: Course,
+        progress: RequestProgress,
         verdict: adapters.Verdict,
     ) -> None:
-        course.reason = verdict.value
+        progress.reason = verdict.value
         match verdict:
             case adapters.Verdict.ABSENT:
                 self.residency.missed(endpoint, request.target)
             case adapters.Verdict.MISDIRECTED:
                 self.registry.dismiss(endpoint, "its address is another's")
             case adapters.Verdict.FOREIGN:
-                course.may_have_run = True
+                progress.may_have_run = True
                 self.health.failed(endpoint, "not an answer to the request")
             case adapters.Verdict.BUSY:
-                gevent.sleep(FULL_PAUSE_S)
+                gevent.sleep(BUSY_PAUSE_S)
--- a/packages/mothworks_gateway/src/mothworks_gateway/budget.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/budget.py
@@ -17,7 +17,7 @@
 ALLOWANCE_SHARE = 0.8
 
 
-class Budget(kernel.Part):
+class RetryBudget(kernel.Part):
     """Counts requests and retries by service.
 
     :param node_kernel: the node's kernel.
@@ -36,7 +36,7 @@
         """
         self.requests_by_service[service].add()
 
-    def take(self, service: str) -> bool:
+    def try_spend(self, service: str) -> bool:
         """Spend one retry of the budget; returns whether one was left.
 
         :param service: the service that the request is sent to.
--- a/packages/mothworks_gateway/src/mothworks_gateway/choice.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/choice.py
@@ -38,7 +38,7 @@
     all: tuple[registry.Endpoint, ...]
 
 
-class Choice(kernel.Part):
+class EndpointSelection(kernel.Part):
     """Orders the endpoints for each request by prompt affinity and load.
 
     :param node_kernel: the node's kernel.
--- a/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
@@ -1,9 +1,9 @@
-"""Dispatch: takes a request to an endpoint and brings back its answer.
+"""Dispatch: sends a request to an endpoint, retries it, and returns the answer.
 
-It finds an endpoint, waiting for the request's model if needed, and has an
-attempt made. What follows depends on what is known then: a request that has
-not run may be refused or sent again; one that may have run is sent again only
-if it is repeatable, and is never answered as if it had not run.
+The dispatch finds an endpoint, waiting for the request's model if needed, and sends the
+request. If that fails, a request that has not run may be refused or retried. One that
+may have run is retried only if it is repeatable, and its caller is never told that it
+has not run.
 """
 
 import time
@@ -27,31 +27,31 @@
 
 log = logbook.Logger("dispatch")
 
-#: Least time that makes sending a request worthwhile, seconds.
-LEAST_S = 0.015
-#: Share of the time a caller has that it may wait for an endpoint to hold its
-#: model, and the least such time as a multiple of the objective. Past that, a
-#: refusal lets the caller come back while there is time.
-WAIT_SHARE = 0.5
-MOST_WAIT_SHARE = 0.7
-WAIT_OBJECTIVES = 1.5
-#: Share of a caller's timeout after which nothing that begins reaches it.
+#: Time left until the deadline below which a request is not sent, seconds.
+MIN_TIME_LEFT_S = 0.015
+#: Bounds of the wait for a model or a send slot. A request waits for MIN_WAIT_SHARE of
+#: its available time or MIN_WAIT_OBJECTIVES times its objective, whichever is longer,
+#: but for no more than MAX_WAIT_SHARE of its available time. After that it is refused,
+#: so that the caller can retry in time.
+MIN_WAIT_SHARE = 0.5
+MAX_WAIT_SHARE = 0.7
+MIN_WAIT_OBJECTIVES = 1.5
+#: Share of a caller's timeout after which an answer that begins no longer reaches it.
 CALLER_TIMEOUT_SHARE = 0.9
-#: Time before the end of a VM that stops at which nothing waits any more, seconds.
-STOP_S = 2.5
-#: Time to wait for any endpoint of a service to appear, as a share of the
-#: objective.
-EMPTY_SHARE = 0.12
-#: Hint to a caller that found no endpoint, seconds.
-EMPTY_RETRY_S = 0.5
-#: Hint to a caller whose model was not loaded in time, seconds.
-ABSENT_RETRY_S = 1.0
-#: Hint to a caller that met full endpoints, seconds.
-FULL_RETRY_S = 0.3
+#: Time before a draining VM stops at which all waits end, seconds.
+DRAIN_MARGIN_S = 2.5
+#: Longest wait for a service without endpoints to get one, as a share of the objective.
+ENDPOINT_WAIT_SHARE = 0.12
+#: Retry-After if the service has no endpoint, seconds.
+NO_ENDPOINT_RETRY_S = 0.5
+#: Retry-After if the model was not loaded in time, seconds.
+NOT_LOADED_RETRY_S = 1.0
+#: Retry-After if the endpoints are busy, seconds.
+BUSY_RETRY_S = 0.3
 
 
 class Dispatch(kernel.Part):
-    """Runs requests.
+    """Runs requests on endpoints.
 
     :param node_kernel: the node's kernel.
     """
@@ -59,10 +59,10 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.attempts = node_kernel.get(attempts.Attempts)
-        self.choice = node_kernel.get(choice.Choice)
+        self.choice = node_kernel.get(choice.EndpointSelection)
         self.load = node_kernel.get(load.Load)
-        self.budget = node_kernel.get(budget.Budget)
-        self.poison = node_kernel.get(poison.Poison)
+        self.budget = node_kernel.get(budget.RetryBudget)
+        self.poison = node_kernel.get(poison.PoisonRequests)
         self.residency = node_kernel.get(residency.Residency)
         self.slots = node_kernel.get(send_slots.SendSlots)
         self.turns = node_kernel.get(turns.Turns)
@@ -71,178 +71,192 @@
         )
 
     def run(self, request: asked.Asked) -> result.Result[calls.Reply, outcomes.Refusal]:
-        """Run a request and return its answer, the body still to come.
+        """Run a request, and return its answer as soon as it begins.
 
         :param request: the request.
         """
         self.budget.add_request(request.target.service)
         self.load.arrive(request)
-        course = attempts.Course()
+        progress = attempts.RequestProgress()
         while True:
-            if self.poison.convicted(request):
-                course.reason = "it broke several endpoints"
-                return self._refuse(request, course, 503, None)
-            match self._find(request, course):
+            if self.poison.is_blocked(request):
+                progress.reason = "it crashed several endpoints"
+                return self._refuse(request, progress, 503, None)
+            match self._find_endpoint(request, progress):
                 case result.Ok(slot):
                     endpoint = slot.endpoint
                     with self.load.counted(endpoint, request.target):
                         may_send = self.slots.wait(slot)
                         if may_send:
                             self.turns.wait(request, endpoint)
-                    if not (may_send and _takes(endpoint, request.target)):
-                        # It left, dropped the model or lowered its limit meanwhile.
+                    if not (may_send and _accepts(endpoint, request.target)):
+                        # During the wait, the endpoint left, unloaded the model or
+                        # lowered its limit.
                         continue
-                    reply = self.attempts.make(request, endpoint, course)
+                    reply = self.attempts.send_once(request, endpoint, progress)
                 case result.Err() as refused:
                     return refused
             if reply is not None:
                 self._count(request, "answered")
                 return result.Ok(reply)
-            if not self._may_go_on(request, course):
-                return self._give_up(request, course)
+            if not self._may_retry(request, progress):
+                return self._give_up(request, progress)
 
-    def _find(
-        self, request: asked.Asked, course: attempts.Course
+    def _find_endpoint(
+        self, request: asked.Asked, progress: attempts.RequestProgress
     ) -> result.Result[send_slots.SendSlot, outcomes.Refusal]:
-        """Return where and when to send a request, waiting for its model if needed."""
-        empty_until = time.monotonic() + EMPTY_SHARE * request.route.objective_s
+        """Find an endpoint and a send slot, waiting for the model if needed."""
+        endpoint_wait_until = (
+            time.monotonic() + ENDPOINT_WAIT_SHARE * request.route.objective_s
+        )
         while True:
             now = time.monotonic()
-            if request.deadline - now < LEAST_S:
-                course.reason = f"{course.reason}; out of time"
-                return self._give_up(request, course)
-            found = self.choice.candidates(request)
-            allowed = self._allowed(request, course, found.ready)
-            if allowed:
-                return self._find_slot(request, course, allowed)
-            if found.ready:
-                # Held only where it must not be sent; the caller may come back.
-                return self._refuse(request, course, 503, FULL_RETRY_S)
-            if found.all:
-                refused = self._wait_for_model(request, course, found, now)
+            if request.deadline - now < MIN_TIME_LEFT_S:
+                progress.reason = f"{progress.reason}; out of time"
+                return self._give_up(request, progress)
+            candidates = self.choice.candidates(request)
+            eligible = self._eligible(request, progress, candidates.ready)
+            if eligible:
+                return self._acquire_slot(request, progress, eligible)
+            if candidates.ready:
+                # Only endpoints that it must not be sent to hold its model; the caller
+                # may retry.
+                return self._refuse(request, progress, 503, BUSY_RETRY_S)
+            if candidates.all:
+                refused = self._wait_for_model(request, progress, candidates, now)
             else:
-                refused = self._wait_for_endpoints(request, course, empty_until - now)
+                refused = self._wait_for_endpoints(
+                    request, progress, endpoint_wait_until - now
+                )
             if refused is not None:
                 return refused
 
-    def _find_slot(
+    def _acquire_slot(
         self,
         request: asked.Asked,
-        course: attempts.Course,
-        allowed: list[registry.Endpoint],
+        progress: attempts.RequestProgress,
+        eligible: list[registry.Endpoint],
     ) -> result.Result[send_slots.SendSlot, outcomes.Refusal]:
-        """Return a slot at one of some endpoints, or refuse the request at once."""
-        most_wait_s = self._wait_until(request) - time.monotonic()
-        match self.slots.acquire(request, allowed, most_wait_s):
-            case result.Err(full):
-                course.reason = (
-                    f"{full.endpoint.id} takes {full.per_s:g} requests a second "
-                    f"(told {full.age_s:.1f} s ago): {full.reason}"
+        """Acquire a slot at one of several endpoints, or refuse the request at once."""
+        max_wait_s = self._wait_until(request) - time.monotonic()
+        match self.slots.acquire(request, eligible, max_wait_s):
+            case result.Err(at_limit):
+                progress.reason = (
+                    f"{at_limit.endpoint.id} accepts {at_limit.per_s:g} "
+                    f"requests per second (reported {at_limit.age_s:.1f} s ago): "
+                    f"{at_limit.reason}"
                 )
-                return self._refuse(request, course, 503, full.retry_after_s)
-            case found:
-                return found
+                return self._refuse(request, progress, 503, at_limit.retry_after_s)
+            case granted:
+                return granted
 
     def _wait_for_endpoints(
-        self, request: asked.Asked, course: attempts.Course, seconds: float
+        self, request: asked.Asked, progress: attempts.RequestProgress, seconds: float
     ) -> result.Err[outcomes.Refusal] | None:
-        """Wait until endpoints come or go; returns a refusal once that is in vain."""
+        """Wait for a change of the endpoints; returns a refusal when time is up."""
         if seconds <= 0:
-            course.reason = "no endpoint of the service"
-            return self._refuse(request, course, 503, EMPTY_RETRY_S)
+            progress.reason = "the service has no endpoint"
+            return self._refuse(request, progress, 503, NO_ENDPOINT_RETRY_S)
         self.residency.changed.wait(seconds)
         return None
 
     def _wait_for_model(
         self,
         request: asked.Asked,
-        course: attempts.Course,
-        found: choice.Candidates,
+        progress: attempts.RequestProgress,
+        candidates: choice.Candidates,
         now: float,
     ) -> result.Err[outcomes.Refusal] | None:
-        """Wait until a model may be held; returns a refusal once that is in vain."""
+        """Wait for a model to be loaded; returns a refusal if that takes too long."""
         wait_until = self._wait_until(request)
-        ready_in_s = self._ready_in_s(request, found)
+        ready_in_s = self._ready_in_s(request, candidates)
         if ready_in_s is not None:
             wait_until = now + ready_in_s
-            if wait_until > self._reached_until(request):
-                # The caller would leave before its answer begins. Told when to come
-                # back, it finds its model there.
-                course.reason = f"its model is ready in {ready_in_s:.1f} s"
-                return self._refuse(request, course, 503, ready_in_s)
+            if wait_until > self._caller_reachable_until(request):
+                # The caller would disconnect before its answer begins. If it retries
+                # after the given delay, its model is loaded.
+                progress.reason = f"its model is ready in {ready_in_s:.1f} s"
+                return self._refuse(request, progress, 503, ready_in_s)
         if now >= wait_until:
-            course.reason = f"{course.reason}; not held in time"
-            return self._refuse(request, course, 503, ABSENT_RETRY_S)
+            progress.reason = f"{progress.reason}; not held in time"
+            return self._refuse(request, progress, 503, NOT_LOADED_RETRY_S)
         self.residency.wait(request, wait_until - now)
         return None
 
     def _ready_in_s(
-        self, request: asked.Asked, found: choice.Candidates
+        self, request: asked.Asked, candidates: choice.Candidates
     ) -> float | None:
-        """Return the time until a model that is nowhere is loaded, if known."""
+        """Return the seconds until a model without any endpoint is loaded, if known."""
         target = request.target
-        if any(item.holds(target.model, "") for item in found.all):
-            # Only its adapter is missing, which takes milliseconds.
+        if any(item.holds(target.model, "") for item in candidates.all):
+            # Only the adapter is missing, which loads in milliseconds.
             return None
         return self.residency.ready_in_s(target)
 
-    def _allowed(
+    def _eligible(
         self,
         request: asked.Asked,
-        course: attempts.Course,
+        progress: attempts.RequestProgress,
         ready: tuple[registry.Endpoint, ...],
     ) -> list[registry.Endpoint]:
-        """Return the endpoints that a request may still be sent to."""
-        if len(course.tried) < request.route.most_endpoints:
-            fresh = [item for item in ready if item.id not in course.tried]
-            if fresh:
-                return fresh
-        if course.may_have_run and not request.route.repeatable:
+        """Return the endpoints that a request may be sent to."""
+        if len(progress.tried) < request.route.most_endpoints:
+            untried = [item for item in ready if item.id not in progress.tried]
+            if untried:
+                return untried
+        if progress.may_have_run and not request.route.repeatable:
             return []
-        return [item for item in ready if item.id in course.tried]
+        return [item for item in ready if item.id in progress.tried]
 
-    def _reached_until(self, request: asked.Asked) -> float:
-        """Return the time until which an answer that begins reaches its caller."""
+    def _caller_reachable_until(self, request: asked.Asked) -> float:
+        """Return the monotonic time by which an answer has to begin."""
         timeout_s = request.route.caller_timeout_s * CALLER_TIMEOUT_SHARE
         latest = min(request.deadline, request.arrived + timeout_s)
-        return min(latest, self.kernel.drain_deadline - STOP_S)
+        return min(latest, self.kernel.drain_deadline - DRAIN_MARGIN_S)
 
     def _wait_until(self, request: asked.Asked) -> float:
-        left = self._reached_until(request) - request.arrived
-        objectives = WAIT_OBJECTIVES * request.route.objective_s
-        waits = min(MOST_WAIT_SHARE * left, max(WAIT_SHARE * left, objectives))
-        # A VM that stops must answer before it ends.
-        return min(request.arrived + waits, self.kernel.drain_deadline - STOP_S)
+        available_s = self._caller_reachable_until(request) - request.arrived
+        objective_wait_s = MIN_WAIT_OBJECTIVES * request.route.objective_s
+        wait_s = min(
+            MAX_WAIT_SHARE * available_s,
+            max(MIN_WAIT_SHARE * available_s, objective_wait_s),
+        )
+        # A draining VM must reply before it stops.
+        return min(
+            request.arrived + wait_s, self.kernel.drain_deadline - DRAIN_MARGIN_S
+        )
 
-    def _may_go_on(self, request: asked.Asked, course: attempts.Course) -> bool:
-        if course.may_have_run and not request.route.repeatable:
+    def _may_retry(
+        self, request: asked.Asked, progress: attempts.RequestProgress
+    ) -> bool:
+        if progress.may_have_run and not request.route.repeatable:
             return False
-        if time.monotonic() + LEAST_S > request.deadline:
+        if time.monotonic() + MIN_TIME_LEFT_S > request.deadline:
             return False
-        return self.budget.take(request.target.service)
+        return self.budget.try_spend(request.target.service)
 
     def _give_up(
-        self, request: asked.Asked, course: attempts.Course
+        self, request: asked.Asked, progress: attempts.RequestProgress
     ) -> result.Err[outcomes.Refusal]:
-        if not course.may_have_run:
-            return self._refuse(request, course, 503, FULL_RETRY_S)
-        late = time.monotonic() + LEAST_S > request.deadline
-        return self._refuse(request, course, 504 if late else 502, None)
+        if not progress.may_have_run:
+            return self._refuse(request, progress, 503, BUSY_RETRY_S)
+        is_late = time.monotonic() + MIN_TIME_LEFT_S > request.deadline
+        return self._refuse(request, progress, 504 if is_late else 502, None)
 
     def _refuse(
         self,
         request: asked.Asked,
-        course: attempts.Course,
+        progress: attempts.RequestProgress,
         status: int,
         retry_after: float | None,
     ) -> result.Err[outcomes.Refusal]:
         ran = outcomes.Ran.NO
-        if course.may_have_run:
-            # A 503 would promise that the request has not run.
+        if progress.may_have_run:
+            # Status 503 would state that the request has not run.
             ran, retry_after = outcomes.Ran.UNKNOWN, None
             status = status if status in (502, 504) else 502
         refusal = outcomes.Refusal(
-            status, "not_served", course.reason, ran, retry_after
+            status, "not_served", progress.reason, ran, retry_after
         )
         self._count(request, f"refused {status}")
         logs.event(
@@ -253,10 +267,10 @@
             version=request.declaration_version,
             model=request.target.model,
             adapter=request.target.adapter,
-            sends=course.sends,
-            may_have_run=course.may_have_run,
+            sends=progress.sends,
+            may_have_run=progress.may_have_run,
             held_ms=round((time.monotonic() - request.arrived) * 1000),
-            reason=course.reason,
+            reason=progress.reason,
             outcome=status,
         )
         return result.Err(refusal)
@@ -266,5 +280,5 @@
         self.requests_total.inc(labels)
 
 
-def _takes(endpoint: registry.Endpoint, target: asked.Target) -> bool:
+def _accepts(endpoint: registry.Endpoint, target: asked.Target) -> bool:
     return endpoint.open and endpoint.holds(target.model, target.adapter)
--- a/packages/mothworks_gateway/src/mothworks_gateway/poison.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/poison.py
@@ -1,8 +1,9 @@
-"""Poison requests: copies of one request that crash each endpoint they run at.
+"""Poison requests: requests of which each copy crashes the endpoint that runs it.
 
-Such a request comes again and again, through any VM. Each VM tells all others
-which endpoints broke off while they ran it. A request that several endpoints
-broke off under is refused everywhere for a while; running well clears it.
+Callers retry such a request again and again, through any VM. Each VM publishes which
+endpoints dropped the connection while they ran a request, which counts as a crash. A
+request that crashed several endpoints is refused by all VMs for a while; a copy that
+completes clears it.
 """
 
 import collections
@@ -16,18 +17,19 @@
 
 log = logbook.Logger("poison")
 
-#: Endpoints that must have broken off under a request before it is refused.
-CRASHES = 3
-#: Time for which breaks are remembered, seconds.
-MEMORY_S = 120.0
-#: Most requests remembered; the oldest are forgotten first.
-MOST = 2000
+#: Number of endpoints that a request must have crashed before it is refused.
+CRASHES_TO_BLOCK = 3
+#: Time for which a request is refused after its last crash, seconds.
+RETENTION_S = 120.0
+#: Upper bound of the number of requests that are remembered; the oldest are evicted
+#: first.
+MAX_REQUESTS = 2000
 
 
 @messages.message(113)
 @attrs.frozen
 class Broke:
-    """Tells that an endpoint broke off while it ran a request.
+    """Reports that an endpoint crashed while it ran a request.
 
     :param fingerprint: see :meth:`asked.Asked.fingerprint`.
     :param endpoint: the endpoint's id.
@@ -38,19 +40,19 @@
 
 
 @attrs.define
-class _Case:
-    """The endpoints that broke off under one request.
+class _CrashHistory:
+    """The endpoints that crashed while they ran one request.
 
     :param endpoints: their ids.
-    :param at: monotonic time of the last break.
+    :param last_crash_at: monotonic time of the last crash.
     """
 
     endpoints: set[str]
-    at: float
+    last_crash_at: float
 
 
-class Poison(kernel.Part):
-    """Remembers under which requests endpoints broke off.
+class PoisonRequests(kernel.Part):
+    """Blocks requests that crashed several endpoints.
 
     :param node_kernel: the node's kernel.
     """
@@ -58,60 +60,62 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.peers = node_kernel.get(peers.Peers)
-        self.case_by_fingerprint: collections.OrderedDict[bytes, _Case] = (
+        self.history_by_fingerprint: collections.OrderedDict[bytes, _CrashHistory] = (
             collections.OrderedDict()
         )
-        self.peers.handle(Broke, self._on_broke)
+        self.peers.handle(Broke, self._on_crash_report)
 
-    def convicted(self, request: asked.Asked) -> bool:
-        """Return whether a request is refused.
+    def is_blocked(self, request: asked.Asked) -> bool:
+        """Return whether a request has to be refused.
 
         :param request: the request.
         """
-        if not self.case_by_fingerprint:
+        if not self.history_by_fingerprint:
             return False
-        case = self.case_by_fingerprint.get(request.fingerprint())
-        if case is None or time.monotonic() - case.at > MEMORY_S:
+        history = self.history_by_fingerprint.get(request.fingerprint())
+        if history is None or time.monotonic() - history.last_crash_at > RETENTION_S:
             return False
-        return len(case.endpoints) >= CRASHES
+        return len(history.endpoints) >= CRASHES_TO_BLOCK
 
-    def broke(self, request: asked.Asked, endpoint: registry.Endpoint) -> None:
-        """Note that an endpoint broke off while it ran a request.
+    def record_crash(self, request: asked.Asked, endpoint: registry.Endpoint) -> None:
+        """Record and publish that an endpoint crashed while it ran a request.
 
         :param request: the request.
         :param endpoint: the endpoint.
         """
-        update = Broke(request.fingerprint(), endpoint.id)
-        if self._note(update):
-            self.peers.send_all(update)
+        report = Broke(request.fingerprint(), endpoint.id)
+        if self._record(report):
+            self.peers.send_all(report)
             logs.event(
                 log,
                 "broke off",
                 request=request.id,
                 endpoint=endpoint.id,
-                endpoints=len(self.case_by_fingerprint[update.fingerprint].endpoints),
-                outcome="refused" if self.convicted(request) else "noted",
+                endpoints=len(
+                    self.history_by_fingerprint[report.fingerprint].endpoints
+                ),
+                outcome="refused" if self.is_blocked(request) else "noted",
             )
 
-    def ran_well(self, request: asked.Asked) -> None:
-        """Clear a request that ran to its end.
+    def clear(self, request: asked.Asked) -> None:
+        """Clear the crashes of a request that has completed.
 
         :param request: the request.
         """
-        if self.case_by_fingerprint:
-            self.case_by_fingerprint.pop(request.fingerprint(), None)
+        if self.history_by_fingerprint:
+            self.history_by_fingerprint.pop(request.fingerprint(), None)
 
-    def _note(self, update: Broke) -> bool:
-        case = self.case_by_fingerprint.setdefault(
-            update.fingerprint, _Case(set(), time.monotonic())
+    def _record(self, report: Broke) -> bool:
+        history = self.history_by_fingerprint.setdefault(
+            report.fingerprint, _CrashHistory(set(), time.monotonic())
         )
-        if update.endpoint in case.endpoints:
+        if report.endpoint in history.endpoints:
             return False
-        case.endpoints.add(update.endpoint)
-        case.at = time.monotonic()
-        while len(self.case_by_fingerprint) > MOST:
-            self.case_by_fingerprint.popitem(last=False)
+        history.endpoints.add(report.endpoint)
+        history.last_crash_at = time.monotonic()
+        while len(self.history_by_fingerprint) > MAX_REQUESTS:
+            self.history_by_fingerprint.popitem(last=False)
         return True
 
-    def _on_broke(self, _: str, update: Broke, __) -> None:
-        self._note(update)
+    def _on_crash_report(self, _: str, report: Broke, __) -> None:
+        self._record(report)
--- a/packages/mothworks_gateway/tests/test_budget.py
+++ b/packages/mothworks_gateway/tests/test_budget.py
@@ -10,45 +10,45 @@
 
 def make_budget(vms=1, live=None, **bounds):
     fleet = types.SimpleNamespace(live=live or vms, most=vms)
-    return budget.Budget(
+    return budget.RetryBudget(
         gateway_builders.Kernel({fleet_size.FleetSize: fleet}, **bounds)
     )
 
 
-def take_all(retry_budget, service="s"):
+def spend_all(retry_budget, service="s"):
     count = 0
-    while retry_budget.take(service):
+    while retry_budget.try_spend(service):
         count += 1
     return count
 
 
 def test_without_requests_only_the_slack_is_allowed():
-    assert take_all(make_budget(retry_share=0.2, retry_slack=10)) == 8
+    assert spend_all(make_budget(retry_share=0.2, retry_slack=10)) == 8
 
 
 @pytest.mark.parametrize("vms", [2, 5, 10])
 def test_vms_together_stay_below_the_slack(vms):
     # Endpoints fail, and all VMs retry at once.
-    assert vms * take_all(make_budget(vms, retry_share=0, retry_slack=100)) <= 100
+    assert vms * spend_all(make_budget(vms, retry_share=0, retry_slack=100)) <= 100
 
 
 # Guards against each side of a network partition using the slack of all VMs.
 def test_sides_of_a_partition_together_stay_below_the_slack():
     retry_budget = make_budget(vms=8, live=4, retry_share=0, retry_slack=100)
-    assert 8 * take_all(retry_budget) <= 100
+    assert 8 * spend_all(retry_budget) <= 100
 
 
 def test_each_request_adds_its_share_to_the_budget():
     retry_budget = make_budget(retry_share=0.5, retry_slack=0)
     for _ in range(20):
         retry_budget.add_request("s")
-    assert take_all(retry_budget) == 8
+    assert spend_all(retry_budget) == 8
 
 
 def test_each_service_has_its_own_budget():
     retry_budget = make_budget(retry_share=0.0, retry_slack=10)
-    assert take_all(retry_budget, "a") == take_all(retry_budget, "b") == 8
+    assert spend_all(retry_budget, "a") == spend_all(retry_budget, "b") == 8
 
 
 def test_without_an_allowance_there_are_no_retries():
-    assert take_all(make_budget(retry_share=0, retry_slack=0)) == 0
+    assert spend_all(make_budget(retry_share=0, retry_slack=0)) == 0
--- a/packages/mothworks_gateway/tests/test_choice.py
+++ b/packages/mothworks_gateway/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Choice: prompts meet at one endpoint, unless it is the fuller one."""
+"""Endpoint selection: a shared prompt goes to one endpoint, unless it is full."""
 
 import gateway_builders
 from mothworks_gateway import asked, choice, health, load, registry
@@ -9,34 +9,34 @@
         return candidates
 
 
-def make(endpoints, running=()):
+def make_selection(endpoints, running=()):
     view = registry.Registry()
     view.by_id = {item.id: item for item in endpoints}
     parts = {health.Health: Health(), load.Load: gateway_builders.Load(running)}
-    return choice.Choice(gateway_builders.kernel_with(view, parts))
+    return choice.EndpointSelection(gateway_builders.kernel_with(view, parts))
 
 
 def prompt(*ids):
     return tuple(asked.PromptPart(part, 100) for part in ids)
 
 
-def test_requests_that_share_a_prompt_meet():
-    made = make([gateway_builders.endpoint(f"i-{n}") for n in range(5)])
-    first = {
-        made.candidates(gateway_builders.request(prompt=prompt("a", f"own-{n}")))
+def test_requests_that_share_a_prompt_go_to_one_endpoint():
+    selection = make_selection([gateway_builders.endpoint(f"i-{n}") for n in range(5)])
+    first_ids = {
+        selection.candidates(gateway_builders.request(prompt=prompt("a", f"own-{n}")))
         .ready[0]
         .id
         for n in range(30)
     }
-    assert len(first) == 1
+    assert len(first_ids) == 1
 
 
-def test_a_full_endpoint_is_left_for_another():
+def test_a_full_preferred_endpoint_is_not_the_first_choice():
     endpoints = [gateway_builders.endpoint(f"i-{n}") for n in range(2)]
     request = gateway_builders.request(prompt=prompt("a", "own"))
-    preferred = make(endpoints).candidates(request).ready[0]
-    made = make(endpoints, {preferred.id: 8})
-    assert made.candidates(request).ready[0] is not preferred
+    preferred = make_selection(endpoints).candidates(request).ready[0]
+    selection = make_selection(endpoints, {preferred.id: 8})
+    assert selection.candidates(request).ready[0] is not preferred
 
 
 def test_only_endpoints_that_hold_the_model_are_ready():
@@ -45,34 +45,38 @@
         gateway_builders.endpoint("i-2", models=("n",)),
     ]
     target = asked.Target("s", "m")
-    found = make(endpoints).candidates(gateway_builders.request(target=target))
-    assert [item.id for item in found.ready] == ["i-1"]
-    assert len(found.all) == 2
+    candidates = make_selection(endpoints).candidates(
+        gateway_builders.request(target=target)
+    )
+    assert [item.id for item in candidates.ready] == ["i-1"]
+    assert len(candidates.all) == 2
 
 
-def test_a_near_endpoint_goes_before_a_far_one_as_full():
+def test_a_local_endpoint_goes_before_a_remote_one_with_equal_load():
     endpoints = [
         gateway_builders.endpoint("i-far", data_centre="b"),
         gateway_builders.endpoint("i-near"),
     ]
-    made = make(endpoints)
+    selection = make_selection(endpoints)
     for _ in range(20):
-        assert made.candidates(gateway_builders.request()).ready[0].id == "i-near"
+        assert selection.candidates(gateway_builders.request()).ready[0].id == "i-near"
 
 
-def test_an_endpoint_that_leaves_is_no_candidate():
+def test_a_leaving_endpoint_is_no_candidate():
     leaving, staying = [gateway_builders.endpoint(f"i-{n}") for n in range(2)]
     leaving.dismissed = "it leaves"
-    found = make([leaving, staying]).candidates(gateway_builders.request())
-    assert found.all == (staying,)
+    candidates = make_selection([leaving, staying]).candidates(
+        gateway_builders.request()
+    )
+    assert candidates.all == (staying,)
 
 
 def test_a_large_batch_does_not_hide_a_full_endpoint():
-    # Endpoints have 96 places, and a dozen prompts keep one busy with reading.
-    # One that ran nine requests more than its neighbour, a tenth of its places,
-    # still got all requests that share a prompt, and all of their streams paused.
+    # Endpoints have 96 batch slots, and the prefill of a dozen prompts keeps one busy.
+    # One that ran nine requests more than the other, a tenth of its slots, still
+    # received all requests that share a prompt, and all of their streams stalled.
     endpoints = [gateway_builders.endpoint(f"i-{n}", places=96) for n in range(2)]
     request = gateway_builders.request(prompt=prompt("a", "own"))
-    preferred = make(endpoints).candidates(request).ready[0]
-    made = make(endpoints, {preferred.id: 9})
-    assert made.candidates(request).ready[0] is not preferred
+    preferred = make_selection(endpoints).candidates(request).ready[0]
+    selection = make_selection(endpoints, {preferred.id: 9})
+    assert selection.candidates(request).ready[0] is not preferred
