--- a/packages/mothworks_gateway/src/mothworks_gateway/asked.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/asked.py
@@ -1,4 +1,4 @@
-"""A caller's request, read and checked, on its way to an endpoint."""
+"""A caller's request after parsing and validation."""
 
 import attrs
 import xxhash
@@ -8,10 +8,10 @@
 
 @attrs.frozen
 class PromptPart:
-    """A part of a prompt that other requests may share.
+    """A part of a prompt, which other requests may share.
 
-    :param id: names the part.
-    :param tokens: its length.
+    :param id: identifier of the part's content.
+    :param tokens: length of the part.
     """
 
     id: str
@@ -39,23 +39,23 @@
 
 @attrs.frozen
 class Asked:
-    """One request.
+    """A caller's request.
 
     :param id: the caller's id of this attempt.
-    :param route: the route that it matched.
-    :param target: what runs it.
+    :param route: the matching route.
+    :param target: the service, model and adapter that it needs.
     :param method: the HTTP method.
-    :param path: path and query, as they were sent.
-    :param host: the host asked for, as it was sent.
-    :param headers: the headers to pass on.
-    :param body: the body, passed on unchanged.
+    :param path: path and query, as received.
+    :param host: the requested host, as received.
+    :param headers: the headers to forward.
+    :param body: the body, which is forwarded unchanged.
     :param arrived: monotonic time of arrival, seconds.
-    :param deadline: monotonic time by which the caller has a final answer.
-    :param declaration_version: the version whose route it matched.
+    :param deadline: monotonic time by which the caller needs a final answer.
+    :param declaration_version: version of the declaration with the matching route.
     :param prompt: the parts of its prompt, in order.
     :param input_tokens: length of its prompt.
-    :param output_tokens: most tokens that it generates.
-    :param account: the caller's account; None where callers need no keys.
+    :param output_tokens: upper bound of the tokens that it generates.
+    :param account: the caller's account; None if callers need no keys.
     """
 
     id: str
@@ -76,16 +76,16 @@
 
     @property
     def urgency(self) -> int:
-        """Return its rank: the account's, where it has one, else the route's."""
+        """Return the request's rank: the account's if it has one, else the route's."""
         if self.account is None or self.account.urgency is None:
             return self.route.urgency
         return self.account.urgency
 
     @property
     def own_tokens(self) -> int:
-        """Return the tokens of its prompt that an endpoint has hardly read yet.
+        """Return the prompt tokens that are probably in no endpoint's prefix cache.
 
-        All parts but the last are shared with other requests.
+        These are the last part's, since other requests share all other parts.
         """
         tokens = self.prompt[-1].tokens if self.prompt else self.input_tokens
         return max(0, tokens)
