--- a/packages/mothworks_gateway/tests/gateway_builders.py
+++ b/packages/mothworks_gateway/tests/gateway_builders.py
@@ -1,4 +1,4 @@
-"""Builders of what single parts of the gateway need."""
+"""Builders and stubs for tests of single parts of the gateway."""
 
 import collections
 
@@ -7,7 +7,7 @@
 
 
 class Heartbeats:
-    """Stands for the heartbeats of a node with peers."""
+    """Stub of the heartbeats of a node."""
 
     def __init__(self):
         self.on_heartbeat = []
@@ -15,7 +15,7 @@
 
 
 class Kernel:
-    """Stands for a kernel that holds some parts already."""
+    """Stub of a kernel with given parts."""
 
     def __init__(self, parts, **bounds):
         self.settings = make_settings(bounds=settings.Bounds(**bounds))
@@ -32,13 +32,13 @@
 
 
 def kernel_with(view, parts=None):
-    """Return a kernel that holds a registry, beside other parts.
+    """Return a kernel with a registry and further parts.
 
     :param view: the registry.
-    :param parts: the other parts, by class.
+    :param parts: the further parts, by class.
     """
-    found = type("Discovery", (), {"registry": view})()
-    return Kernel({discovery.Discovery: found, **(parts or {})})
+    discovery_part = type("Discovery", (), {"registry": view})()
+    return Kernel({discovery.Discovery: discovery_part, **(parts or {})})
 
 
 def make_settings(name="vm-1", **fields):
@@ -59,13 +59,20 @@
 
 def endpoint(endpoint_id, service="s", places=10, models=(), data_centre="a"):
     """Return an endpoint that holds some models."""
-    held = {name: frozenset() for name in models}
+    adapters_by_model = {name: frozenset() for name in models}
     entry = registry.Entry(
-        endpoint_id, service, ("10.0.1.1", 80), data_centre, places, False, None, held
+        endpoint_id,
+        service,
+        ("10.0.1.1", 80),
+        data_centre,
+        places,
+        False,
+        None,
+        adapters_by_model,
     )
-    made = registry.Endpoint(entry)
-    made.adapters_by_model = {name: set() for name in models}
-    return made
+    built_endpoint = registry.Endpoint(entry)
+    built_endpoint.adapters_by_model = {name: set() for name in models}
+    return built_endpoint
 
 
 def request(**fields):
@@ -89,7 +96,7 @@
 
 
 class Load:
-    """Stands for the load, with fixed counts by endpoint."""
+    """Stub of the load, with fixed numbers of running requests by endpoint."""
 
     def __init__(self, running=()):
         self.running = collections.Counter(dict(running))
