--- a/packages/mothworks_gateway/src/mothworks_gateway/admission.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/admission.py
@@ -1,6 +1,7 @@
-"""Admission: whether a caller may have its request run, by its key and usage cap.
+"""Admission: checks a caller's API key and usage cap before its request is run.
 
-What is refused here takes no place, no turn and no retry of others, and has not run.
+A request that is refused here uses no batch slot, prefill slot or retry of others, and
+has not run.
 """
 
 import time
@@ -22,16 +23,16 @@
 
 log = logbook.Logger("admission")
 
-#: Hint to a caller whose key can't be checked here now, seconds: another VM can.
-UNPROVEN_RETRY_S = 0.3
-#: Age of the declaration up to which an unknown key is refused for good, and least time
-#: between readings for such keys, seconds: a flood of bad keys at one VM costs the
-#: platform one call a second.
-CONFIRM_S = 1.0
+#: Retry-After if this VM can't verify a key, seconds: the retry reaches another VM.
+UNVERIFIED_RETRY_S = 0.3
+#: Age of the declaration up to which an unknown key is rejected for good, and shortest
+#: interval between refreshes for unknown keys, seconds: a flood of invalid keys at one
+#: VM costs the platform one call per second.
+REFRESH_INTERVAL_S = 1.0
 
 
 class Admission(kernel.Part):
-    """Checks callers.
+    """Authenticates callers and enforces their usage caps.
 
     :param node_kernel: the node's kernel.
     """
@@ -42,16 +43,16 @@
         self.feeding = node_kernel.get(feeding.Feeding)
         self.freshness = node_kernel.get(freshness.Freshness)
         self.credits = node_kernel.get(credit.Credits)
-        #: Set once the reading under way has ended; None where there is none.
-        self._reading: gevent.event.Event | None = None
-        self._read_at = -CONFIRM_S
+        #: Set once the refresh in progress has ended; None while there is none.
+        self._refresh_done: gevent.event.Event | None = None
+        self._refreshed_at = -REFRESH_INTERVAL_S
 
     @property
-    def open(self) -> bool:
-        """Return whether callers with keys are best served here.
+    def is_ready(self) -> bool:
+        """Return whether this VM should receive requests of callers with keys.
 
-        Where no VM can honour keys, all take connections: callers that need none
-        are served, and nobody waits for new connections when keys work again.
+        If no VM can verify keys, all of them accept connections: callers without keys
+        are served, and connections exist once keys can be verified again.
         """
         current = self.declarations.current
         if current is None or current.accounts is None:
@@ -61,18 +62,18 @@
     def identify(
         self, route: declared.Route, key: str
     ) -> result.Result[client_accounts.ClientAccount | None, outcomes.Refusal]:
-        """Return the account that calls; None where no key is needed.
+        """Return the caller's account; None if the route needs no key.
 
-        :param route: the route asked for.
-        :param key: the key that the request carries, or an empty text.
+        :param route: the requested route.
+        :param key: the key in the request, or an empty string.
         """
         accounts = self.declarations.current.accounts
         if accounts is None or route.public:
             return result.Ok(None)
         if not self.freshness.holds():
-            message = "this VM can't tell whether keys are still valid"
+            message = "this VM can't verify whether keys are still valid"
             return result.Err(
-                outcomes.overloaded(message, UNPROVEN_RETRY_S, "unproven")
+                outcomes.overloaded(message, UNVERIFIED_RETRY_S, "unproven")
             )
         account = accounts.find(key)
         if account is not None:
@@ -82,7 +83,7 @@
     def admit(
         self, request: asked.Asked
     ) -> result.Result[credit.Grant | None, outcomes.Refusal]:
-        """Take a request's credit; None where its account has no usage cap.
+        """Acquire the credit of a request; None if its account has no usage cap.
 
         :param request: the request.
         """
@@ -101,56 +102,56 @@
                     retry_after=wait_s,
                 )
             case result.Err(credit.Unchecked()):
-                message = "no VM that keeps this account's usage cap answers"
+                message = "no VM that owns this account's usage cap replies"
                 retry_s = credit.UNCHECKED_RETRY_S
                 refusal = outcomes.overloaded(message, retry_s, "unchecked")
-        self._note(request, units, refusal)
+        self._log_refused(request, units, refusal)
         return result.Err(refusal)
 
     def _identify_unknown(
         self, key: str
     ) -> result.Result[client_accounts.ClientAccount, outcomes.Refusal]:
-        """Decide on a key that this VM does not know.
+        """Accept or reject a key that this VM does not know.
 
-        It may be of a version that has not reached this VM: refused for good, its
-        caller would not come back.
+        A newer declaration that has not reached this VM may contain it. Rejected for
+        good, its caller would not retry.
         """
-        confirmed = key and self._confirm()
+        is_current = key and self._ensure_current()
         accounts = self.declarations.current.accounts
-        account = accounts.find(key) if confirmed and accounts else None
+        account = accounts.find(key) if is_current and accounts else None
         if account is not None:
             return result.Ok(account)
-        if key and not confirmed:
-            message = "this VM does not know the key, and can't ask for it"
+        if key and not is_current:
+            message = "this VM does not know the key and can't refresh its keys"
             return result.Err(
-                outcomes.overloaded(message, UNPROVEN_RETRY_S, "unproven")
+                outcomes.overloaded(message, UNVERIFIED_RETRY_S, "unproven")
             )
         message = "a valid API key is needed"
         return result.Err(outcomes.invalid(message, "invalid_api_key", 401))
 
-    def _confirm(self) -> bool:
-        """Return whether the declaration is the newest, reading it if need be.
+    def _ensure_current(self) -> bool:
+        """Return whether the declaration is current, refreshing it if needed.
 
-        All that ask meanwhile wait for one reading.
+        Concurrent calls share one refresh.
         """
-        if self._reading is None and self.freshness.age_s() > CONFIRM_S:
-            if time.monotonic() - self._read_at < CONFIRM_S:
+        if self._refresh_done is None and self.freshness.age_s() > REFRESH_INTERVAL_S:
+            if time.monotonic() - self._refreshed_at < REFRESH_INTERVAL_S:
                 return False
-            self._reading = gevent.event.Event()
-            self.tasks.spawn(self._read)
-        if self._reading is not None:
-            self._reading.wait()
-        return self.freshness.age_s() <= CONFIRM_S
+            self._refresh_done = gevent.event.Event()
+            self.tasks.spawn(self._refresh)
+        if self._refresh_done is not None:
+            self._refresh_done.wait()
+        return self.freshness.age_s() <= REFRESH_INTERVAL_S
 
-    def _read(self) -> None:
+    def _refresh(self) -> None:
         try:
             self.feeding.follower_by_name["declarations"].refresh()
         finally:
-            self._read_at = time.monotonic()
-            self._reading.set()
-            self._reading = None
+            self._refreshed_at = time.monotonic()
+            self._refresh_done.set()
+            self._refresh_done = None
 
-    def _note(
+    def _log_refused(
         self, request: asked.Asked, units: float, refusal: outcomes.Refusal
     ) -> None:
         logs.event(
--- a/packages/mothworks_gateway/src/mothworks_gateway/front.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/front.py
@@ -1,8 +1,8 @@
-"""The front: callers' connections, and the balancer's question.
+"""Front: serves callers' connections, and the load balancer's readiness checks.
 
-Requests are read whole, matched to a route and handed to the dispatch. The
-balancer asks on a port of its own whether the VM takes connections; metrics
-are served there and on a port of their own.
+Requests are read whole, matched to a route and passed to the dispatch. The load
+balancer checks on a separate port whether the VM is ready; metrics are served there and
+on a port of their own.
 """
 
 import time
@@ -37,64 +37,69 @@
 
 log = logbook.Logger("front")
 
-#: Path at which the balancer asks; it takes any path that ends so.
-READY = "readyz"
-METRICS = "/metrics"
-#: Time after the signal to stop during which new connections are still taken,
-#: seconds: the balancer needs two questions, one a second, to notice.
-UNREADY_S = 2.6
-#: Time before the process would be killed at which it ends by itself, seconds.
+#: End of the path of readiness checks.
+READY_PATH_SUFFIX = "readyz"
+METRICS_PATH = "/metrics"
+#: Time after the stop signal during which new connections are still accepted, seconds:
+#: the load balancer needs two checks, one per second, to notice it.
+ACCEPT_AFTER_STOP_S = 2.6
+#: Time before the kill deadline at which the process exits by itself, seconds.
 END_S = 0.9
-#: Hint to a caller whose request met a VM that stops, seconds: it comes to
-#: another one.
+#: Retry-After while this VM stops, seconds: the retry reaches another VM.
 STOPPING_RETRY_S = 0.02
-#: Part of the longest idle time, in force for callers, that is added to it:
-#: callers that reuse a connection late must not meet its close.
-IDLE_FACTOR = 1.15
-#: Hint to a caller while no declaration is known, seconds.
-UNDECLARED_RETRY_S = 0.5
-#: Share of the descriptors that callers may take; the rest is for endpoints and
-#: peers.
-CALLER_SHARE = 0.6
-#: Longest body that is read away when its request is refused, bytes.
-SHORT_BODY_BYTES = 64 << 10
+#: Factor on the declared idle timeout of connections: a caller that reuses a connection
+#: late must not find it closed.
+IDLE_TIMEOUT_FACTOR = 1.15
+#: Retry-After while no declaration is known, seconds.
+NO_DECLARATION_RETRY_S = 0.5
+#: Share of the file descriptors that callers' connections may use; the rest is left for
+#: endpoints and peers.
+CALLER_DESCRIPTOR_SHARE = 0.6
+#: Longest body that is read and discarded if its request is refused, bytes.
+MAX_DISCARDED_BODY_BYTES = 64 << 10
 
 Environ = dict[str, typing.Any]
 
 
 class Front(serving.Serving):
-    """Serves callers.
+    """Serves callers over HTTP.
 
     :param node_kernel: the node's kernel.
     """
 
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
-        chosen = node_kernel.settings
+        configured = node_kernel.settings
         self.declarations = node_kernel.get(declarations.Declarations)
         self.discovery = node_kernel.get(discovery.Discovery)
         self.dispatch = node_kernel.get(dispatch.Dispatch)
         self.admission = node_kernel.get(admission.Admission)
         self.callers: adapters.Callers = plugins.find(
-            adapters.CALLERS, chosen.adapter
+            adapters.CALLERS, configured.adapter
         )()
-        most = int((chosen.descriptors - settings.SPARE_DESCRIPTORS) * CALLER_SHARE)
+        max_connections = int(
+            (configured.descriptors - settings.SPARE_DESCRIPTORS)
+            * CALLER_DESCRIPTOR_SHARE
+        )
         limits = attrs.evolve(
-            chosen.limits, connections=max(16, min(most, chosen.limits.connections))
+            configured.limits,
+            connections=max(16, min(max_connections, configured.limits.connections)),
         )
-        address = settings.split_address(chosen.front)
+        address = settings.split_address(configured.front)
         self.listener = connections.Listener(address, self.application, limits)
         self.listener.init_socket()
         self.status_listeners = [
-            gevent.pywsgi.WSGIServer(place, self._status, log=None, error_log=None)
-            for place in self._status_addresses(chosen)
+            gevent.pywsgi.WSGIServer(
+                status_address, self._status, log=None, error_log=None
+            )
+            for status_address in self._status_addresses(configured)
         ]
-        #: Whether requests that still come are refused.
-        self.closing = False
-        self.declarations.on_change.append(self._take_limits)
+        #: Whether new requests are refused, since this VM is stopping.
+        self.is_stopping = False
+        self.declarations.on_change.append(self._apply_limits)
 
     def start(self) -> None:
-        """Accept connections."""
+        """Start to accept connections."""
         self.listener.start()
         for listener in self.status_listeners:
             listener.start()
@@ -102,22 +107,22 @@
     def drain(self, deadline: float) -> None:
         """Finish every request in flight; see :meth:`kernel.Part.drain`.
 
-        The balancer sends connections until it has noticed that the VM is not
-        ready. They are served, and each answer asks its caller to connect
-        anew. Then idle connections are closed: a request that came on one
-        later could run out of the time that is left, and be cut off.
+        The load balancer sends connections until it notices that the VM is not ready.
+        They are served, and each answer requests the caller to reconnect. Then idle
+        connections are closed: a later request on one of them might not finish in the
+        remaining time, and would be cut off.
         """
-        gevent.sleep(max(0.0, min(UNREADY_S, deadline - time.monotonic())))
+        gevent.sleep(max(0.0, min(ACCEPT_AFTER_STOP_S, deadline - time.monotonic())))
         self.listener.stop_accepting()
         self.listener.close()
-        self.closing = True
+        self.is_stopping = True
         while self.open_calls and time.monotonic() < deadline:
             self.listener.close_idle()
             gevent.sleep(0.05)
         self.listener.close_idle()
 
     def stop(self) -> None:
-        """Close the listeners and what is still open."""
+        """Close the listeners and all open connections."""
         self.listener.stop(timeout=0)
         for listener in self.status_listeners:
             listener.stop(timeout=0)
@@ -125,62 +130,62 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether the balancer may send connections."""
+        """Return whether the load balancer may send connections."""
         return (
             not self.kernel.draining
             and self.declarations.current is not None
             and self.discovery.loaded
-            and self.admission.open
+            and self.admission.is_ready
         )
 
-    def _status_addresses(self, chosen: settings.Settings) -> list[tuple[str, int]]:
-        addresses = [settings.split_address(chosen.ready)]
-        if chosen.metrics_port:
-            addresses.append((chosen.address, chosen.metrics_port))
+    def _status_addresses(self, configured: settings.Settings) -> list[tuple[str, int]]:
+        addresses = [settings.split_address(configured.ready)]
+        if configured.metrics_port:
+            addresses.append((configured.address, configured.metrics_port))
         return addresses
 
-    def _take_limits(self, declaration: declared.Declaration) -> None:
-        """Put the declared limits in force for the requests to come."""
+    def _apply_limits(self, declaration: declared.Declaration) -> None:
+        """Apply the declared limits to new requests."""
         limits = declaration.limits
         self.listener.limits = attrs.evolve(
             self.listener.limits,
             header_bytes=limits.header_bytes,
             body_bytes=limits.body_bytes,
             head_s=limits.header_timeout_s,
-            idle_s=limits.idle_timeout_s * IDLE_FACTOR,
+            idle_s=limits.idle_timeout_s * IDLE_TIMEOUT_FACTOR,
         )
 
     def _status(self, environ: Environ, start_response) -> list[bytes]:
-        if environ["PATH_INFO"].endswith(READY):
+        if environ["PATH_INFO"].endswith(READY_PATH_SUFFIX):
             status = "200 OK" if self.ready else "503 Service Unavailable"
             start_response(status, [("Content-Type", "text/plain")])
             return [b"ready\n" if self.ready else b"not ready\n"]
-        if environ["PATH_INFO"] == METRICS:
+        if environ["PATH_INFO"] == METRICS_PATH:
             body, headers = self.kernel.metrics.render()
             start_response("200 OK", list(headers.items()))
             return [body]
         start_response("404 Not Found", [("Content-Type", "text/plain")])
-        return [b"nothing is here\n"]
+        return [b"not found\n"]
 
     @property
     def limits(self) -> node_settings.Limits:
-        """Return the bounds in force, of the settings and the declaration."""
+        """Return the limits in force, from the settings and the declaration."""
         return self.listener.limits
 
     def refuse(self, refusal: outcomes.Refusal) -> calls.Reply:
-        """Return the reply that carries a refusal, with an exact hint."""
+        """Return the reply for a refusal, with a fractional Retry-After."""
         return calls.refuse(refusal, fractions=True)
 
     def reply(self, call: calls.Call) -> calls.Reply:
-        """Answer one call by its route."""
-        match self._read(call):
+        """Run the request of one call, and return the reply."""
+        match self._parse(call):
             case result.Ok(request):
                 return self._run(call, request)
             case result.Err(refusal):
-                return self._refused(call, refusal)
+                return self._log_and_refuse(call, refusal)
 
-    def _read(self, call: calls.Call) -> result.Result[asked.Asked, outcomes.Refusal]:
-        """Return the request that a call makes, once its caller is known."""
+    def _parse(self, call: calls.Call) -> result.Result[asked.Asked, outcomes.Refusal]:
+        """Parse the request of a call after authenticating its caller."""
         version = self.declarations.version
         match self._route(call):
             case result.Ok(route):
@@ -191,7 +196,7 @@
             case result.Ok(account):
                 pass
             case refused:
-                self._drop_body(call)
+                self._discard_body(call)
                 return refused
         match call.body():
             case result.Ok(body):
@@ -199,22 +204,22 @@
             case refused:
                 return refused
         service = self.dispatch.choice.service(route)
-        read = self.callers.read(call, route, service, body, version, account)
-        return read.map_err(outcomes.invalid)
+        parsed = self.callers.read(call, route, service, body, version, account)
+        return parsed.map_err(outcomes.invalid)
 
     def _route(
         self, call: calls.Call
     ) -> result.Result[declared.Route, outcomes.Refusal]:
-        """Return the route that a call asks for."""
-        if self.closing:
+        """Return the route that matches a call."""
+        if self.is_stopping:
             return result.Err(
-                outcomes.overloaded("this VM stops", STOPPING_RETRY_S, "stopping")
+                outcomes.overloaded("this VM is stopping", STOPPING_RETRY_S, "stopping")
             )
         declaration = self.declarations.current
         if declaration is None:
             message = "no declaration is known yet"
             return result.Err(
-                outcomes.overloaded(message, UNDECLARED_RETRY_S, "undeclared")
+                outcomes.overloaded(message, NO_DECLARATION_RETRY_S, "undeclared")
             )
         path = call.raw_path
         if not (path.startswith("/") and path.isascii() and path.isprintable()):
@@ -225,9 +230,9 @@
             return result.Err(outcomes.invalid("no route matches", "no_route", 404))
         return result.Ok(route)
 
-    def _drop_body(self, call: calls.Call) -> None:
-        """Read a short body away, so that the caller's connection stays usable."""
-        if int(call.environ.get("CONTENT_LENGTH") or 0) <= SHORT_BODY_BYTES:
+    def _discard_body(self, call: calls.Call) -> None:
+        """Read and discard a short body, so that the connection stays usable."""
+        if int(call.environ.get("CONTENT_LENGTH") or 0) <= MAX_DISCARDED_BODY_BYTES:
             call.body()
 
     def _run(self, call: calls.Call, request: asked.Asked) -> calls.Reply:
@@ -236,7 +241,7 @@
                 pass
             case result.Err(refusal):
                 return self.refuse(refusal)
-        # From here on a caller that leaves ends this task.
+        # From here on, this task is cancelled if the caller disconnects.
         call.start_watch()
         match self.dispatch.run(request):
             case result.Ok(reply):
@@ -246,7 +251,9 @@
                     self.admission.credits.give_back(grant)
                 return self.refuse(refusal)
 
-    def _refused(self, call: calls.Call, refusal: outcomes.Refusal) -> calls.Reply:
+    def _log_and_refuse(
+        self, call: calls.Call, refusal: outcomes.Refusal
+    ) -> calls.Reply:
         logs.event(
             log,
             "refused",
