--- a/packages/mothworks_gateway/src/mothworks_gateway/admission.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/admission.py
@@ -1,7 +1,7 @@
 """Admission: checks a caller's API key and usage cap before its request is run.
 
-A request that is refused here uses no batch slot, prefill slot or retry of others, and
-has not run.
+A request that is refused here has not run, and uses no batch slot, prefill slot or
+retry that others need.
 """
 
 import time
@@ -52,7 +52,7 @@
         """Return whether this VM should receive requests of callers with keys.
 
         If no VM can verify keys, all of them accept connections: callers without keys
-        are served, and connections exist once keys can be verified again.
+        are served, and no caller has to reconnect once keys can be verified again.
         """
         current = self.declarations.current
         if current is None or current.accounts is None:
--- a/packages/mothworks_gateway/src/mothworks_gateway/front.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/front.py
@@ -69,30 +69,29 @@
 
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
-        configured = node_kernel.settings
+        config = node_kernel.settings
         self.declarations = node_kernel.get(declarations.Declarations)
         self.discovery = node_kernel.get(discovery.Discovery)
         self.dispatch = node_kernel.get(dispatch.Dispatch)
         self.admission = node_kernel.get(admission.Admission)
         self.callers: adapters.Callers = plugins.find(
-            adapters.CALLERS, configured.adapter
+            adapters.CALLERS, config.adapter
         )()
         max_connections = int(
-            (configured.descriptors - settings.SPARE_DESCRIPTORS)
-            * CALLER_DESCRIPTOR_SHARE
+            (config.descriptors - settings.SPARE_DESCRIPTORS) * CALLER_DESCRIPTOR_SHARE
         )
         limits = attrs.evolve(
-            configured.limits,
-            connections=max(16, min(max_connections, configured.limits.connections)),
+            config.limits,
+            connections=max(16, min(max_connections, config.limits.connections)),
         )
-        address = settings.split_address(configured.front)
+        address = settings.split_address(config.front)
         self.listener = connections.Listener(address, self.application, limits)
         self.listener.init_socket()
         self.status_listeners = [
             gevent.pywsgi.WSGIServer(
                 status_address, self._status, log=None, error_log=None
             )
-            for status_address in self._status_addresses(configured)
+            for status_address in self._status_addresses(config)
         ]
         #: Whether new requests are refused, since this VM is stopping.
         self.is_stopping = False
@@ -108,7 +107,7 @@
         """Finish every request in flight; see :meth:`kernel.Part.drain`.
 
         The load balancer sends connections until it notices that the VM is not ready.
-        They are served, and each answer requests the caller to reconnect. Then idle
+        They are served, and each answer signals the caller to reconnect. Then idle
         connections are closed: a later request on one of them might not finish in the
         remaining time, and would be cut off.
         """
@@ -138,10 +137,10 @@
             and self.admission.is_ready
         )
 
-    def _status_addresses(self, configured: settings.Settings) -> list[tuple[str, int]]:
-        addresses = [settings.split_address(configured.ready)]
-        if configured.metrics_port:
-            addresses.append((configured.address, configured.metrics_port))
+    def _status_addresses(self, config: settings.Settings) -> list[tuple[str, int]]:
+        addresses = [settings.split_address(config.ready)]
+        if config.metrics_port:
+            addresses.append((config.address, config.metrics_port))
         return addresses
 
     def _apply_limits(self, declaration: declared.Declaration) -> None:
@@ -165,7 +164,7 @@
             start_response("200 OK", list(headers.items()))
             return [body]
         start_response("404 Not Found", [("Content-Type", "text/plain")])
-        return [b"not found\n"]
+        return [b"nothing is here\n"]
 
     @property
     def limits(self) -> node_settings.Limits:
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -385,8 +385,8 @@
             return
         limit_bucket = self.bucket_by_id.get(endpoint_id)
         if limit_bucket is not None and per_s < limit_bucket.cap.per_s:
-            # Slots granted ahead under the higher limit are void, and their requests
-            # request new ones, so the credit that they used is returned.
+            # Slots granted ahead under the higher limit are void and are requested
+            # again, so the credit that they used is returned.
             limit_bucket.note(min(0.0, limit_bucket.level), time.monotonic())
 
     def _on_spent(self, budget: str, _: str, units: float) -> None:
--- a/packages/mothworks_gateway/src/mothworks_gateway/turns.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/turns.py
@@ -101,7 +101,7 @@
     ) -> float:
         """Reserve a prefill slot, and return the seconds until it starts.
 
-        Slots of less urgent prompts that are reserved later are delayed by it.
+        It delays later slots of equally and less urgent prompts.
 
         :param tokens: the prompt's length.
         :param urgency: its rank.
