--- a/packages/mothworks/src/mothworks/peers.py
+++ b/packages/mothworks/src/mothworks/peers.py
@@ -1,9 +1,9 @@
-"""Connections to the other VMs: one TCP connection and task per peer.
+"""Messaging between VMs over one TCP connection per pair of peers.
 
-A VM dials each peer it has something to send to; both then use the same
-connection. A reply carries the negative of its call's number. Send queues are
-bounded: to a peer that does not read, a call fails at once instead of filling
-memory.
+A VM connects to a peer when it first has a message to send; both sides then
+use the same connection. A reply carries the negated number of its call. Send
+queues are bounded, so a call to a peer that does not read fails at once
+instead of filling memory.
 """
 
 import collections.abc
@@ -32,21 +32,21 @@
 
 log = logbook.Logger("peers")
 
-#: Time for a connection to open, seconds.
-CONNECT_S = 0.5
-#: Time before a VM that could not be reached is dialled again, seconds.
-RETRY_S = 0.5
-#: Seconds between updates of the metrics.
-REPORT_S = 1.0
+#: Timeout for opening a connection, seconds.
+CONNECT_TIMEOUT_S = 0.5
+#: Delay before another connection attempt to an unreachable VM, seconds.
+RETRY_DELAY_S = 0.5
+#: Interval between updates of the metrics, seconds.
+METRICS_INTERVAL_S = 1.0
 
 
 @attrs.frozen
 class PeerFailure:
-    """A call to a peer got no reply.
+    """A call to a peer failed.
 
     :param vm: the peer's name.
-    :param reason: what failed.
-    :param sent: whether the message may have reached the peer.
+    :param reason: why it failed.
+    :param sent: whether the peer may have received the message.
     """
 
     vm: str
@@ -54,15 +54,15 @@
     sent: bool
 
 
-#: Sends the reply to one call.
+#: Function that sends the reply to one call.
 Answer = collections.abc.Callable[[typing.Any], None]
-#: Takes the sender's name, its message and the way to answer.
+#: Receives the sender's name, the message and the function that sends a reply.
 Handler = collections.abc.Callable[[str, typing.Any, Answer], None]
 
 
 @plugins.register(plugins.PART, "peers")
 class Peers(kernel.Part):
-    """Calls peers and serves their calls.
+    """Sends messages to peers and dispatches received messages to handlers.
 
     :param node_kernel: the node's kernel.
     """
@@ -72,31 +72,31 @@
         self.membership = node_kernel.get(membership.Membership)
         self.handler_by_class: dict[type, Handler] = {}
         self.link_by_vm: dict[str, links.Link] = {}
-        self.waiting_by_call: dict[
+        self.pending_by_call: dict[
             int, tuple[links.Link, gevent.event.AsyncResult]
         ] = {}
         self.retry_at_by_vm: dict[str, float] = {}
-        #: Frames that wait for a connection to their peer to open.
-        self.frames_by_vm: dict[str, list[bytes]] = {}
-        self.calls = itertools.count(1)
-        self.closed_bytes = 0
-        #: Functions to call with a VM's name after the connection to it broke.
+        #: Frames queued until the connection to their peer is open.
+        self.queued_frames_by_vm: dict[str, list[bytes]] = {}
+        self.call_numbers = itertools.count(1)
+        self.closed_link_bytes = 0
+        #: Callbacks that receive a VM's name after the connection to it closed.
         self.on_lost: list = []
-        #: Opens a connection to an address; tests cut links here.
+        #: Opens a connection to an address; tests replace it to cut connections.
         self.connect = gevent.socket.create_connection
-        owned_ports = node_kernel.get(ports.Ports)
-        self.listener = gevent.server.StreamServer(owned_ports.stream, self._serve)
-        #: The port that the kernel chose where the setting is 0.
-        self.port = owned_ports.port
-        self.membership.on_change.append(self._close_dead)
+        node_ports = node_kernel.get(ports.Ports)
+        self.listener = gevent.server.StreamServer(node_ports.stream, self._accept)
+        #: The listening port; chosen by the operating system if the setting is 0.
+        self.port = node_ports.port
+        self.membership.on_change.append(self._close_dead_links)
         self.control_bytes = node_kernel.metrics.counter(
             "control_bytes", "Bytes exchanged with other VMs, by transport."
         )
 
     def start(self) -> None:
-        """Listen to peers."""
+        """Start to accept connections from peers."""
         self.listener.start()
-        self.tasks.every(REPORT_S, self._report)
+        self.tasks.every(METRICS_INTERVAL_S, self._update_metrics)
 
     def stop(self) -> None:
         """Close all connections."""
@@ -104,11 +104,11 @@
         super().stop()
 
     def handle(self, message_class: type, handler: Handler) -> None:
-        """Serve a class of message.
+        """Register the handler of a message class.
 
         :param message_class: a registered class.
         :param handler: called in the connection's task; it must not block
-            for long, and may answer later from another task.
+            for long, and may reply later from another task.
         """
         self.handler_by_class[message_class] = handler
 
@@ -126,61 +126,61 @@
 
         :param vm: the peer's name.
         :param message: an instance of a registered class.
-        :param timeout_s: longest wait, seconds.
+        :param timeout_s: time to wait for the reply, seconds.
         """
-        link = self._link(vm)
+        link = self._get_or_connect(vm)
         if link is None:
             return result.Err(PeerFailure(vm, "cannot connect", False))
-        call = next(self.calls)
-        reply = gevent.event.AsyncResult()
-        self.waiting_by_call[call] = (link, reply)
+        call_number = next(self.call_numbers)
+        pending_reply = gevent.event.AsyncResult()
+        self.pending_by_call[call_number] = (link, pending_reply)
         try:
-            if not link.send(messages.pack(message, call)):
+            if not link.send(messages.pack(message, call_number)):
                 return result.Err(PeerFailure(vm, "send queue is full", False))
-            answer = reply.get(timeout=timeout_s)
+            reply = pending_reply.get(timeout=timeout_s)
         except gevent.Timeout:
             return result.Err(PeerFailure(vm, "no reply in time", True))
         finally:
-            self.waiting_by_call.pop(call, None)
-        if answer is None:
+            self.pending_by_call.pop(call_number, None)
+        if reply is None:
             return result.Err(PeerFailure(vm, "connection lost", True))
-        return result.Ok(answer)
+        return result.Ok(reply)
 
     def send(self, vm: str, message: typing.Any) -> bool:
-        """Send a message without a reply.
+        """Send a message that gets no reply.
 
         :param vm: the peer's name.
         :param message: an instance of a registered class.
-        :returns: whether it was queued; it may still be lost.
+        :returns: whether it was sent or queued; it may still be lost.
         """
-        link = self._link(vm)
+        link = self._get_or_connect(vm)
         return link is not None and link.send(messages.pack(message))
 
     def send_all(self, message: typing.Any) -> None:
-        """Send a message to every live peer of this VM's region.
+        """Send a message to every live peer in this VM's region without waiting.
 
         :param message: an instance of a registered class.
         """
         self.post_all([member.name for member in self.membership.near()], message)
 
     def post_all(self, vms: collections.abc.Iterable[str], message: typing.Any) -> None:
-        """Send a message to some peers without waiting for connections to open.
+        """Send a message to several peers without waiting for connections to open.
 
         :param vms: the peers' names.
         :param message: an instance of a registered class.
         """
         frame = messages.pack(message)
         for vm in vms:
-            self._post(vm, frame)
+            self._send_nowait(vm, frame)
 
     def open(self, vm: str) -> None:
-        """Open a connection without waiting, for calls that must not wait for it.
+        """Open a connection in the background, so that a later call need not wait.
 
         :param vm: the peer's name.
         """
-        if vm not in self.link_by_vm and vm not in self.frames_by_vm:
-            self.frames_by_vm[vm] = []
-            self.tasks.spawn(self._open_and_send, vm)
+        if vm not in self.link_by_vm and vm not in self.queued_frames_by_vm:
+            self.queued_frames_by_vm[vm] = []
+            self.tasks.spawn(self._connect_and_flush, vm)
 
     def post(self, vm: str, message: typing.Any) -> None:
         """Send a message without waiting for a connection to open.
@@ -188,117 +188,129 @@
         :param vm: the peer's name.
         :param message: an instance of a registered class.
         """
-        self._post(vm, messages.pack(message))
+        self._send_nowait(vm, messages.pack(message))
 
-    def _post(self, vm: str, frame: bytes) -> None:
-        """Send a frame now, or once a connection is open.
+    def _send_nowait(self, vm: str, frame: bytes) -> None:
+        """Send a frame now, or queue it until a connection is open.
 
-        One task a peer opens it. With a task for each frame, hundreds of
-        messages to a hundred new peers took the memory of a whole VM.
+        One task per peer opens the connection. A task per frame filled a
+        VM's memory when hundreds of messages went to a hundred new peers.
         """
         link = self.link_by_vm.get(vm)
-        frames = self.frames_by_vm.get(vm)
+        frames = self.queued_frames_by_vm.get(vm)
         if link is not None:
             link.send(frame)
         elif frames is None:
             self.open(vm)
-            self.frames_by_vm[vm].append(frame)
+            self.queued_frames_by_vm[vm].append(frame)
         elif len(frames) < links.QUEUE_LENGTH:
             frames.append(frame)
 
-    def _open_and_send(self, vm: str) -> None:
+    def _connect_and_flush(self, vm: str) -> None:
         try:
-            link = self._link(vm)
+            link = self._get_or_connect(vm)
         finally:
-            frames = self.frames_by_vm.pop(vm)
+            frames = self.queued_frames_by_vm.pop(vm)
         if link is not None:
             for frame in frames:
                 link.send(frame)
 
     def total_bytes(self) -> int:
-        """Return the bytes sent to and received from peers so far, over TCP."""
-        return self.closed_bytes + sum(
+        """Return the total bytes sent to and received from peers over TCP."""
+        return self.closed_link_bytes + sum(
             link.sent_bytes + link.received_bytes for link in self.link_by_vm.values()
         )
 
-    def _link(self, vm: str) -> links.Link | None:
+    def _get_or_connect(self, vm: str) -> links.Link | None:
         link = self.link_by_vm.get(vm)
         if link is not None:
             return link
         member = self.membership.find(vm)
-        # While a VM is unreachable, each request that needs it would wait for
-        # the connection to fail, one after the other.
+        # Without this delay, each request that needs an unreachable VM would
+        # in turn wait for its connection attempt to time out.
         if member is None or time.monotonic() < self.retry_at_by_vm.get(vm, 0.0):
             return None
         try:
-            sock = self.connect((member.address, member.peer_port), CONNECT_S)
+            sock = self.connect((member.address, member.peer_port), CONNECT_TIMEOUT_S)
         except OSError:
-            self.retry_at_by_vm[vm] = time.monotonic() + RETRY_S
+            self.retry_at_by_vm[vm] = time.monotonic() + RETRY_DELAY_S
             return None
         self.retry_at_by_vm.pop(vm, None)
-        raced = self.link_by_vm.get(vm)
-        if raced is not None:
+        concurrent_link = self.link_by_vm.get(vm)
+        if concurrent_link is not None:
             sock.close()
-            return raced
+            return concurrent_link
         sock.settimeout(None)
         link = links.Link(sock, vm)
         self.link_by_vm[vm] = link
-        self._greet(link)
-        self.tasks.spawn(self._run, link)
+        self._send_hello(link)
+        self.tasks.spawn(self._run_link, link)
         return link
 
-    def _serve(self, sock: socket.socket, _: tuple) -> None:
+    def _accept(self, sock: socket.socket, _: tuple) -> None:
         link = links.Link(sock, None)
-        self._greet(link)
-        self._run(link)
+        self._send_hello(link)
+        self._run_link(link)
 
-    def _greet(self, link: links.Link) -> None:
-        own = self.kernel.settings
+    def _send_hello(self, link: links.Link) -> None:
+        node_settings = self.kernel.settings
         version = messages.PROTOCOL_VERSION
-        hello = messages.Hello(version, own.name, own.deployment, inflates=True)
+        hello = messages.Hello(
+            version, node_settings.name, node_settings.deployment, inflates=True
+        )
         link.send(messages.pack(hello))
 
-    def _run(self, link: links.Link) -> None:
+    def _run_link(self, link: links.Link) -> None:
         writer = self.tasks.spawn(link.write_all)
         for array in link.read_all():
             received = messages.unpack(array)
-            if received is not None and not self._take(link, *received):
+            if received is not None and not self._handle_message(link, *received):
                 break
         writer.kill()
         link.sock.close()
-        self.closed_bytes += link.sent_bytes + link.received_bytes
+        self.closed_link_bytes += link.sent_bytes + link.received_bytes
         if self.link_by_vm.get(link.vm) is link:
             del self.link_by_vm[link.vm]
         # Callers that wait for a reply on this connection would otherwise
-        # wait until their timeout.
-        for waiting_link, reply in list(self.waiting_by_call.values()):
-            if waiting_link is link:
-                reply.set(None)
+        # block until their timeout.
+        for pending_link, pending_reply in list(self.pending_by_call.values()):
+            if pending_link is link:
+                pending_reply.set(None)
         if link.vm is not None:
-            for notify in self.on_lost:
-                notify(link.vm)
+            for callback in self.on_lost:
+                callback(link.vm)
 
-    def _take(self, link: links.Link, message: typing.Any, call: int) -> bool:
-        """Handle a message; returns whether the connection is to go on."""
+    def _handle_message(
+        self, link: links.Link, message: typing.Any, call_number: int
+    ) -> bool:
+        """Handle a message and return whether to keep the connection open."""
         match message:
             case messages.Hello():
-                return self._take_hello(link, message)
+                return self._handle_hello(link, message)
             case messages.Compressed():
                 link.decompress()
-            case _ if call < 0:
-                waiting = self.waiting_by_call.get(-call)
-                if waiting is not None:
-                    waiting[1].set(message)
+            case _ if call_number < 0:
+                pending = self.pending_by_call.get(-call_number)
+                if pending is not None:
+                    pending[1].set(message)
             case _ if link.vm is not None:
-                self._dispatch(link, message, call)
+                self._dispatch(link, message, call_number)
         return True
 
-    def _take_hello(self, link: links.Link, hello: messages.Hello) -> bool:
+    def _handle_hello(self, link: links.Link, hello: messages.Hello) -> bool:
         if hello.version != messages.PROTOCOL_VERSION:
-            log.warning("{} speaks version {}", hello.name, hello.version)
+            log.warning(
+                "peer {} uses protocol version {}; closing its connection",
+                hello.name,
+                hello.version,
+            )
             return False
         if hello.deployment != self.kernel.settings.deployment:
-            log.warning("{} is of deployment {}", hello.name, hello.deployment)
+            log.warning(
+                "peer {} belongs to deployment {}; closing its connection",
+                hello.name,
+                hello.deployment,
+            )
             return False
         if link.vm is not None and link.vm.startswith(vm_list.SEED):
             self.link_by_vm.pop(link.vm, None)
@@ -308,27 +320,29 @@
             self.link_by_vm.setdefault(hello.name, link)
         if hello.inflates:
             link.compress()
-        # A list that lags names a VM by an address that another has now.
+        # A stale VM list can name a VM whose address now belongs to another VM.
         return link.vm == hello.name
 
-    def _dispatch(self, link: links.Link, message: typing.Any, call: int) -> None:
+    def _dispatch(
+        self, link: links.Link, message: typing.Any, call_number: int
+    ) -> None:
         handler = self.handler_by_class.get(type(message))
         if handler is None:
-            log.warning("no part serves {}", type(message).__name__)
+            log.warning("no handler is registered for {}", type(message).__name__)
             return
 
-        def answer(reply: typing.Any) -> None:
-            link.send(messages.pack(reply, -call))
+        def send_reply(reply: typing.Any) -> None:
+            link.send(messages.pack(reply, -call_number))
 
-        handler(link.vm, message, answer)
+        handler(link.vm, message, send_reply)
 
-    def _report(self) -> None:
+    def _update_metrics(self) -> None:
         swim = self.membership.swim
         datagram_bytes = swim.sent_bytes + swim.received_bytes
         self.control_bytes.set({"transport": "tcp"}, self.total_bytes())
         self.control_bytes.set({"transport": "udp"}, datagram_bytes)
 
-    def _close_dead(self) -> None:
+    def _close_dead_links(self) -> None:
         for vm, link in list(self.link_by_vm.items()):
             record = self.membership.table.find(vm)
             if record is not None and record.state is members.State.DEAD:
