--- a/packages/mothworks/src/mothworks/links.py
+++ b/packages/mothworks/src/mothworks/links.py
@@ -1,8 +1,8 @@
-"""One connection between two VMs: frames out, arrays in, both bounded.
+"""A connection between two VMs: writes frames and reads arrays, both bounded in size.
 
-VMs tell each other the same names again and again, so each direction is one compressed
-stream once both ends have said that they can. The streams are small, since a VM has
-hundreds of connections.
+VMs send each other the same names repeatedly, so each direction becomes one compressed
+stream once the receiver has announced that it supports this. The compression windows
+are small because a VM has hundreds of connections.
 """
 
 import collections.abc
@@ -17,79 +17,80 @@
 
 log = logbook.Logger("peers")
 
-#: Most messages that wait for one peer.
-QUEUE_LENGTH = 4096
-#: Most bytes of one message.
-MESSAGE_BYTES = 2 << 20
-#: Longest time that sent bytes stay without an acknowledgement, milliseconds.
-UNACKED_MS = 5_000
-#: Bytes taken from a socket at once.
+#: Maximum number of messages queued for one peer.
+MAX_QUEUED_MESSAGES = 4096
+#: Maximum size of one message, bytes.
+MAX_MESSAGE_BYTES = 2 << 20
+#: Time after which TCP closes a connection with unacknowledged data, milliseconds.
+ACK_TIMEOUT_MS = 5_000
+#: Maximum number of bytes read from a socket at once.
 RECEIVE_BYTES = 64 << 10
-#: Room for received bytes that a connection begins with, and bytes that are unpacked
-#: at once; longer messages extend it.
+#: Initial size of a connection's receive buffer, and bytes passed to the unpacker at
+#: once. Longer messages extend the buffer.
 BUFFER_BYTES = 4 << 10
-#: What a compressed stream remembers, as a power of two of bytes: some messages that
-#: repeat each other. A larger one would take most of a VM's memory.
+#: Compression window as a power of two of bytes: enough for a few messages that repeat
+#: each other. A larger window on every connection would take most of a VM's memory.
 WINDOW_BITS = 12
-#: Memory of the compressor, and its effort, both of 9.
+#: Memory level and compression level of zlib, each with a maximum of 9.
 MEMORY_LEVEL = 3
-EFFORT = 1
+COMPRESSION_LEVEL = 1
 
 
 class Link:
-    """One open connection; messages go both ways.
+    """One open connection that carries messages in both directions.
 
     :param sock: the connected socket.
-    :param vm: the peer's name; None until the peer that dialled has said it.
+    :param vm: the peer's name; None for an accepted connection until the
+        peer's ``Hello`` arrives.
     """
 
     def __init__(self, sock: socket.socket, vm: str | None):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # A VM that vanishes closes nothing. Without a bound the connection to
-        # it stays open, and everything sent on it is lost unnoticed.
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS)
+        # A VM that fails abruptly does not close its connections. Without this
+        # timeout they would stay open and lose everything sent on them unnoticed.
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, ACK_TIMEOUT_MS)
         self.sock = sock
         self.vm = vm
-        self.queue: gevent.queue.Queue = gevent.queue.Queue(QUEUE_LENGTH)
+        self.queue: gevent.queue.Queue = gevent.queue.Queue(MAX_QUEUED_MESSAGES)
         self.writing = False
         self.sent_bytes = 0
         self.received_bytes = 0
-        self._deflate = None
-        self._inflate = None
+        self._compressor = None
+        self._decompressor = None
 
     def compress(self) -> None:
-        """Compress all that is sent from now on; the peer must understand that."""
-        if self._deflate is None and self.send(messages.pack(messages.Compressed())):
-            self._deflate = zlib.compressobj(
-                EFFORT, zlib.DEFLATED, -WINDOW_BITS, MEMORY_LEVEL
+        """Compress everything sent from now on; the peer must support it."""
+        if self._compressor is None and self.send(messages.pack(messages.Compressed())):
+            self._compressor = zlib.compressobj(
+                COMPRESSION_LEVEL, zlib.DEFLATED, -WINDOW_BITS, MEMORY_LEVEL
             )
 
     def decompress(self) -> None:
-        """Take all that follows the message just read as compressed."""
-        self._inflate = zlib.decompressobj(-WINDOW_BITS)
+        """Decompress everything received after the message just read."""
+        self._decompressor = zlib.decompressobj(-WINDOW_BITS)
 
     def send(self, frame: bytes) -> bool:
-        """Write a frame at once where the socket takes it, else queue it.
+        """Write a frame to the socket at once if it accepts it, else queue it.
 
         :param frame: a packed message.
-        :returns: whether there was room.
+        :returns: False if the queue is full; the frame is then dropped.
         """
         if self.queue.full():
-            # Nothing is compressed that is not sent: the stream would not go on.
+            # A frame that is compressed but never sent would corrupt the stream.
             return False
-        if self._deflate is not None:
-            frame = self._deflate.compress(frame)
-            frame += self._deflate.flush(zlib.Z_SYNC_FLUSH)
+        if self._compressor is not None:
+            frame = self._compressor.compress(frame)
+            frame += self._compressor.flush(zlib.Z_SYNC_FLUSH)
         if not self.writing and self.queue.empty():
-            # Through the writing task a message costs a turn of the loop.
-            frame = frame[self._send_now(frame) :]
+            # Passing the frame to the writer task would cost an event loop iteration.
+            frame = frame[self._write_nowait(frame) :]
             if not frame:
                 return True
         self.queue.put_nowait(frame)
         return True
 
     def write_all(self) -> None:
-        """Write queued frames, all that wait at once, until the end."""
+        """Write queued frames, all of them at once, until the connection fails."""
         while True:
             self.queue.peek()
             self.writing = True
@@ -107,19 +108,19 @@
         self.sock.sendall(data)
         self.sent_bytes += len(data)
 
-    def _send_now(self, frame: bytes) -> int:
+    def _write_nowait(self, frame: bytes) -> int:
         try:
             sent = self.sock.send(frame, 0, 0.0)
         except OSError:
-            # The socket is full, or broken, which the reading task notices.
+            # The send buffer is full, or the connection failed; the reader handles it.
             return 0
         self.sent_bytes += sent
         return sent
 
     def read_all(self) -> collections.abc.Iterator[list]:
-        """Yield received arrays until the connection ends."""
+        """Yield the received message arrays until the connection ends."""
         unpacker = msgpack.Unpacker(
-            read_size=BUFFER_BYTES, max_buffer_size=MESSAGE_BYTES
+            read_size=BUFFER_BYTES, max_buffer_size=MAX_MESSAGE_BYTES
         )
         while True:
             try:
@@ -132,34 +133,36 @@
             try:
                 yield from self._unpack(unpacker, data)
             except (msgpack.UnpackException, ValueError, zlib.error) as error:
-                log.warning("bad message from a peer: {}", error)
+                log.warning(
+                    "invalid message from a peer; closing its connection: {}", error
+                )
                 return
-            # Else a connection that falls idle keeps what it read last.
+            # An idle connection would otherwise hold its last read in memory.
             del data
 
     def _unpack(
         self, unpacker: msgpack.Unpacker, data: bytes
     ) -> collections.abc.Iterator[list]:
-        """Yield the arrays that end in some received bytes."""
-        plain = self._inflate is None
-        if not plain:
-            data = self._inflate.decompress(data)
-        # The unpacker keeps twice the room that the longest of these ever took.
+        """Yield the arrays that are completed by newly received bytes."""
+        is_plain = self._decompressor is None
+        if not is_plain:
+            data = self._decompressor.decompress(data)
+        # The unpacker permanently keeps twice the size of the largest chunk fed to it.
         for start in range(0, len(data), BUFFER_BYTES):
             end = start + BUFFER_BYTES
             unpacker.feed(data[start:end])
             for array in unpacker:
                 yield array
-                if plain and self._inflate is not None:
-                    # What follows in the same bytes is compressed already.
-                    rest = unpacker.read_bytes(BUFFER_BYTES) + data[end:]
-                    yield from self._unpack(unpacker, rest)
+                if is_plain and self._decompressor is not None:
+                    # The rest of these bytes is already compressed.
+                    compressed = unpacker.read_bytes(BUFFER_BYTES) + data[end:]
+                    yield from self._unpack(unpacker, compressed)
                     return
 
     def close(self) -> None:
-        """Close the connection; both of its tasks end."""
+        """Shut the connection down, which ends its reader and writer tasks."""
         try:
             self.sock.shutdown(socket.SHUT_RDWR)
         except OSError:
-            # The peer closed it already.
+            # The peer has already closed it.
             pass
--- a/packages/mothworks/src/mothworks/messages.py
+++ b/packages/mothworks/src/mothworks/messages.py
@@ -1,8 +1,8 @@
-"""Messages between VMs: attrs classes, sent as compact msgpack arrays.
+"""Messages between VMs: attrs classes that are encoded as compact msgpack arrays.
 
 Each class has a stable code; fields are sent in order and without names.
-A new field goes last and has a default, so that two versions of the program
-understand each other during an upgrade.
+A new field is added last and has a default, so that two versions of the
+program can communicate during an upgrade.
 """
 
 import typing
@@ -10,7 +10,7 @@
 import attrs
 import msgpack
 
-#: Version of the message format; peers of another major version are refused.
+#: Version of the message format; connections to peers of another version are closed.
 PROTOCOL_VERSION = 1
 
 _class_by_code: dict[int, type] = {}
@@ -23,12 +23,13 @@
 def message(code: int) -> typing.Callable[[type[Message]], type[Message]]:
     """Return a decorator that registers a frozen attrs class as a message.
 
-    :param code: its number on the wire, unique and never reused.
+    :param code: its number in encoded messages, unique and never reused.
+    :raises ValueError: if another message class has the code.
     """
 
     def add(message_class: type[Message]) -> type[Message]:
         if code in _class_by_code:
-            raise ValueError(f"two messages have the code {code}")
+            raise ValueError(f"two message classes have the code {code}")
         _class_by_code[code] = message_class
         _code_by_class[message_class] = code
         _fields_by_class[message_class] = tuple(
@@ -39,33 +40,34 @@
     return add
 
 
-def pack(value: typing.Any, call: int = 0) -> bytes:
-    """Return a message as bytes.
+def pack(value: typing.Any, call_number: int = 0) -> bytes:
+    """Return the encoding of a message.
 
     :param value: an instance of a registered class.
-    :param call: number that ties a reply to its request; 0 for none.
+    :param call_number: matches a reply to its call, negated in the reply; 0 if the
+        message is neither.
     """
-    kind = type(value)
-    fields = [getattr(value, name) for name in _fields_by_class[kind]]
-    return msgpack.packb([_code_by_class[kind], call, *fields])
+    message_class = type(value)
+    fields = [getattr(value, name) for name in _fields_by_class[message_class]]
+    return msgpack.packb([_code_by_class[message_class], call_number, *fields])
 
 
 def unpack(array: typing.Any) -> tuple[typing.Any, int] | None:
-    """Return a message and its call number.
+    """Return the message that an array encodes, and its call number.
 
-    :param array: what msgpack read, from whoever sent it.
-    :returns: None for a code that this version does not know, or fields
-        that do not fit.
+    :param array: a value read by msgpack from an untrusted sender.
+    :returns: None for a code that this version does not know, or for fields
+        that do not match the class.
     """
     if not isinstance(array, list) or [type(item) for item in array[:2]] != [int, int]:
         return None
-    code, call, *fields = array
+    code, call_number, *fields = array
     message_class = _class_by_code.get(code)
     if message_class is None:
         return None
     try:
-        known = len(_fields_by_class[message_class])
-        return message_class(*fields[:known]), call
+        field_count = len(_fields_by_class[message_class])
+        return message_class(*fields[:field_count]), call_number
     except TypeError:
         return None
 
@@ -73,21 +75,21 @@
 @message(1)
 @attrs.frozen
 class Hello:
-    """Opens a connection between peers.
+    """The first message that each side sends on a connection between peers.
 
     :param version: :data:`PROTOCOL_VERSION` of the sender.
     :param name: the sender's VM name.
     :param deployment: the sender's deployment.
-    :param inflates: whether the sender understands :class:`Compressed`.
+    :param supports_compression: whether the sender understands :class:`Compressed`.
     """
 
     version: int
     name: str
     deployment: str = ""
-    inflates: bool = False
+    supports_compression: bool = False
 
 
 @message(2)
 @attrs.frozen
 class Compressed:
-    """Tells that all further bytes of the sender are a compressed stream."""
+    """Announces that all further bytes of the sender are a compressed stream."""
--- a/packages/mothworks/src/mothworks/peers.py
+++ b/packages/mothworks/src/mothworks/peers.py
@@ -203,7 +203,7 @@
         elif frames is None:
             self.open(vm)
             self.queued_frames_by_vm[vm].append(frame)
-        elif len(frames) < links.QUEUE_LENGTH:
+        elif len(frames) < links.MAX_QUEUED_MESSAGES:
             frames.append(frame)
 
     def _connect_and_flush(self, vm: str) -> None:
@@ -256,7 +256,10 @@
         node_settings = self.kernel.settings
         version = messages.PROTOCOL_VERSION
         hello = messages.Hello(
-            version, node_settings.name, node_settings.deployment, inflates=True
+            version,
+            node_settings.name,
+            node_settings.deployment,
+            supports_compression=True,
         )
         link.send(messages.pack(hello))
 
@@ -318,7 +321,7 @@
         if link.vm is None:
             link.vm = hello.name
             self.link_by_vm.setdefault(hello.name, link)
-        if hello.inflates:
+        if hello.supports_compression:
             link.compress()
         # A stale VM list can name a VM whose address now belongs to another VM.
         return link.vm == hello.name
