--- a/packages/mothworks/src/mothworks/exchange.py
+++ b/packages/mothworks/src/mothworks/exchange.py
@@ -55,7 +55,7 @@
     :param rows: beliefs about VMs.
     """
 
-    rows: tuple[members.Row, ...] = attrs.field(converter=members.rows)
+    rows: tuple[members.Row, ...] = attrs.field(converter=members.parse_rows)
 
 
 @plugins.register(plugins.PART, "exchange")
--- a/packages/mothworks/src/mothworks/gossip.py
+++ b/packages/mothworks/src/mothworks/gossip.py
@@ -1,8 +1,8 @@
-"""News that is piggybacked on probes, each item a bounded number of times.
+"""Gossip of membership updates, piggybacked on probes a bounded number of times.
 
-With n VMs an item reaches all of them with high probability after each has
-sent it about log(n) times; a multiple of that covers lost packets. An item
-about a VM replaces the older item about the same VM.
+Among n VMs an update reaches all of them with high probability once each VM
+has sent it about log(n) times; a multiple of that makes up for lost packets.
+An update of a VM replaces an older update of the same VM.
 """
 
 import math
@@ -12,55 +12,59 @@
 
 from mothworks import members
 
-#: Sendings of one item, as a multiple of log2 of the number of VMs.
-SENDINGS_PER_LOG = 3
-#: Bytes of news in one packet, so that packets stay below 1,200 bytes.
-PACKET_BYTES = 1_100
+#: Transmissions of one update, as a multiple of log2 of the number of VMs.
+TRANSMISSIONS_PER_LOG2 = 3
+#: Maximum size of the updates in one packet, which keeps packets below 1,200 bytes.
+MAX_UPDATE_BYTES = 1_100
 
 
 @attrs.define
-class Item:
-    """News that is still being sent.
+class PendingUpdate:
+    """A membership update that has transmissions left.
 
-    :param row: the news.
-    :param size: its bytes in a packet.
-    :param sendings: how often it was sent.
+    :param row: the update.
+    :param size: its encoded size, bytes.
+    :param transmissions: how often it was sent.
     """
 
     row: members.Row
     size: int
-    sendings: int = 0
+    transmissions: int = 0
 
 
-class Gossip:
-    """The news that one VM still sends."""
+class UpdateQueue:
+    """The membership updates that one VM still has to send."""
 
     def __init__(self):
-        self.item_by_name: dict[str, Item] = {}
+        self.pending_by_name: dict[str, PendingUpdate] = {}
 
     def add(self, row: members.Row) -> None:
-        """Start to send a row in place of older news of the same VM.
+        """Queue an update in place of an older one of the same VM.
 
-        :param row: the news.
+        :param row: the update.
         """
-        self.item_by_name[row.name] = Item(row, len(msgpack.packb(row)))
+        self.pending_by_name[row.name] = PendingUpdate(row, len(msgpack.packb(row)))
 
-    def take(self, vms: int) -> tuple[members.Row, ...]:
-        """Return the news for one packet, the least sent first.
+    def next_updates(self, vm_count: int) -> tuple[members.Row, ...]:
+        """Return the updates for one packet, those sent least often first.
 
-        :param vms: number of VMs that the news has to reach.
+        Counts a transmission of each, and drops those that have none left.
+
+        :param vm_count: number of VMs that the updates have to reach.
         """
-        if not self.item_by_name:
+        if not self.pending_by_name:
             return ()
-        most = SENDINGS_PER_LOG * math.ceil(math.log2(vms + 2))
-        room = PACKET_BYTES
-        taken = []
-        for item in sorted(self.item_by_name.values(), key=lambda item: item.sendings):
-            if item.size > room:
+        max_transmissions = TRANSMISSIONS_PER_LOG2 * math.ceil(math.log2(vm_count + 2))
+        free_bytes = MAX_UPDATE_BYTES
+        selected = []
+        for pending in sorted(
+            self.pending_by_name.values(), key=lambda pending: pending.transmissions
+        ):
+            if pending.size > free_bytes:
                 continue
-            room -= item.size
-            item.sendings += 1
-            taken.append(item.row)
-            if item.sendings >= most:
-                del self.item_by_name[item.row.name]
-        return tuple(taken)
+            free_bytes -= pending.size
+            pending.transmissions += 1
+            selected.append(pending.row)
+            if pending.transmissions >= max_transmissions:
+                del self.pending_by_name[pending.row.name]
+        return tuple(selected)
--- a/packages/mothworks/src/mothworks/members.py
+++ b/packages/mothworks/src/mothworks/members.py
@@ -82,7 +82,7 @@
 ROW_TYPES = (int, int, str, str, int, int, str, str, bool)
 
 
-def rows(values: collections.abc.Iterable) -> tuple[Row, ...]:
+def parse_rows(values: collections.abc.Iterable) -> tuple[Row, ...]:
     """Return rows that were read from the network.
 
     :param values: sequences of plain values.
--- a/packages/mothworks/src/mothworks/membership.py
+++ b/packages/mothworks/src/mothworks/membership.py
@@ -39,13 +39,13 @@
         #: Whether the platform lists this VM as leaving.
         self.leaving = False
         self.ports = node_kernel.get(ports.Ports)
-        self.news = gossip.Gossip()
+        self.update_queue = gossip.UpdateQueue()
         self.table = members.Members(
-            self.me(), self.news.add, self._notify, self._suspicion_rounds
+            self.me(), self.update_queue.add, self._notify, self._suspicion_rounds
         )
         deployment = node_kernel.settings.deployment
         self.swim = swim.Swim(
-            self.table, self.news, self.ports.datagram, self.tasks, deployment
+            self.table, self.update_queue, self.ports.datagram, self.tasks, deployment
         )
         #: VMs that the platform lists; some may be gone, others missing.
         self.listed_by_name: dict[str, members.Member] = {}
@@ -63,7 +63,7 @@
     def stop(self) -> None:
         """Tell peers that this VM has left, then stop."""
         if self.kernel.draining:
-            self.swim.farewell(self.table.leave())
+            self.swim.announce_leave(self.table.leave())
         super().stop()
 
     def me(self) -> members.Member:
@@ -89,7 +89,7 @@
 
     def near(self) -> list[members.Member]:
         """Return the live members of this VM's region, itself left out."""
-        return self.swim.near()
+        return self.swim.region_peers()
 
     def far(self) -> list[members.Member]:
         """Return a random live member of each other region, for VMs that link.
--- a/packages/mothworks/src/mothworks/swim.py
+++ b/packages/mothworks/src/mothworks/swim.py
@@ -1,10 +1,10 @@
 """Failure detection by probes, after SWIM (Das, Gupta, Motivala, 2002).
 
-Once a round each VM probes one VM of its region, in a shuffled order. Where
-no answer comes, it asks a few others to probe it too, since the path and not
-the VM may be broken. A VM that answers nobody is suspected, and dead some
-rounds later unless it refutes. The cost for one VM is the same whatever the
-size of the group.
+In each round a VM probes one VM of its region, in shuffled order. If no ack
+arrives, it requests indirect probes from a few other VMs, since the network
+path may have failed rather than the VM. A VM that no probe reaches becomes
+suspect, and dead some rounds later unless it refutes the suspicion. The cost
+for each VM is independent of the size of the group.
 """
 
 import itertools
@@ -23,69 +23,76 @@
 
 log = logbook.Logger("swim")
 
-#: Time of one round, seconds.
+#: Duration of one round, seconds.
 ROUND_S = 1.0
-#: Share of a round that a direct answer may take; the rest is for the helpers.
-DIRECT_SHARE = 0.3
-#: VMs that are asked to probe a silent one.
-HELPERS = 3
-#: Rounds that a suspect has, as a multiple of log10 of the number of VMs.
-SUSPICION_PER_LOG = 3
-#: A wait that took this many times its length shows that this VM was paused.
-PAUSED = 2.0
-#: Length of the tag that each packet begins with.
+#: Share of a round spent on the direct probe; the rest is for indirect probes.
+DIRECT_PROBE_SHARE = 0.3
+#: Number of VMs that are requested to probe an unresponsive VM.
+INDIRECT_PROBES = 3
+#: Rounds that a suspect has to refute, as a multiple of log10 of the number of VMs.
+SUSPICION_ROUNDS_PER_LOG10 = 3
+#: A probe that took this many times the length of a round shows that this VM was
+#: paused.
+PAUSE_FACTOR = 2.0
+#: Length of the tag at the start of each packet, bytes.
 TAG_BYTES = 4
-#: Largest packet that is read.
-PACKET_BYTES = 2048
+#: Maximum size of a received packet, bytes.
+MAX_PACKET_BYTES = 2048
 
 
 @messages.message(30)
 @attrs.frozen
 class Probe:
-    """Asks a VM to answer.
+    """Checks whether a VM is alive; it replies with a :class:`ProbeAck`.
 
-    :param sender: the name of the VM that asks.
-    :param number: ties the answer to the probe.
-    :param news: see :class:`members.Row`.
+    :param sender: the name of the probing VM.
+    :param number: matches the ack to the probe.
+    :param updates: piggybacked membership updates.
     """
 
     sender: str
     number: int
-    news: tuple[members.Row, ...] = attrs.field(default=(), converter=members.rows)
+    updates: tuple[members.Row, ...] = attrs.field(
+        default=(), converter=members.parse_rows
+    )
 
 
 @messages.message(31)
 @attrs.frozen
-class ProbeAnswer:
-    """Answers a probe, or passes on the answer of a VM probed for another.
+class ProbeAck:
+    """Acknowledges a probe, or relays the ack of an indirect probe.
 
-    :param number: the probe's number.
-    :param news: see :class:`members.Row`.
+    :param number: the number of the probe or of the indirect probe request.
+    :param updates: piggybacked membership updates.
     """
 
     number: int
-    news: tuple[members.Row, ...] = attrs.field(default=(), converter=members.rows)
+    updates: tuple[members.Row, ...] = attrs.field(
+        default=(), converter=members.parse_rows
+    )
 
 
 @messages.message(32)
 @attrs.frozen
-class ProbeRequest:
-    """Asks a VM to probe another and to pass on the answer.
+class IndirectProbeRequest:
+    """Requests that a VM probes another VM and relays its ack.
 
-    :param sender: the name of the VM that asks.
-    :param number: the number that the answer is to carry.
-    :param target: the name of the silent VM.
-    :param news: see :class:`members.Row`.
+    :param sender: the name of the requesting VM.
+    :param number: the number that the relayed ack carries.
+    :param target: the name of the unresponsive VM.
+    :param updates: piggybacked membership updates.
     """
 
     sender: str
     number: int
     target: str
-    news: tuple[members.Row, ...] = attrs.field(default=(), converter=members.rows)
+    updates: tuple[members.Row, ...] = attrs.field(
+        default=(), converter=members.parse_rows
+    )
 
 
 def tag(deployment: str, vm: str) -> bytes:
-    """Return what datagrams for a VM begin with, to tell them from all others.
+    """Return the tag that identifies datagrams addressed to a VM of a deployment.
 
     :param deployment: the deployment's name.
     :param vm: the VM's name.
@@ -97,170 +104,172 @@
     """Probes the VMs of one region.
 
     :param table: the membership table.
-    :param news: what is piggybacked on packets.
+    :param update_queue: the membership updates to piggyback on packets.
     :param sock: the datagram socket.
-    :param work: where its tasks run.
+    :param part_tasks: runs its tasks.
     :param deployment: the deployment's name.
     """
 
     def __init__(
         self,
         table: members.Members,
-        news: gossip.Gossip,
+        update_queue: gossip.UpdateQueue,
         sock: gevent.socket.socket,
-        work: tasks.Tasks,
+        part_tasks: tasks.Tasks,
         deployment: str,
     ):
         self.table = table
-        self.news = news
+        self.update_queue = update_queue
         self.sock = sock
-        self.tasks = work
+        self.tasks = part_tasks
         self.deployment = deployment
         self.round_s = ROUND_S
-        self.numbers = itertools.count(random.randrange(1 << 24))
-        self.answered_by_number: dict[int, gevent.event.Event] = {}
-        self.order: list[str] = []
+        self.probe_numbers = itertools.count(random.randrange(1 << 24))
+        self.ack_by_number: dict[int, gevent.event.Event] = {}
+        self.probe_order: list[str] = []
         self.sent_bytes = 0
         self.received_bytes = 0
 
     def start(self) -> None:
-        """Start to answer and to probe."""
+        """Start to acknowledge and send probes."""
         self.tasks.spawn(self._receive)
-        self.tasks.spawn(self._probe_all)
+        self.tasks.spawn(self._probe_repeatedly)
 
     def suspicion_rounds(self) -> int:
-        """Return the rounds that a suspect has to refute."""
-        vms = max(10, len(self.table.record_by_name) + 1)
-        return math.ceil(SUSPICION_PER_LOG * math.log10(vms))
+        """Return the number of rounds that a suspect has to refute."""
+        vm_count = max(10, len(self.table.record_by_name) + 1)
+        return math.ceil(SUSPICION_ROUNDS_PER_LOG10 * math.log10(vm_count))
 
-    def farewell(self, row: members.Row) -> None:
-        """Tell a few VMs at once that this one has left.
+    def announce_leave(self, row: members.Row) -> None:
+        """Notify a few VMs immediately that this one has left.
 
-        :param row: the row that says so.
+        :param row: this VM's row with the state LEFT.
         """
-        self.news.add(row)
-        for member in self._others(set(), HELPERS + 1):
-            self._send(member, ProbeAnswer(0, (row,)))
+        self.update_queue.add(row)
+        for member in self._random_peers(set(), INDIRECT_PROBES + 1):
+            self._send(member, ProbeAck(0, (row,)))
 
-    def near(self) -> list[members.Member]:
-        """Return the live VMs of this VM's region, itself left out."""
+    def region_peers(self) -> list[members.Member]:
+        """Return the live VMs of this VM's region except itself."""
         region = self.table.own.member.region
         return [item for item in self.table.live() if item.region == region]
 
-    def _probe_all(self) -> None:
+    def _probe_repeatedly(self) -> None:
         while True:
             started = time.monotonic()
             jitter = random.uniform(1 - tasks.JITTER, 1 + tasks.JITTER)
             self._probe_next()
             self.table.tick()
-            spent = time.monotonic() - started
-            gevent.sleep(max(0.0, self.round_s * jitter - spent))
+            elapsed_s = time.monotonic() - started
+            gevent.sleep(max(0.0, self.round_s * jitter - elapsed_s))
 
     def _probe_next(self) -> None:
-        target = self._next()
+        target = self._next_target()
         if target is None:
             return
-        direct_s = self.round_s * DIRECT_SHARE
-        rest_s = self.round_s * (1 - 2 * tasks.JITTER) - direct_s
+        direct_timeout_s = self.round_s * DIRECT_PROBE_SHARE
+        indirect_timeout_s = self.round_s * (1 - 2 * tasks.JITTER) - direct_timeout_s
         started = time.monotonic()
-        number, answered = self._expect()
-        self._send(target, Probe(self._name, number, self._news()))
-        if not answered.wait(direct_s):
-            for helper in self._others({target.name}, HELPERS):
-                request = ProbeRequest(self._name, number, target.name, self._news())
+        number, ack = self._register_probe()
+        self._send(target, Probe(self._own_name, number, self._next_updates()))
+        if not ack.wait(direct_timeout_s):
+            for helper in self._random_peers({target.name}, INDIRECT_PROBES):
+                request = IndirectProbeRequest(
+                    self._own_name, number, target.name, self._next_updates()
+                )
                 self._send(helper, request)
-            answered.wait(rest_s)
-        del self.answered_by_number[number]
-        # A VM that was paused while it waited finds no answer, for it read
-        # none. To suspect its peers then would empty its table of live VMs.
-        paused = time.monotonic() - started > PAUSED * self.round_s
-        if not answered.is_set() and not paused:
+            ack.wait(indirect_timeout_s)
+        del self.ack_by_number[number]
+        # A VM that was paused while it waited has read no acks. Suspecting its
+        # peers because of that would empty its table of live VMs.
+        paused = time.monotonic() - started > PAUSE_FACTOR * self.round_s
+        if not ack.is_set() and not paused:
             self.table.suspect(target.name)
 
-    def _next(self) -> members.Member | None:
-        if not self.order:
-            self.order = [item.name for item in self.near()]
-            random.shuffle(self.order)
-        while self.order:
-            record = self.table.find(self.order.pop())
+    def _next_target(self) -> members.Member | None:
+        if not self.probe_order:
+            self.probe_order = [item.name for item in self.region_peers()]
+            random.shuffle(self.probe_order)
+        while self.probe_order:
+            record = self.table.find(self.probe_order.pop())
             if record is not None and record.live:
                 return record.member
         return None
 
-    def _others(self, without: set[str], number: int) -> list[members.Member]:
-        candidates = [item for item in self.near() if item.name not in without]
-        return random.sample(candidates, min(number, len(candidates)))
+    def _random_peers(self, excluded: set[str], count: int) -> list[members.Member]:
+        candidates = [item for item in self.region_peers() if item.name not in excluded]
+        return random.sample(candidates, min(count, len(candidates)))
 
-    def _expect(self) -> tuple[int, gevent.event.Event]:
-        number = next(self.numbers)
-        answered = gevent.event.Event()
-        self.answered_by_number[number] = answered
-        return number, answered
+    def _register_probe(self) -> tuple[int, gevent.event.Event]:
+        number = next(self.probe_numbers)
+        ack = gevent.event.Event()
+        self.ack_by_number[number] = ack
+        return number, ack
 
     def _receive(self) -> None:
         while True:
             try:
-                data, address = self.sock.recvfrom(PACKET_BYTES)
+                data, address = self.sock.recvfrom(MAX_PACKET_BYTES)
             except OSError as error:
-                # An earlier packet met a closed port; it says nothing more.
-                log.debug("datagram: {}", error)
+                # An earlier packet was sent to a closed port; nothing to handle.
+                log.debug("receiving a datagram failed: {}", error)
                 continue
             self.received_bytes += len(data)
-            self._take(data, address)
-
-    def _take(self, data: bytes, address: tuple) -> None:
-        if data[:TAG_BYTES] != tag(self.deployment, self._name):
-            # The address of a dead VM may now belong to a VM of the same name
-            # in another deployment. Its answers would keep the dead VM alive
-            # for ever, and the news would mix up the two deployments.
-            log.debug("datagram for another VM from {}", address[0])
+            self._handle_datagram(data, address)
+
+    def _handle_datagram(self, data: bytes, address: tuple) -> None:
+        if data[:TAG_BYTES] != tag(self.deployment, self._own_name):
+            # The address of a dead VM may now belong to a VM of another deployment.
+            # Its acks would keep the dead VM alive indefinitely, and its updates
+            # would merge the membership of the two deployments.
+            log.debug("ignoring a datagram for another VM from {}", address[0])
             return
         try:
             received = messages.unpack(msgpack.unpackb(data[TAG_BYTES:]))
         except (ValueError, TypeError, msgpack.UnpackException):
             received = None
         if received is None:
-            log.warning("bad datagram from {}", address[0])
+            log.warning("ignoring an invalid datagram from {}", address[0])
             return
         message, _ = received
-        for row in message.news:
+        for row in message.updates:
             self.table.merge(row)
         match message:
             case Probe(sender, number):
-                self._answer(sender, number, address)
-            case ProbeAnswer(number):
-                answered = self.answered_by_number.get(number)
-                if answered is not None:
-                    answered.set()
-            case ProbeRequest():
-                self.tasks.spawn(self._probe_for, message, address)
-
-    def _answer(self, sender: str, number: int, address: tuple) -> None:
+                self._acknowledge(sender, number, address)
+            case ProbeAck(number):
+                ack = self.ack_by_number.get(number)
+                if ack is not None:
+                    ack.set()
+            case IndirectProbeRequest():
+                self.tasks.spawn(self._probe_indirectly, message, address)
+
+    def _acknowledge(self, sender: str, number: int, address: tuple) -> None:
         record = self.table.find(sender)
-        news = self._news()
+        updates = self._next_updates()
         if record is not None and record.state is not members.State.ALIVE:
-            # Told each time, a VM that others hold for dead refutes at once,
-            # also long after the news of its death was last sent.
-            news = (record.row(), *news[:-1])
-        self._send_to(sender, address, ProbeAnswer(number, news))
+            # Each ack to a suspect or dead VM carries its row, so that it refutes
+            # at once, even long after that update was last gossiped.
+            updates = (record.row(), *updates[:-1])
+        self._send_to(sender, address, ProbeAck(number, updates))
 
-    def _probe_for(self, request: ProbeRequest, address: tuple) -> None:
+    def _probe_indirectly(self, request: IndirectProbeRequest, address: tuple) -> None:
         record = self.table.find(request.target)
         if record is None:
             return
-        number, answered = self._expect()
-        self._send(record.member, Probe(self._name, number, self._news()))
-        if answered.wait(self.round_s * DIRECT_SHARE):
-            answer = ProbeAnswer(request.number, self._news())
-            self._send_to(request.sender, address, answer)
-        del self.answered_by_number[number]
+        number, ack = self._register_probe()
+        self._send(record.member, Probe(self._own_name, number, self._next_updates()))
+        if ack.wait(self.round_s * DIRECT_PROBE_SHARE):
+            reply = ProbeAck(request.number, self._next_updates())
+            self._send_to(request.sender, address, reply)
+        del self.ack_by_number[number]
 
     @property
-    def _name(self) -> str:
+    def _own_name(self) -> str:
         return self.table.own.member.name
 
-    def _news(self) -> tuple[members.Row, ...]:
-        return self.news.take(len(self.near()))
+    def _next_updates(self) -> tuple[members.Row, ...]:
+        return self.update_queue.next_updates(len(self.region_peers()))
 
     def _send(self, member: members.Member, message) -> None:
         address = (member.address, member.peer_port)
@@ -272,5 +281,5 @@
         try:
             self.sock.sendto(data, address)
         except OSError as error:
-            # A lost datagram; the probe that it carried goes unanswered.
-            log.debug("datagram to {}: {}", address[0], error)
+            # Equivalent to a lost datagram: a probe in it gets no ack.
+            log.debug("sending a datagram to {} failed: {}", address[0], error)
--- a/packages/mothworks/tests/test_membership.py
+++ b/packages/mothworks/tests/test_membership.py
@@ -85,11 +85,11 @@
     five.network.lossy |= {("vm-1", "vm-2"), ("vm-2", "vm-1")}
     for vm in five.vm_by_name.values():
         vm.history.clear()
-    probes = [next(vm.membership.swim.numbers) for vm in five.vm_by_name.values()]
+    probes = [next(vm.membership.swim.probe_numbers) for vm in five.vm_by_name.values()]
     wanted = 25
     processes.wait_until(
         lambda: all(
-            next(vm.membership.swim.numbers) > start + wanted
+            next(vm.membership.swim.probe_numbers) > start + wanted
             for vm, start in zip(five.vm_by_name.values(), probes, strict=True)
         )
     )
@@ -178,8 +178,10 @@
     processes.wait_until(
         lambda: all(len(view) == known for view in five.views().values())
     )
-    news = [item.membership.news for item in five.vm_by_name.values()]
-    processes.wait_until(lambda: not any(item.item_by_name for item in news))
+    update_queues = [item.membership.update_queue for item in five.vm_by_name.values()]
+    processes.wait_until(
+        lambda: not any(item.pending_by_name for item in update_queues)
+    )
     assert max(item.socket.largest for item in five.vm_by_name.values()) < 1200
 
 
