--- a/packages/mothworks/src/mothworks/exchange.py
+++ b/packages/mothworks/src/mothworks/exchange.py
@@ -86,7 +86,7 @@
         """Read the platform's list and exchange with VMs that are unknown."""
         match self.list.source.read():
             case result.Ok(vms):
-                self.membership.take_list(vms)
+                self.membership.apply_vm_list(vms)
             case result.Err(reason):
                 log.warning("vm list: {}", reason)
         region = self.kernel.settings.region
--- a/packages/mothworks/src/mothworks/members.py
+++ b/packages/mothworks/src/mothworks/members.py
@@ -1,9 +1,9 @@
-"""The membership table: what this VM believes of every VM that runs a node.
+"""The membership table: the state of every VM that runs a node, as this VM knows it.
 
-Each VM alone raises its own incarnation number. Of two beliefs about a VM the
-one with the higher incarnation is newer; at the same incarnation, suspicion
-goes before life and death before suspicion. All VMs that heard the same
-beliefs hold the same table, in whatever order they heard them.
+Only a VM itself increments its incarnation number. Of two rows about a VM, the
+one with the higher incarnation is newer; at the same incarnation, SUSPECT
+overrides ALIVE and DEAD overrides SUSPECT. All VMs that received the same rows
+therefore hold the same table, whatever the order in which the rows arrived.
 """
 
 import collections.abc
@@ -17,19 +17,19 @@
 
 log = logbook.Logger("members")
 
-#: Rounds after which a dead VM is forgotten, about an hour. Until then it is
-#: dialled now and then, so that the two sides of a partition find each other.
-FORGET_ROUNDS = 3600
+#: Rounds after which a dead VM is removed, about an hour. Until then, connections
+#: to it are attempted at times, so that the two sides of a partition can rejoin.
+DEAD_RETENTION_ROUNDS = 3600
 
 
 class State(enum.IntEnum):
-    """What is believed of a VM; a higher value wins at one incarnation."""
+    """The state of a VM; at equal incarnation the higher value takes precedence."""
 
     ALIVE = 0
-    #: It did not answer; it has some rounds left to refute.
+    #: It did not acknowledge a probe and has some rounds left to refute this.
     SUSPECT = 1
     DEAD = 2
-    #: It said itself that it stops.
+    #: It announced that it stopped.
     LEFT = 3
 
 
@@ -38,12 +38,12 @@
     """A VM that runs a node.
 
     :param name: the VM's name.
-    :param address: its IP number.
+    :param address: its IP address.
     :param peer_port: its port for peers, TCP and UDP.
     :param port: its port for callers.
     :param data_centre: where it runs.
     :param region: that data centre's region.
-    :param leaving: it is shutting down and takes no new ownership.
+    :param leaving: whether it is shutting down and must not own anything new.
     """
 
     name: str
@@ -56,11 +56,11 @@
 
 
 class Row(typing.NamedTuple):
-    """A belief about one VM, as peers send it to each other.
+    """The state of one VM as sent between peers.
 
     :param state: a :class:`State`.
-    :param incarnation: the VM's own number for its newest announcement.
-    :param name: see :class:`Member`, here and below.
+    :param incarnation: the version of the state, incremented only by the VM itself.
+    :param name: see :class:`Member` for this and the following fields.
     """
 
     state: int
@@ -74,83 +74,83 @@
     leaving: bool
 
     def member(self) -> Member:
-        """Return the VM that the row is about."""
+        """Return the VM that the row describes."""
         return Member(*self[2:])
 
 
-#: Types of a row's fields, for rows that come from the network.
-ROW_TYPES = (int, int, str, str, int, int, str, str, bool)
+#: Types of a row's fields, to validate rows received from the network.
+ROW_FIELD_TYPES = (int, int, str, str, int, int, str, str, bool)
 
 
 def parse_rows(values: collections.abc.Iterable) -> tuple[Row, ...]:
-    """Return rows that were read from the network.
+    """Validate and return rows received from the network.
 
     :param values: sequences of plain values.
-    :raises TypeError: where one is not a row.
+    :raises TypeError: if one of them is not a row.
     """
-    checked = []
+    parsed = []
     for value in values:
-        if [type(item) for item in value] != list(ROW_TYPES):
-            raise TypeError(f"not a row of members: {value!r:.80}")
-        checked.append(Row(*value))
-    return tuple(checked)
+        if [type(item) for item in value] != list(ROW_FIELD_TYPES):
+            raise TypeError(f"not a membership row: {value!r:.80}")
+        parsed.append(Row(*value))
+    return tuple(parsed)
 
 
 @attrs.define
 class Record:
-    """What this VM believes of another.
+    """The state of a VM in the membership table.
 
     :param member: the VM.
     :param incarnation: its newest known incarnation.
-    :param state: whether it lives.
-    :param rounds: probe rounds left in this state, for suspect and dead VMs.
+    :param state: its newest known state.
+    :param rounds_left: probe rounds left in this state, unless it is ALIVE.
     """
 
     member: Member
     incarnation: int
     state: State
-    rounds: int = 0
+    rounds_left: int = 0
 
     @property
     def live(self) -> bool:
-        """Return whether the VM counts as live, suspect or not."""
+        """Return whether the VM counts as live, which includes suspects."""
         return self.state <= State.SUSPECT
 
     def row(self) -> Row:
-        """Return the belief as it is sent to peers."""
+        """Return the row to send to peers."""
         return Row(int(self.state), self.incarnation, *attrs.astuple(self.member))
 
 
 class Members:
-    """The table of one VM.
+    """The membership table of one VM.
 
     :param me: this VM.
-    :param spread: called with each row that peers should hear.
-    :param changed: called without arguments when live VMs changed.
-    :param suspicion_rounds: returns the rounds that a suspect has left.
+    :param on_update: called with each row to gossip to peers.
+    :param on_live_change: called without arguments when the live VMs changed.
+    :param get_suspicion_rounds: returns the rounds that a new suspect has to refute.
     """
 
     def __init__(
         self,
         me: Member,
-        spread: collections.abc.Callable[[Row], None],
-        changed: collections.abc.Callable[[], None],
-        suspicion_rounds: collections.abc.Callable[[], int],
+        on_update: collections.abc.Callable[[Row], None],
+        on_live_change: collections.abc.Callable[[], None],
+        get_suspicion_rounds: collections.abc.Callable[[], int],
     ):
-        # Whole seconds of wall time let a VM that restarts under its old name
-        # go on above its former incarnation, unheard by it.
+        # Starting at the wall time in seconds puts a VM that restarts under the
+        # same name above its former incarnation, which it does not know.
         self.own = Record(me, int(time.time()), State.ALIVE)
-        self.spread = spread
-        self.changed = changed
-        self.suspicion_rounds = suspicion_rounds
+        self.on_update = on_update
+        self.on_live_change = on_live_change
+        self.get_suspicion_rounds = get_suspicion_rounds
         self.record_by_name: dict[str, Record] = {}
 
     def live(self) -> list[Member]:
-        """Return all live VMs but this one."""
+        """Return all live VMs except this one."""
         return [item.member for item in self.record_by_name.values() if item.live]
 
     def dead(self) -> list[Member]:
-        """Return the VMs that are believed dead and not yet forgotten."""
+        """Return the dead VMs that are not yet removed."""
         return [
             item.member
             for item in self.record_by_name.values()
@@ -158,19 +158,19 @@
         ]
 
     def find(self, name: str) -> Record | None:
-        """Return what is believed of a VM, dead ones included.
+        """Return the record of a VM, also of a dead one, or None if it is unknown.
 
         :param name: the VM's name.
         """
         return self.record_by_name.get(name)
 
     def rows(self) -> list[Row]:
-        """Return the whole table, this VM included."""
+        """Return the rows of the whole table, including this VM."""
         records = (self.own, *self.record_by_name.values())
         return [item.row() for item in records]
 
     def digest(self) -> int:
-        """Return a hash that is equal where two VMs hold the same live VMs."""
+        """Return a hash that is equal if two VMs hold the same live VMs."""
         live = [
             f"{item.member.name}\0{item.incarnation}"
             for item in (self.own, *self.record_by_name.values())
@@ -179,22 +179,22 @@
         return xxhash.xxh64_intdigest("\n".join(sorted(live)).encode())
 
     def announce(self, me: Member) -> None:
-        """Tell peers what changed about this VM.
+        """Announce a change of this VM to peers.
 
-        :param me: this VM as it is now.
+        :param me: the current description of this VM.
         """
         if me != self.own.member:
             self.own.member = me
             self._raise_incarnation(self.own.incarnation)
 
     def leave(self) -> Row:
-        """Mark this VM as stopped and return the row that says so."""
+        """Mark this VM as stopped and return the row that announces it."""
         self.own.incarnation += 1
         self.own.state = State.LEFT
         return self.own.row()
 
     def suspect(self, name: str) -> None:
-        """Note that a VM did not answer a probe.
+        """Mark a live VM as suspect because it did not acknowledge a probe.
 
         :param name: the VM's name.
         """
@@ -203,12 +203,12 @@
             self.merge(record.row()._replace(state=int(State.SUSPECT)))
 
     def tick(self) -> None:
-        """Let one probe round pass for suspect and dead VMs."""
+        """Count down one probe round: suspects become dead, dead VMs are removed."""
         for record in list(self.record_by_name.values()):
             if record.state is State.ALIVE:
                 continue
-            record.rounds -= 1
-            if record.rounds > 0:
+            record.rounds_left -= 1
+            if record.rounds_left > 0:
                 continue
             if record.state is State.SUSPECT:
                 self.merge(record.row()._replace(state=int(State.DEAD)))
@@ -216,48 +216,48 @@
                 del self.record_by_name[record.member.name]
 
     def merge(self, row: Row) -> bool:
-        """Take a belief if it is newer than the one held.
+        """Apply a received row if it is newer than the current record.
 
-        :param row: what a peer believes.
-        :returns: whether it was newer.
+        :param row: the row of a peer.
+        :returns: whether it was applied, or refuted because it is about this VM.
         """
         if row.name == self.own.member.name:
-            return self._hear_of_self(row)
-        known = self.record_by_name.get(row.name)
-        if known is None:
-            # A suspicion of a VM never heard of gives no address to check it.
+            return self._refute(row)
+        current = self.record_by_name.get(row.name)
+        if current is None:
+            # Ignores a suspicion of an unknown VM: there is no known address to check.
             if row.state != State.ALIVE:
                 return False
-        elif (row.incarnation, row.state) <= (known.incarnation, known.state):
+        elif (row.incarnation, row.state) <= (current.incarnation, current.state):
             return False
         state = State(min(row.state, State.LEFT))
         member = row.member()
         self.record_by_name[row.name] = Record(
-            member, row.incarnation, state, self._rounds(state)
+            member, row.incarnation, state, self._initial_rounds(state)
         )
-        self.spread(row)
-        if known is None or known.state is not state:
+        self.on_update(row)
+        if current is None or current.state is not state:
             log.info("{} is {}", row.name, state.name.lower())
         if (
-            known is None
-            or known.live != (state <= State.SUSPECT)
-            or known.member != member
+            current is None
+            or current.live != (state <= State.SUSPECT)
+            or current.member != member
         ):
-            self.changed()
+            self.on_live_change()
         return True
 
-    def _rounds(self, state: State) -> int:
+    def _initial_rounds(self, state: State) -> int:
         match state:
             case State.ALIVE:
                 return 0
             case State.SUSPECT:
-                return self.suspicion_rounds()
-        return FORGET_ROUNDS
+                return self.get_suspicion_rounds()
+        return DEAD_RETENTION_ROUNDS
 
-    def _hear_of_self(self, row: Row) -> bool:
-        # A paused VM wakes to find itself suspected or dead, and a restarted
-        # one meets news of its former life. Peers would drop it; the higher
-        # incarnation refutes the news wherever it has got to.
+    def _refute(self, row: Row) -> bool:
+        # After a pause a VM may find itself suspect or dead, and after a restart
+        # it receives rows of its previous run. Peers would remove it. A higher
+        # incarnation overrides such rows wherever they have spread.
         own = self.own
         if own.state is State.LEFT or row.incarnation < own.incarnation:
             return False
@@ -266,6 +266,6 @@
         self._raise_incarnation(row.incarnation)
         return True
 
-    def _raise_incarnation(self, above: int) -> None:
-        self.own.incarnation = above + 1
-        self.spread(self.own.row())
+    def _raise_incarnation(self, previous: int) -> None:
+        self.own.incarnation = previous + 1
+        self.on_update(self.own.row())
--- a/packages/mothworks/src/mothworks/membership.py
+++ b/packages/mothworks/src/mothworks/membership.py
@@ -1,9 +1,9 @@
 """Membership: which VMs run a node now.
 
-The VMs of a region probe each other (:mod:`mothworks.swim`) and keep one
-table (:mod:`mothworks.members`); :mod:`mothworks.exchange` joins, heals
-partitions and links regions. Other parts ask :meth:`Membership.live` and are
-told of changes.
+The VMs of a region probe each other (:mod:`mothworks.swim`) and maintain the
+same table (:mod:`mothworks.members`). :mod:`mothworks.exchange` synchronises
+the tables to join, to heal partitions and to bridge regions. Other parts call
+:meth:`Membership.live` and register callbacks for changes.
 """
 
 import random
@@ -23,93 +23,97 @@
 
 log = logbook.Logger("membership")
 
-#: VMs of each region that exchange with other regions.
-LINKING_VMS = 2
+#: Number of VMs in each region that synchronise with other regions.
+BRIDGE_VMS_PER_REGION = 2
 
 
 @plugins.register(plugins.PART, "membership")
 class Membership(kernel.Part):
-    """Knows the live VMs.
+    """Maintains which VMs are live and notifies other parts of changes.
 
     :param node_kernel: the node's kernel.
     """
 
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
-        #: Whether the platform lists this VM as leaving.
+        #: Whether the platform's list marks this VM as leaving.
         self.leaving = False
         self.ports = node_kernel.get(ports.Ports)
         self.update_queue = gossip.UpdateQueue()
         self.table = members.Members(
-            self.me(), self.update_queue.add, self._notify, self._suspicion_rounds
+            self.me(),
+            self.update_queue.add,
+            self._notify_change,
+            self._suspicion_rounds,
         )
         deployment = node_kernel.settings.deployment
         self.swim = swim.Swim(
             self.table, self.update_queue, self.ports.datagram, self.tasks, deployment
         )
-        #: VMs that the platform lists; some may be gone, others missing.
+        #: Other VMs on the platform's list, which may be stale or incomplete.
         self.listed_by_name: dict[str, members.Member] = {}
-        #: Endpoints that the platform lists as leaving.
+        #: Endpoints that the platform's list marks as leaving.
         self.leaving_endpoints: frozenset[str] = frozenset()
-        #: Functions to call after a change, without arguments.
+        #: Callbacks without arguments that are called after a change.
         self.on_change: list = []
         node_kernel.on_draining.append(self._announce)
 
     def start(self) -> None:
-        """Start to probe and to answer."""
+        """Announce this VM and start to probe."""
         self._announce()
         self.swim.start()
 
     def stop(self) -> None:
-        """Tell peers that this VM has left, then stop."""
+        """Stop; if the node is draining, first notify peers that this VM has left."""
         if self.kernel.draining:
             self.swim.announce_leave(self.table.leave())
         super().stop()
 
     def me(self) -> members.Member:
-        """Return this VM as a member."""
-        chosen = self.kernel.settings
+        """Return the current description of this VM."""
+        node_settings = self.kernel.settings
         return members.Member(
-            chosen.name,
-            chosen.address,
-            chosen.peer_port or self.ports.port,
-            chosen.port,
-            chosen.data_centre,
-            chosen.region,
+            node_settings.name,
+            node_settings.address,
+            node_settings.peer_port or self.ports.port,
+            node_settings.port,
+            node_settings.data_centre,
+            node_settings.region,
             self.kernel.draining or self.leaving,
         )
 
     def live(self) -> list[members.Member]:
-        """Return all live members, this VM among them."""
+        """Return all live members, including this VM."""
         return [*self.table.live(), self.me()]
 
     def peers(self) -> list[members.Member]:
-        """Return all live members but this VM."""
+        """Return all live members except this VM."""
         return self.table.live()
 
     def near(self) -> list[members.Member]:
-        """Return the live members of this VM's region, itself left out."""
+        """Return the live members of this VM's region except itself."""
         return self.swim.region_peers()
 
     def far(self) -> list[members.Member]:
-        """Return a random live member of each other region, for VMs that link.
+        """Return a random live member of each other region if this is a bridge VM.
 
-        Only a few VMs of a region exchange with others, so that the cost of a
-        link does not grow with the regions; on all other VMs this is empty.
+        Only a few VMs of a region, its bridges, communicate with other regions,
+        so that the traffic between regions does not grow with their size. On
+        all other VMs the list is empty.
         """
         me = self.me()
-        near = [*self.near(), me]
-        near.sort(key=lambda item: ownership.weight("link", item.name))
-        if me not in near[:LINKING_VMS]:
+        region_members = [*self.near(), me]
+        region_members.sort(key=lambda item: ownership.weight("link", item.name))
+        if me not in region_members[:BRIDGE_VMS_PER_REGION]:
             return []
-        far_by_region: dict[str, list[members.Member]] = {}
+        members_by_region: dict[str, list[members.Member]] = {}
         for member in self.peers():
             if member.region != me.region:
-                far_by_region.setdefault(member.region, []).append(member)
-        return [random.choice(far) for far in far_by_region.values()]
+                members_by_region.setdefault(member.region, []).append(member)
+        return [random.choice(candidates) for candidates in members_by_region.values()]
 
     def find(self, vm: str) -> members.Member | None:
-        """Return where a VM is reached, whether or not it is live.
+        """Return a VM from the table or the platform's list, whether or not it is live.
 
         :param vm: the VM's name.
         """
@@ -117,18 +121,18 @@
         return record.member if record else self.listed_by_name.get(vm)
 
     def is_live(self, vm: str) -> bool:
-        """Return whether a VM is live and not suspected.
+        """Return whether a VM is live and not a suspect.
 
         :param vm: the VM's name.
         """
         record = self.table.find(vm)
         return record is not None and record.state is members.State.ALIVE
 
-    def take_list(self, vms: tuple[vm_list.Vm, ...]) -> None:
-        """Note what the platform's list says.
+    def apply_vm_list(self, vms: tuple[vm_list.Vm, ...]) -> None:
+        """Update this part from the platform's list.
 
-        The list lags: it only gives addresses to try, endpoints that are
-        leaving, and whether this VM itself is to leave.
+        The list may be stale. It only provides addresses to try, the endpoints
+        that are leaving, and whether this VM itself should leave.
 
         :param vms: the whole list.
         """
@@ -137,25 +141,25 @@
         self.listed_by_name = {
             item.name: _member(item) for item in nodes if item.name != own_name
         }
-        leaving = [item for item in vms if item.state is vm_list.VmState.LEAVING]
-        names = frozenset(
-            item.name for item in leaving if item.kind is vm_list.VmKind.ENDPOINT
+        leaving_vms = [item for item in vms if item.state is vm_list.VmState.LEAVING]
+        leaving_endpoints = frozenset(
+            item.name for item in leaving_vms if item.kind is vm_list.VmKind.ENDPOINT
         )
-        self.leaving = any(item.name == own_name for item in leaving)
+        self.leaving = any(item.name == own_name for item in leaving_vms)
         self._announce()
-        if names != self.leaving_endpoints:
-            self.leaving_endpoints = names
-            self._notify()
+        if leaving_endpoints != self.leaving_endpoints:
+            self.leaving_endpoints = leaving_endpoints
+            self._notify_change()
 
     def _announce(self) -> None:
         me = self.me()
         if me != self.table.own.member:
             self.table.announce(me)
-            self._notify()
+            self._notify_change()
 
-    def _notify(self) -> None:
-        for notify in self.on_change:
-            notify()
+    def _notify_change(self) -> None:
+        for callback in self.on_change:
+            callback()
 
     def _suspicion_rounds(self) -> int:
         return self.swim.suspicion_rounds()
--- a/packages/mothworks/src/mothworks/swim.py
+++ b/packages/mothworks/src/mothworks/swim.py
@@ -219,9 +219,9 @@
 
     def _handle_datagram(self, data: bytes, address: tuple) -> None:
         if data[:TAG_BYTES] != tag(self.deployment, self._own_name):
-            # The address of a dead VM may now belong to a VM of another deployment.
-            # Its acks would keep the dead VM alive indefinitely, and its updates
-            # would merge the membership of the two deployments.
+            # The address of a dead VM may now belong to a VM of the same name in
+            # another deployment. Its acks would keep the dead VM alive for ever,
+            # and its updates would mix the members of both deployments.
             log.debug("ignoring a datagram for another VM from {}", address[0])
             return
         try:
