--- a/packages/mothworks/src/mothworks/exchange.py
+++ b/packages/mothworks/src/mothworks/exchange.py
@@ -1,8 +1,8 @@
-"""Full exchanges of the membership table: join, heal partitions, link regions.
+"""Synchronises the membership table to join, heal partitions and bridge regions.
 
-Probes and their news cannot start a group, rejoin two halves that hold each
-other for dead, or cross into another region. Two VMs that compare digests
-over TCP, and tables where these differ, do all three.
+Gossip on probes cannot form a group, rejoin two sides of a partition that
+consider each other dead, or reach another region. For all three, two VMs
+compare digests of their tables over TCP and exchange the tables if they differ.
 """
 
 import random
@@ -24,22 +24,22 @@
 
 log = logbook.Logger("exchange")
 
-#: Seconds between exchanges with a random VM of the region.
-EXCHANGE_S = 15.0
-#: Seconds between attempts to reach a VM that is believed dead.
-RECONNECT_S = 20.0
-#: Seconds between exchanges of a linking VM with another region.
-LINK_S = 5.0
-#: Unknown VMs of the platform's list that are tried at a time.
-TRIED = 3
-#: Time for a reply, seconds.
-REPLY_S = 2.0
+#: Interval between synchronisations with a random VM of the region, seconds.
+SYNC_INTERVAL_S = 15.0
+#: Interval between attempts to reach a dead VM, seconds.
+RECONNECT_INTERVAL_S = 20.0
+#: Interval at which a bridge VM synchronises with each other region, seconds.
+BRIDGE_INTERVAL_S = 5.0
+#: Maximum number of VMs to contact after each read of the platform's list.
+MAX_JOIN_PEERS = 3
+#: Timeout for a reply, seconds.
+REPLY_TIMEOUT_S = 2.0
 
 
 @messages.message(33)
 @attrs.frozen
 class MembersDigest:
-    """Asks a VM for its table unless it is the sender's.
+    """Requests a VM's table unless it equals the sender's.
 
     :param digest: see :meth:`members.Members.digest`.
     """
@@ -50,9 +50,9 @@
 @messages.message(34)
 @attrs.frozen
 class MembersTable:
-    """Rows that the receiver may lack; none where the digests were equal.
+    """Rows that the receiver may lack; empty if the digests were equal.
 
-    :param rows: beliefs about VMs.
+    :param rows: the states of VMs.
     """
 
     rows: tuple[members.Row, ...] = attrs.field(converter=members.parse_rows)
@@ -60,7 +60,7 @@
 
 @plugins.register(plugins.PART, "exchange")
 class Exchange(kernel.Part):
-    """Exchanges the membership table with single VMs.
+    """Synchronises the membership table with one VM at a time.
 
     :param node_kernel: the node's kernel.
     """
@@ -69,71 +69,74 @@
         super().__init__(node_kernel)
         self.membership = node_kernel.get(membership.Membership)
         self.peers = node_kernel.get(peers.Peers)
-        self.list = node_kernel.get(vm_list.VmList)
+        self.vm_list = node_kernel.get(vm_list.VmList)
         self.table = self.membership.table
-        node_kernel.on_draining.append(self.tell_all)
+        node_kernel.on_draining.append(self.broadcast_own_row)
         self.peers.handle(MembersDigest, self._serve_digest)
         self.peers.handle(MembersTable, self._serve_table)
 
     def start(self) -> None:
-        """Join, then go on exchanging."""
-        self.tasks.spawn(self._follow_list)
-        self.tasks.every(EXCHANGE_S, self.repair)
-        self.tasks.every(RECONNECT_S, self.reconnect)
-        self.tasks.every(LINK_S, self.link_regions)
-
-    def refresh(self) -> None:
-        """Read the platform's list and exchange with VMs that are unknown."""
-        match self.list.source.read():
+        """Start to join the group and to synchronise periodically."""
+        self.tasks.spawn(self._poll_vm_list)
+        self.tasks.every(SYNC_INTERVAL_S, self.sync_random_peer)
+        self.tasks.every(RECONNECT_INTERVAL_S, self.reconnect)
+        self.tasks.every(BRIDGE_INTERVAL_S, self.link_regions)
+
+    def refresh_vm_list(self) -> None:
+        """Read the platform's list and synchronise with VMs on it that are not live.
+
+        VMs of this VM's region are preferred.
+        """
+        match self.vm_list.source.read():
             case result.Ok(vms):
                 self.membership.apply_vm_list(vms)
             case result.Err(reason):
-                log.warning("vm list: {}", reason)
+                log.warning("cannot read the vm list: {}", reason)
         region = self.kernel.settings.region
-        unknown = [
+        not_live = [
             item
             for item in self.membership.listed_by_name.values()
             if not self._is_live(item.name)
         ]
-        near = [item for item in unknown if item.region == region]
-        self._exchange_some(near or unknown, TRIED)
+        in_region = [item for item in not_live if item.region == region]
+        self._sync_with_some(in_region or not_live, MAX_JOIN_PEERS)
 
-    def repair(self) -> None:
-        """Exchange with a random VM of the region, for news that was lost."""
-        self._exchange_some(self.membership.near(), 1)
+    def sync_random_peer(self) -> None:
+        """Synchronise with a random VM of the region to recover lost updates."""
+        self._sync_with_some(self.membership.near(), 1)
 
     def reconnect(self) -> None:
-        """Exchange with a VM that is believed dead, if it is there after all.
+        """Synchronise with a random dead VM, in case it is reachable again.
 
-        After a partition both sides hold each other for dead and probe each
-        other no more; they would stay apart while the list is down.
+        After a partition each side considers the other dead and does not probe
+        it. They would not rejoin while the platform's list is unavailable.
         """
-        self._exchange_some(self.table.dead(), 1)
+        self._sync_with_some(self.table.dead(), 1)
 
     def link_regions(self) -> None:
-        """Exchange with a random VM of each other region, if this VM links.
+        """Synchronise with a random VM of each other region if this is a bridge VM.
 
-        Only a few VMs do. What they learn spreads in the region as news, and
-        a region that cannot be reached keeps the state it had last.
+        Only a few VMs are. The updates that they receive are gossiped in their
+        region. VMs of an unreachable region keep their last known state.
         """
         for member in self.membership.far():
-            self.exchange(member.name)
+            self.sync_with(member.name)
 
-    def tell_all(self) -> None:
-        """Tell every VM of the region at once what this VM says of itself.
+    def broadcast_own_row(self) -> None:
+        """Send this VM's own row to every VM of the region immediately.
 
-        As news it would take rounds to reach all; in between they would ask
-        a VM that is shutting down for slots.
+        Gossip takes several rounds to reach all of them. Until then they would
+        send slot requests to a VM that is shutting down.
         """
         self.peers.send_all(MembersTable((self.table.own.row(),)))
 
-    def exchange(self, vm: str) -> bool:
-        """Compare tables with a VM and take over what is newer.
+    def sync_with(self, vm: str) -> bool:
+        """Synchronise the tables of this VM and another.
 
-        :param vm: the VM's name.
-        :returns: whether it answered.
+        :param vm: the other VM's name.
+        :returns: whether it replied.
         """
-        match self.peers.call(vm, MembersDigest(self.table.digest()), REPLY_S):
+        match self.peers.call(vm, MembersDigest(self.table.digest()), REPLY_TIMEOUT_S):
             case result.Ok(MembersTable(rows)):
                 for row in rows:
                     self.table.merge(row)
@@ -142,22 +145,24 @@
                 return True
         return False
 
-    def _follow_list(self) -> None:
+    def _poll_vm_list(self) -> None:
         while True:
-            self.refresh()
+            self.refresh_vm_list()
             gevent.sleep(self.kernel.settings.vm_list.poll_s)
 
     def _is_live(self, vm: str) -> bool:
         record = self.table.find(vm)
         return record is not None and record.live
 
-    def _exchange_some(self, candidates: list[members.Member], most: int) -> None:
-        for member in random.sample(candidates, min(most, len(candidates))):
-            self.exchange(member.name)
+    def _sync_with_some(self, candidates: list[members.Member], max_peers: int) -> None:
+        for member in random.sample(candidates, min(max_peers, len(candidates))):
+            self.sync_with(member.name)
 
-    def _serve_digest(self, _: str, asked: MembersDigest, answer: peers.Answer) -> None:
-        same = asked.digest == self.table.digest()
-        answer(MembersTable(() if same else self.table.rows()))
+    def _serve_digest(
+        self, _: str, request: MembersDigest, send_reply: peers.Answer
+    ) -> None:
+        same = request.digest == self.table.digest()
+        send_reply(MembersTable(() if same else self.table.rows()))
 
     def _serve_table(self, _: str, table: MembersTable, __: peers.Answer) -> None:
         for row in table.rows:
