--- a/packages/mothworks/src/mothworks/kernel.py
+++ b/packages/mothworks/src/mothworks/kernel.py
@@ -1,8 +1,8 @@
-"""The kernel: builds, starts and stops the parts of a node.
+"""The kernel builds, starts and stops the parts of a node.
 
-A part is a class that registers itself under :data:`plugins.PART` and takes
-the kernel. It gets the parts it needs with :meth:`Kernel.get`, so that the
-order of construction follows the needs; stopping goes the other way round.
+A part is a class that registers itself under :data:`plugins.PART` and is
+constructed with the kernel. It gets the parts that it depends on with
+:meth:`Kernel.get`, so dependencies are built first and stopped last.
 """
 
 import math
@@ -20,7 +20,7 @@
 
 
 class Part:
-    """Base of a node's parts; a part overrides what it needs.
+    """Base class of a node's parts; a part overrides the methods that it needs.
 
     :param kernel: the kernel that builds the part.
     """
@@ -33,30 +33,30 @@
         """Start tasks and listeners."""
 
     def drain(self, deadline: float) -> None:
-        """Finish or hand over work; take nothing new.
+        """Finish or hand over work, and accept no new work.
 
         :param deadline: time on the monotonic clock by which to return.
         """
 
     def stop(self) -> None:
-        """Stop at once; called after every part was drained."""
+        """Stop immediately; called after every part was drained."""
         self.tasks.stop()
 
 
 class Kernel:
-    """Everything that one node's parts share.
+    """Holds the parts of one node and what they share.
 
-    :param checked: the node's settings.
+    :param node_settings: the node's settings.
     """
 
-    def __init__(self, checked: settings.Settings):
-        self.settings = checked
+    def __init__(self, node_settings: settings.Settings):
+        self.settings = node_settings
         self.metrics = metrics.Metrics()
         self.part_by_class: dict[type, Part] = {}
         self.draining = False
-        #: Monotonic time by which a graceful shutdown is over, seconds.
+        #: Deadline of a graceful shutdown on the monotonic clock, seconds.
         self.drain_deadline = math.inf
-        #: Functions to call when a graceful shutdown begins, without arguments.
+        #: Callbacks without arguments that are called when a graceful shutdown begins.
         self.on_draining: list = []
         self.stopped = gevent.event.Event()
         self.failure: BaseException | None = None
@@ -80,10 +80,10 @@
             part.start()
 
     def shut_down(self) -> None:
-        """Stop gracefully: drain every part, then stop every part.
+        """Shut down gracefully: drain every part, then stop every part.
 
-        The whole drain is bounded by the setting ``drain_s``; parts that
-        callers reach first, which were built last, drain first.
+        The setting ``drain_s`` bounds the whole drain. Parts that receive
+        callers' requests are built last and drain first.
         """
         if self.draining:
             return
@@ -91,8 +91,8 @@
         log.info("draining")
         deadline = time.monotonic() + self.settings.limits.drain_s
         self.drain_deadline = deadline
-        for notify in self.on_draining:
-            notify()
+        for callback in self.on_draining:
+            callback()
         parts = list(reversed(self.part_by_class.values()))
         for part in parts:
             part.drain(deadline)
@@ -101,9 +101,9 @@
         self.stopped.set()
 
     def crash(self, error: BaseException) -> None:
-        """Stop at once because an invariant is broken.
+        """Stop immediately, without a drain, because an invariant is broken.
 
-        :param error: what went wrong.
+        :param error: the exception.
         """
         self.failure = error
         self.stopped.set()
--- a/packages/mothworks/src/mothworks/logs.py
+++ b/packages/mothworks/src/mothworks/logs.py
@@ -1,4 +1,4 @@
-"""Structured logging by logbook, as text or one JSON object a line."""
+"""Structured logging with logbook, as text or as one JSON object per line."""
 
 import os
 import select
@@ -19,10 +19,10 @@
 
 
 class JsonHandler(logbook.StreamHandler):
-    """Writes each record as one JSON object."""
+    """Writes each record as one JSON object on a line."""
 
     def format(self, record: logbook.LogRecord) -> str:
-        """Return the record's line."""
+        """Return the line of a record."""
         line = {
             "time": record.time.isoformat(),
             "level": record.level_name.lower(),
@@ -35,85 +35,86 @@
         return orjson.dumps(line, default=str).decode()
 
 
-class BoundedHandler(JsonHandler):
-    """Writes JSON lines to a descriptor, bounded in rate and never waiting.
+class RateLimitedHandler(JsonHandler):
+    """Writes JSON lines to a file descriptor at a limited rate without blocking.
 
-    Under load, or where nobody reads the other end, lines are left out; the
-    next line that is written says how many.
+    If lines exceed the rate, or nothing reads the other end of a pipe, lines
+    are dropped. The next line that is written contains their number in the
+    field ``left_out``.
 
-    :param descriptor: where to, a pipe or a file.
+    :param descriptor: the descriptor of a pipe or a file.
     :param level: lowest level that is written.
-    :param lines_per_s: lines a second on average; twice as many in a burst.
+    :param lines_per_s: average lines per second; a burst may have twice as many.
     """
 
     def __init__(self, descriptor: int, level: int, lines_per_s: float):
         super().__init__(sys.stdout, level=level)
         self.descriptor = descriptor
         self.lines_per_s = lines_per_s
-        self.allowance = 2 * lines_per_s
-        self.filled = time.monotonic()
-        self.left_out = 0
-        self.writable = select.poll()
-        self.writable.register(descriptor, select.POLLOUT)
+        self.tokens = 2 * lines_per_s
+        self.refilled_at = time.monotonic()
+        self.dropped_lines = 0
+        self.poller = select.poll()
+        self.poller.register(descriptor, select.POLLOUT)
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write a record, or count it as left out."""
+        """Write a record, or count it as dropped."""
         now = time.monotonic()
-        earned = (now - self.filled) * self.lines_per_s
-        self.filled = now
-        self.allowance = min(2 * self.lines_per_s, self.allowance + earned)
-        if self.allowance < 1 or not self._writable():
-            self.left_out += 1
+        refill = (now - self.refilled_at) * self.lines_per_s
+        self.refilled_at = now
+        self.tokens = min(2 * self.lines_per_s, self.tokens + refill)
+        if self.tokens < 1 or not self._is_writable():
+            self.dropped_lines += 1
             return
-        self.allowance -= 1
-        if self.left_out:
-            record.extra["left_out"] = self.left_out
+        self.tokens -= 1
+        if self.dropped_lines:
+            record.extra["left_out"] = self.dropped_lines
         data = self.format(record).encode()[: select.PIPE_BUF - 1] + b"\n"
         try:
             os.write(self.descriptor, data)
         except OSError:
-            # The reader is gone; there is nowhere left to say so.
-            self.left_out += 1
+            # The reader closed the pipe, so the failure cannot be logged.
+            self.dropped_lines += 1
         else:
-            self.left_out = 0
+            self.dropped_lines = 0
 
-    def _writable(self) -> bool:
-        # A pipe that polls as writable takes PIPE_BUF bytes without waiting.
-        return any(event & select.POLLOUT for _, event in self.writable.poll(0))
+    def _is_writable(self) -> bool:
+        # A pipe that polls as writable accepts PIPE_BUF bytes without blocking.
+        return any(event & select.POLLOUT for _, event in self.poller.poll(0))
 
 
-def event(log: logbook.Logger, what: str, /, **fields: typing.Any) -> None:
-    """Log one decision or change, as fields that programs can filter by.
+def event(log: logbook.Logger, text: str, /, **fields: typing.Any) -> None:
+    """Log a decision or change with fields by which log lines can be filtered.
 
-    :param log: the logger of the part that decided.
-    :param what: what kind of decision it was.
+    :param log: the logger of the deciding part.
+    :param text: the kind of decision.
     :param fields: its inputs, their age or version, and the outcome.
     """
-    log.info(what, extra=fields)
+    log.info(text, extra=fields)
 
 
-def install_bounded(chosen: settings.Logs, vm: str, lines_per_s: float) -> None:
-    """Send the process' log records to standard output, bounded.
+def install_bounded(log_settings: settings.Logs, vm: str, lines_per_s: float) -> None:
+    """Write the process' log records to standard output at a limited rate.
 
-    :param chosen: the log settings.
-    :param vm: the VM's name, which each line carries.
-    :param lines_per_s: see :class:`BoundedHandler`.
+    :param log_settings: the log settings.
+    :param vm: the VM's name, added to each line.
+    :param lines_per_s: see :class:`RateLimitedHandler`.
     """
     logbook.set_datetime_format("utc")
 
     def add_vm(record: logbook.LogRecord) -> None:
         record.extra["vm"] = vm
 
-    level = logbook.lookup_level(chosen.level.upper())
+    level = logbook.lookup_level(log_settings.level.upper())
     logbook.Processor(add_vm).push_application()
-    BoundedHandler(sys.stdout.fileno(), level, lines_per_s).push_application()
+    RateLimitedHandler(sys.stdout.fileno(), level, lines_per_s).push_application()
 
 
-def install(chosen: settings.Logs, vm: str) -> None:
-    """Send the process' log records to standard error.
+def install(log_settings: settings.Logs, vm: str) -> None:
+    """Write the process' log records to standard error.
 
-    :param chosen: the log settings.
-    :param vm: the VM's name, which each line carries.
+    :param log_settings: the log settings.
+    :param vm: the VM's name, added to each line.
     """
     logbook.set_datetime_format("utc")
 
@@ -121,8 +122,8 @@
         record.extra["vm"] = vm
         record.extra["request_id"] = current_request_id()
 
-    level = logbook.lookup_level(chosen.level.upper())
-    if chosen.json:
+    level = logbook.lookup_level(log_settings.level.upper())
+    if log_settings.json:
         handler = JsonHandler(sys.stderr, level=level)
     else:
         handler = logbook.StreamHandler(
@@ -133,13 +134,13 @@
 
 
 def set_request_id(request_id: str) -> None:
-    """Name the request that the current task works for.
+    """Set the id of the request that the current task handles.
 
-    :param request_id: appears on each log line of the task.
+    :param request_id: the id that is added to each log line of the task.
     """
     gevent.getcurrent().request_id = request_id
 
 
 def current_request_id() -> str:
-    """Return the id of the current task's request, or ``-``."""
+    """Return the id of the current task's request, or ``-`` if it has none."""
     return getattr(gevent.getcurrent(), "request_id", "-")
--- a/packages/mothworks/src/mothworks/metrics.py
+++ b/packages/mothworks/src/mothworks/metrics.py
@@ -1,19 +1,19 @@
-"""Metrics of one node, served in Prometheus' text format."""
+"""Metrics of one node in the Prometheus text format."""
 
 import aioprometheus
 import aioprometheus.collectors
 
-#: Upper bounds in seconds, around the targets of 35 ms and 1.6 s.
-SECONDS_BUCKETS = (0.001, 0.0025, 0.005, 0.01, 0.02, 0.035, 0.07, 0.15, 0.3, 0.6)
-SECONDS_BUCKETS += (1.0, 1.6, 3.0, 6.0, 15.0, 60.0)
+#: Upper bounds of the buckets in seconds, denser around the targets of 35 ms and 1.6 s.
+DURATION_BUCKETS_S = (0.001, 0.0025, 0.005, 0.01, 0.02, 0.035, 0.07, 0.15, 0.3, 0.6)
+DURATION_BUCKETS_S += (1.0, 1.6, 3.0, 6.0, 15.0, 60.0)
 
 
 class Metrics:
-    """Makes and renders metrics; the same name gives the same metric."""
+    """Creates and renders metrics; a repeated name returns the existing metric."""
 
     def __init__(self):
         self.registry = aioprometheus.Registry()
-        self.by_name: dict[str, aioprometheus.collectors.Collector] = {}
+        self.metric_by_name: dict[str, aioprometheus.collectors.Collector] = {}
 
     def counter(self, name: str, doc: str) -> aioprometheus.Counter:
         """Return a counter.
@@ -32,19 +32,23 @@
         return self._make(aioprometheus.Gauge, name, doc)
 
     def seconds(self, name: str, doc: str) -> aioprometheus.Histogram:
-        """Return a histogram of durations.
+        """Return a histogram of durations in seconds.
 
         :param name: its name, without the prefix ``mothworks_``.
         :param doc: its help text.
         """
-        return self._make(aioprometheus.Histogram, name, doc, buckets=SECONDS_BUCKETS)
+        return self._make(
+            aioprometheus.Histogram, name, doc, buckets=DURATION_BUCKETS_S
+        )
 
     def render(self) -> tuple[bytes, dict[str, str]]:
-        """Return the page of all metrics and its HTTP headers."""
+        """Return the text of all metrics and its HTTP headers."""
         return aioprometheus.render(self.registry, [])
 
-    def _make(self, kind: type, name: str, doc: str, **extra):
-        if name not in self.by_name:
-            full = f"mothworks_{name}"
-            self.by_name[name] = kind(full, doc, registry=self.registry, **extra)
-        return self.by_name[name]
+    def _make(self, kind: type, name: str, doc: str, **options):
+        if name not in self.metric_by_name:
+            full_name = f"mothworks_{name}"
+            self.metric_by_name[name] = kind(
+                full_name, doc, registry=self.registry, **options
+            )
+        return self.metric_by_name[name]
--- a/packages/mothworks/src/mothworks/ownership.py
+++ b/packages/mothworks/src/mothworks/ownership.py
@@ -24,8 +24,8 @@
     :param live: all live members.
     """
     remaining = [item for item in live if not item.leaving]
-    near = [item for item in remaining if item.data_centre == data_centre]
-    return near or [item for item in remaining if item.region == region]
+    in_data_centre = [item for item in remaining if item.data_centre == data_centre]
+    return in_data_centre or [item for item in remaining if item.region == region]
 
 
 def highest(
@@ -47,8 +47,8 @@
     :param region: the region.
     :param live: all live members.
     """
-    near = [item for item in live if item.region == region and not item.leaving]
-    return highest(f"planner/{region}", near)
+    in_region = [item for item in live if item.region == region and not item.leaving]
+    return highest(f"planner/{region}", in_region)
 
 
 def shard_owner(
@@ -102,12 +102,9 @@
         :param vms: the VMs that may own the endpoints now.
         :param endpoints: names of all endpoints.
         """
-        old_vm_by_name, self.vm_by_name = (
-            self.vm_by_name,
-            {item.name: item for item in vms},
-        )
+        old_vms, self.vm_by_name = self.vm_by_name, {item.name: item for item in vms}
         new_vms = [
-            item for name, item in self.vm_by_name.items() if name not in old_vm_by_name
+            item for name, item in self.vm_by_name.items() if name not in old_vms
         ]
         owner_by_endpoint = self.vm_by_endpoint
         self.vm_by_endpoint = {}
--- a/packages/mothworks/src/mothworks/plugins.py
+++ b/packages/mothworks/src/mothworks/plugins.py
@@ -1,6 +1,6 @@
-"""Registry of plug-ins: each registers itself by kind and key.
+"""Registry of plug-ins, each registered by kind and key.
 
-A plug-in is a class or function that varies by deployment or protocol: a
+A plug-in is a class or function that depends on the deployment or protocol: a
 caller protocol, an endpoint kind, a platform adapter, a peer message, a
 policy, or a part of the node. Its module registers it when it is imported,
 and :mod:`mothworks.builtin` imports the modules that ship with the node.
@@ -19,7 +19,7 @@
 ROUTING = "routing"
 PLACEMENT = "placement"
 
-_by_kind: dict[str, dict[str, typing.Any]] = collections.defaultdict(dict)
+_plugins_by_kind: dict[str, dict[str, typing.Any]] = collections.defaultdict(dict)
 
 Plugin = typing.TypeVar("Plugin")
 
@@ -28,9 +28,9 @@
     """Return a decorator that registers a plug-in.
 
     :param kind: one of the kinds named in this module.
-    :param key: the name that settings or catalogue use for the plug-in.
+    :param key: the name of the plug-in in settings or catalogue.
     :returns: a decorator that returns its argument unchanged.
-    :raises ValueError: if another plug-in has the key already.
+    :raises ValueError: if another plug-in of the kind already has the key.
 
     >>> @register("example", "twice")
     ... def twice(number):
@@ -40,8 +40,8 @@
     """
 
     def add(plugin: Plugin) -> Plugin:
-        by_key = _by_kind[kind]
-        if by_key.setdefault(key, plugin) is not plugin:
+        plugin_by_key = _plugins_by_kind[kind]
+        if plugin_by_key.setdefault(key, plugin) is not plugin:
             raise ValueError(f"two plug-ins of kind {kind!r} are named {key!r}")
         return plugin
 
@@ -49,12 +49,12 @@
 
 
 def find(kind: str, key: str) -> typing.Any:
-    """Return a plug-in, or None where none has the key.
+    """Return a plug-in, or None if none has the key.
 
     :param kind: the plug-in's kind.
     :param key: the plug-in's name.
     """
-    return _by_kind[kind].get(key)
+    return _plugins_by_kind[kind].get(key)
 
 
 def keys(kind: str) -> list[str]:
@@ -62,4 +62,4 @@
 
     :param kind: the plug-ins' kind.
     """
-    return sorted(_by_kind[kind])
+    return sorted(_plugins_by_kind[kind])
--- a/packages/mothworks/src/mothworks/tasks.py
+++ b/packages/mothworks/src/mothworks/tasks.py
@@ -1,8 +1,8 @@
-"""Tasks: greenlets that are counted, named and stopped together.
+"""Groups of greenlets that are stopped together.
 
-An exception that leaves a task means a broken invariant. It is logged and
-stops the whole process, so that a VM never goes on in an undefined state;
-its peers then take over.
+An unhandled exception in a task means that an invariant is broken. It is
+logged and stops the whole process, so that a VM never continues in an
+undefined state; its peers then take over.
 """
 
 import collections.abc
@@ -15,14 +15,14 @@
 
 log = logbook.Logger("tasks")
 
-#: Share by which periods vary, so that VMs do not act in step.
+#: Fraction by which intervals vary at random, so that VMs do not act in lockstep.
 JITTER = 0.1
 
 
 class Tasks:
     """The tasks of one part.
 
-    :param on_crash: called with the exception of a task that failed.
+    :param on_crash: called with the unhandled exception of a task.
     """
 
     def __init__(self, on_crash: collections.abc.Callable[[BaseException], None]):
@@ -38,15 +38,15 @@
         return self.group.spawn(self._run, function, *args)
 
     def every(self, seconds: float, function: typing.Callable) -> gevent.Greenlet:
-        """Start a task that calls a function again and again.
+        """Start a task that calls a function repeatedly.
 
-        :param seconds: mean time between calls.
+        :param seconds: mean time between the end of a call and the next one.
         :param function: called without arguments.
         """
         return self.spawn(self._repeat, seconds, function)
 
     def stop(self) -> None:
-        """Stop all tasks at once."""
+        """Kill all tasks."""
         self.group.kill()
 
     def _run(self, function: typing.Callable, *args: typing.Any) -> None:
--- a/packages/mothworks/src/mothworks/vm_list.py
+++ b/packages/mothworks/src/mothworks/vm_list.py
@@ -1,6 +1,7 @@
-"""The platform's list of live and leaving VMs, which lags.
+"""The platform's list of live and leaving VMs, which may be stale.
 
-It seeds membership and says early that an endpoint's VM is leaving.
+It provides the addresses to join through and announces early which endpoints' VMs
+are leaving.
 """
 
 import enum
@@ -13,24 +14,24 @@
 
 from mothworks import documents, kernel, plugins, settings
 
-#: Longest wait for the list, seconds.
+#: Timeout for connecting and for each read, seconds.
 TIMEOUT_S = 2.0
 
 
-#: How the names of VMs begin of which only an address is known; a peer says
-#: its own name when it is called.
+#: Prefix of the provisional name of a VM of which only the address is known; the VM
+#: sends its real name when a connection to it opens.
 SEED = "seed "
 
 
 class VmState(enum.StrEnum):
-    """What the platform says of a VM."""
+    """The state of a VM as the platform lists it."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class VmKind(enum.StrEnum):
-    """What runs on a VM."""
+    """The kind of program that runs on a VM."""
 
     NODE = "node"
     ENDPOINT = "endpoint"
@@ -42,7 +43,7 @@
 
     :param name: its name; for an endpoint, the endpoint's name.
     :param kind: what runs on it.
-    :param address: its IP number.
+    :param address: its IP address.
     :param state: live or leaving.
     :param port: a node's port for callers.
     :param peer_port: a node's port for peers.
@@ -67,10 +68,10 @@
         """Read the whole list."""
         raise NotImplementedError
 
-    def reload(self, chosen) -> None:
-        """Take changed settings of the VM.
+    def reload(self, node_settings) -> None:
+        """Apply changed settings of the VM.
 
-        :param chosen: the settings.
+        :param node_settings: the settings.
         """
 
 
@@ -78,11 +79,11 @@
 class HttpVmList(Source):
     """Reads the list as a JSON array from one URL.
 
-    :param chosen: where it answers.
+    :param list_settings: contains the URL.
     """
 
-    def __init__(self, chosen: settings.VmList):
-        url = geventhttpclient.URL(chosen.url)
+    def __init__(self, list_settings: settings.VmList):
+        url = geventhttpclient.URL(list_settings.url)
         self.path = url.request_uri
         self.client = geventhttpclient.HTTPClient.from_url(
             url, connection_timeout=TIMEOUT_S, network_timeout=TIMEOUT_S
@@ -91,23 +92,25 @@
     def read(self) -> result.Result[tuple[Vm, ...], str]:
         """Read the whole list; see :meth:`Source.read`."""
         try:
-            reply = self.client.get(self.path)
-            body = reply.read()
+            response = self.client.get(self.path)
+            body = response.read()
             value = orjson.loads(body)
         except (OSError, ValueError, geventhttpclient.response.HTTPParseError) as error:
             return result.Err(str(error))
-        if reply.status_code != 200:
-            return result.Err(f"status {reply.status_code}")
+        if response.status_code != 200:
+            return result.Err(f"status {response.status_code}")
         return documents.structure(value, tuple[Vm, ...], "vm list").map_err(str)
 
 
 class VmList(kernel.Part):
-    """The part that holds the list's client.
+    """Holds the client of the list that the settings select.
 
     :param node_kernel: the node's kernel.
     """
 
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
-        chosen = node_kernel.settings.vm_list
-        self.source: Source = plugins.find(plugins.VM_LIST, chosen.kind)(chosen)
+        list_settings = node_kernel.settings.vm_list
+        self.source: Source = plugins.find(plugins.VM_LIST, list_settings.kind)(
+            list_settings
+        )
--- a/packages/mothworks/tests/test_logs.py
+++ b/packages/mothworks/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: bounded, and never waiting for who reads them."""
+"""Structured logging is limited in rate and never blocks on its reader."""
 
 import os
 import time
@@ -12,79 +12,79 @@
 
 @pytest.fixture
 def pipe():
-    ends = os.pipe()
-    yield ends
-    for end in ends:
+    pipe_ends = os.pipe()
+    yield pipe_ends
+    for descriptor in pipe_ends:
         try:
-            os.close(end)
+            os.close(descriptor)
         except OSError:
             # The test closed it.
             pass
 
 
-def handler(write, lines_per_s=1e9):
-    return logs.BoundedHandler(write, logbook.INFO, lines_per_s)
+def make_handler(write_end, lines_per_s=1e9):
+    return logs.RateLimitedHandler(write_end, logbook.INFO, lines_per_s)
 
 
-def read_lines(end):
-    os.set_blocking(end, False)
+def read_lines(descriptor):
+    os.set_blocking(descriptor, False)
     data = b""
     try:
-        while piece := os.read(end, 1 << 20):
-            data += piece
+        while chunk := os.read(descriptor, 1 << 20):
+            data += chunk
     except BlockingIOError:
-        # All that was written is read.
+        # Everything written so far has been read.
         pass
     return [orjson.loads(line) for line in data.splitlines()]
 
 
 def test_an_event_is_one_line_with_its_fields(pipe):
-    read, write = pipe
-    with handler(write).applicationbound():
+    read_end, write_end = pipe
+    with make_handler(write_end).applicationbound():
         logs.event(logbook.Logger("x"), "sent", request="q-1", outcome="answered")
-    [line] = read_lines(read)
+    [line] = read_lines(read_end)
     assert line["message"] == "sent"
     assert (line["request"], line["outcome"]) == ("q-1", "answered")
 
 
-def test_nobody_who_reads_does_not_stop_the_node(pipe):
-    # The log collector hangs, and the pipe to it fills up. A write that waited
-    # would stop all requests of the node.
-    read, write = pipe
-    made = handler(write)
-    began = time.monotonic()
-    with made.applicationbound():
+def test_a_stalled_reader_does_not_block_the_node(pipe):
+    # The log collector hangs and the pipe to it fills up. A blocking write would
+    # stop all requests of the node.
+    read_end, write_end = pipe
+    log_handler = make_handler(write_end)
+    started = time.monotonic()
+    with log_handler.applicationbound():
         for number in range(5000):
             logs.event(logbook.Logger("x"), "sent", request=f"q-{number}")
-    assert time.monotonic() - began < 5
-    assert made.left_out > 0
-    left_out = made.left_out
-    assert read_lines(read)
-    with made.applicationbound():
+    assert time.monotonic() - started < 5
+    assert log_handler.dropped_lines > 0
+    dropped_lines = log_handler.dropped_lines
+    assert read_lines(read_end)
+    with log_handler.applicationbound():
         logs.event(logbook.Logger("x"), "sent", request="q-last")
-    assert read_lines(read)[-1]["left_out"] == left_out
+    assert read_lines(read_end)[-1]["left_out"] == dropped_lines
 
 
-def test_the_rate_of_lines_is_bounded(pipe):
-    read, write = pipe
-    made = handler(write, lines_per_s=10)
-    with made.applicationbound():
+def test_the_rate_of_lines_is_limited(pipe):
+    read_end, write_end = pipe
+    log_handler = make_handler(write_end, lines_per_s=10)
+    with log_handler.applicationbound():
         for number in range(1000):
             logs.event(logbook.Logger("x"), "sent", request=f"q-{number}")
-    assert 20 <= len(read_lines(read)) <= 40
-    assert made.left_out >= 960
+    assert 20 <= len(read_lines(read_end)) <= 40
+    assert log_handler.dropped_lines >= 960
 
 
-def test_a_reader_that_is_gone_does_no_harm(pipe):
-    read, write = pipe
-    os.close(read)
-    made = handler(write)
-    with made.applicationbound():
+def test_a_closed_pipe_only_drops_the_line(pipe):
+    read_end, write_end = pipe
+    os.close(read_end)
+    log_handler = make_handler(write_end)
+    with log_handler.applicationbound():
         logs.event(logbook.Logger("x"), "sent", request="q-1")
-    assert made.left_out == 1
+    assert log_handler.dropped_lines == 1
 
 
-def test_a_long_line_is_cut_to_what_a_pipe_takes_at_once(pipe):
-    _, write = pipe
-    with handler(write).applicationbound():
+def test_a_long_line_is_truncated_to_one_atomic_write(pipe):
+    _, write_end = pipe
+    with make_handler(write_end).applicationbound():
         logs.event(logbook.Logger("x"), "sent", request="q" * 100_000)
