--- a/packages/mothworks/src/mothworks/metrics.py
+++ b/packages/mothworks/src/mothworks/metrics.py
@@ -3,7 +3,7 @@
 import aioprometheus
 import aioprometheus.collectors
 
-#: Upper bounds of the buckets in seconds, denser around the targets of 35 ms and 1.6 s.
+#: Upper bounds of the buckets, seconds; among them are the targets 35 ms and 1.6 s.
 DURATION_BUCKETS_S = (0.001, 0.0025, 0.005, 0.01, 0.02, 0.035, 0.07, 0.15, 0.3, 0.6)
 DURATION_BUCKETS_S += (1.0, 1.6, 3.0, 6.0, 15.0, 60.0)
 
@@ -45,10 +45,10 @@
         """Return the text of all metrics and its HTTP headers."""
         return aioprometheus.render(self.registry, [])
 
-    def _make(self, kind: type, name: str, doc: str, **options):
+    def _make(self, metric_class: type, name: str, doc: str, **options):
         if name not in self.metric_by_name:
             full_name = f"mothworks_{name}"
-            self.metric_by_name[name] = kind(
+            self.metric_by_name[name] = metric_class(
                 full_name, doc, registry=self.registry, **options
             )
         return self.metric_by_name[name]
--- a/packages/mothworks/tests/groups.py
+++ b/packages/mothworks/tests/groups.py
@@ -1,7 +1,7 @@
-"""Groups of nodes' parts in the process of a test.
+"""Runs the parts of several VMs in the process of a test.
 
-Datagrams and connections pass a network that drops what a test tells it to,
-and rounds are short.
+Datagrams and connections pass through a simulated network that can drop them,
+and probe rounds are short.
 """
 
 import uuid
@@ -14,76 +14,76 @@
 from mothworks_fakes import processes
 
 ROUND_S = 0.1
-#: The parts that membership needs.
+#: Classes of the parts that membership needs.
 MEMBERSHIP = (membership.Membership, peers.Peers, exchange.Exchange)
 
 
 class Network:
-    """Which VMs may reach each other, by the port of each."""
+    """Decides which VMs can reach each other, identified by their ports."""
 
     def __init__(self):
         self.vm_by_port = {}
         self.group_by_vm = {}
-        self.lossy = set()
+        self.dropped_pairs = set()
 
-    def passes(self, source, port, stream=False):
+    def delivers(self, source, port, is_tcp=False):
         target = self.vm_by_port.get(port)
-        if (source, target) in self.lossy and not stream:
+        if (source, target) in self.dropped_pairs and not is_tcp:
             return False
         return self.group_by_vm.get(source) == self.group_by_vm.get(target)
 
 
-class Socket:
-    """A datagram socket behind the network."""
+class SimulatedSocket:
+    """A datagram socket whose packets pass through the simulated network."""
 
     def __init__(self, sock, network, vm):
         self.sock, self.network, self.vm = sock, network, vm
-        self.awake = gevent.event.Event()
-        self.awake.set()
-        self.largest = 0
+        self.running = gevent.event.Event()
+        self.running.set()
+        self.max_packet_bytes = 0
 
     def sendto(self, data, address):
-        self.awake.wait()
-        self.largest = max(self.largest, len(data))
-        if self.network.passes(self.vm, address[1]):
+        self.running.wait()
+        self.max_packet_bytes = max(self.max_packet_bytes, len(data))
+        if self.network.delivers(self.vm, address[1]):
             self.sock.sendto(data, address)
 
     def recvfrom(self, size):
         received = self.sock.recvfrom(size)
-        self.awake.wait()
+        self.running.wait()
         return received
 
 
-class List(vm_list.Source):
+class InMemoryVmList(vm_list.Source):
     """The platform's list, in memory."""
 
     def __init__(self):
         self.vms = ()
-        self.up = True
+        self.available = True
 
     def read(self):
-        return result.Ok(self.vms) if self.up else result.Err("down")
+        return result.Ok(self.vms) if self.available else result.Err("down")
 
 
 class Group:
-    """VMs in this process."""
+    """A group of VMs in this process."""
 
     def __init__(self):
         self.network = Network()
         self.deployment = uuid.uuid4().hex
-        self.list = List()
+        self.list = InMemoryVmList()
         self.vm_by_name = {}
 
     def add(self, name, region="region-1", data_centre="dc-1", parts=MEMBERSHIP):
-        checked = builders.settings(
+        node_settings = builders.settings(
             name,
             data_centre=data_centre,
             region=region,
             deployment=self.deployment,
         )
-        vm = Vm(self, checked, parts)
+        vm = Vm(self, node_settings, parts)
         self.vm_by_name[name] = vm
-        self.list.vms += (vm.listed(),)
+        self.list.vms += (vm.list_entry(),)
         return vm
 
     def views(self):
@@ -100,12 +100,12 @@
         processes.wait_until(lambda: self.agrees(*names))
 
     def split(self, *names):
-        """Cut these VMs off from all others, open connections too."""
+        """Partition these VMs from all others and close connections across."""
         for name in names:
             self.network.group_by_vm[name] = "cut off"
         for vm in self.vm_by_name.values():
-            for other, link in list(vm.peers.link_by_vm.items()):
-                if (vm.name in names) != (other in names):
+            for peer, link in list(vm.peers.link_by_vm.items()):
+                if (vm.name in names) != (peer in names):
                     link.close()
 
     def stop(self):
@@ -114,36 +114,36 @@
 
 
 class Vm:
-    """Some parts of one node."""
+    """A VM that runs some parts of a node."""
 
-    def __init__(self, group, checked, parts):
+    def __init__(self, group, node_settings, parts):
         self.group = group
-        self.kernel = kernel.Kernel(checked)
+        self.kernel = kernel.Kernel(node_settings)
         self.membership = self.kernel.get(membership.Membership)
         self.kernel.get(vm_list.VmList).source = group.list
         self.exchange = self.kernel.get(exchange.Exchange)
         self.peers = self.kernel.get(peers.Peers)
-        self.name = checked.name
+        self.name = node_settings.name
         group.network.vm_by_port[self.peers.port] = self.name
         swim = self.membership.swim
         swim.round_s = ROUND_S
-        swim.sock = self.socket = Socket(swim.sock, group.network, self.name)
+        swim.sock = self.socket = SimulatedSocket(swim.sock, group.network, self.name)
         self.peers.connect = self.connect
         self.history = []
-        self.membership.on_change.append(self.note)
+        self.membership.on_change.append(self.record_live_members)
         self.parts = [self.kernel.get(part) for part in parts]
         for part in self.parts:
             part.start()
 
     def connect(self, address, timeout):
-        if not self.group.network.passes(self.name, address[1], stream=True):
+        if not self.group.network.delivers(self.name, address[1], is_tcp=True):
             raise ConnectionRefusedError
         return gevent.socket.create_connection(address, timeout)
 
-    def note(self):
+    def record_live_members(self):
         self.history.append(frozenset(item.name for item in self.membership.live()))
 
-    def listed(self):
+    def list_entry(self):
         me = self.membership.me()
         return vm_list.Vm(
             me.name,
--- a/packages/mothworks/tests/test_membership.py
+++ b/packages/mothworks/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership under loss, pauses, partitions and a list that lies."""
+"""Membership under packet loss, pauses, partitions and an incorrect VM list."""
 
 import attrs
 import gevent
@@ -13,13 +13,13 @@
 
 @pytest.fixture
 def group():
-    made = groups.Group()
-    yield made
-    made.stop()
+    new_group = groups.Group()
+    yield new_group
+    new_group.stop()
 
 
 @pytest.fixture
-def five(group):
+def five_vms(group):
     names = [f"vm-{number}" for number in range(1, 6)]
     for name in names:
         group.add(name)
@@ -27,110 +27,120 @@
     return group
 
 
-def test_vms_join_from_a_list_that_is_partial_and_partly_wrong(group):
-    """The list lags: it names a VM that is gone and lacks the newest.
+def test_vms_join_from_an_incomplete_and_stale_list(group):
+    """The list is stale: it names a VM that is gone and lacks the newest.
 
-    All live VMs find each other all the same, and none believes in the VM
-    that is only listed.
+    All live VMs find each other nevertheless, and none considers the VM that
+    is only on the list live.
     """
     group.list.vms = (
         vm_list.Vm("gone", vm_list.VmKind.NODE, "127.0.0.1", peer_port=1),
     )
     first, second = group.add("vm-1"), group.add("vm-2")
-    listed = group.list.vms
+    list_with_two = group.list.vms
     third = group.add("vm-3")
-    group.list.vms = listed
+    group.list.vms = list_with_two
     group.wait(first.name, second.name, third.name)
 
 
-def test_a_vm_that_dies_is_found_dead_by_all(five):
-    """A VM vanishes without a word. Probes find out and the news spreads."""
-    five.vm_by_name.pop("vm-5").stop()
-    five.wait("vm-1", "vm-2", "vm-3", "vm-4")
+def test_a_failed_vm_is_declared_dead_by_all(five_vms):
+    """A VM fails without notice. Probes detect it and gossip spreads its death."""
+    five_vms.vm_by_name.pop("vm-5").stop()
+    five_vms.wait("vm-1", "vm-2", "vm-3", "vm-4")
 
 
-def test_a_vm_that_leaves_is_not_suspected(five):
-    """A VM shuts down gracefully: its peers drop it on its own word."""
-    leaver = five.vm_by_name.pop("vm-3")
-    leaver.kernel.draining = True
-    leaver.stop()
-    five.wait("vm-1", "vm-2", "vm-4", "vm-5")
-    states = {vm.membership.table.find("vm-3").state for vm in five.vm_by_name.values()}
+def test_a_vm_that_leaves_is_not_suspected(five_vms):
+    """A VM shuts down gracefully, and its peers remove it because it announces it."""
+    leaving_vm = five_vms.vm_by_name.pop("vm-3")
+    leaving_vm.kernel.draining = True
+    leaving_vm.stop()
+    five_vms.wait("vm-1", "vm-2", "vm-4", "vm-5")
+    states = {
+        vm.membership.table.find("vm-3").state for vm in five_vms.vm_by_name.values()
+    }
     assert states == {members.State.LEFT}
 
 
-def test_a_paused_vm_refutes_its_death_and_keeps_its_peers(five):
-    """A VM is paused until all hold it for dead, then goes on.
+def test_a_paused_vm_refutes_its_death_and_keeps_its_peers(five_vms):
+    """A VM is paused until all others consider it dead, then resumes.
 
-    It must come back under a higher incarnation, and it must not declare its
-    peers dead because it read no answer while it was paused.
+    It must rejoin with a higher incarnation, and it must not declare its peers
+    dead because it read no acks while it was paused.
     """
-    paused = five.vm_by_name["vm-2"]
-    before = paused.membership.table.own.incarnation
-    paused.socket.awake.clear()
+    paused = five_vms.vm_by_name["vm-2"]
+    incarnation_before = paused.membership.table.own.incarnation
+    paused.socket.running.clear()
     others = ["vm-1", "vm-3", "vm-4", "vm-5"]
-    processes.wait_until(lambda: five.agrees(*others))
+    processes.wait_until(lambda: five_vms.agrees(*others))
     paused.history.clear()
-    paused.socket.awake.set()
-    five.wait(*others, "vm-2")
-    assert paused.membership.table.own.incarnation > before
-    assert all(len(seen) == len(five.vm_by_name) for seen in paused.history)
+    paused.socket.running.set()
+    five_vms.wait(*others, "vm-2")
+    assert paused.membership.table.own.incarnation > incarnation_before
+    assert all(
+        len(live_names) == len(five_vms.vm_by_name) for live_names in paused.history
+    )
 
 
-def test_a_broken_path_between_two_vms_kills_neither(five):
-    """Two VMs cannot reach each other, but all others reach both.
+def test_a_broken_path_between_two_vms_leaves_both_alive(five_vms):
+    """Two VMs cannot reach each other, but all others can reach both.
 
-    Helpers probe for them, so that neither is ever held for dead.
+    Indirect probes keep either from being declared dead.
     """
-    five.network.lossy |= {("vm-1", "vm-2"), ("vm-2", "vm-1")}
-    for vm in five.vm_by_name.values():
+    five_vms.network.dropped_pairs |= {("vm-1", "vm-2"), ("vm-2", "vm-1")}
+    for vm in five_vms.vm_by_name.values():
         vm.history.clear()
-    probes = [next(vm.membership.swim.probe_numbers) for vm in five.vm_by_name.values()]
-    wanted = 25
+    first_numbers = [
+        next(vm.membership.swim.probe_numbers) for vm in five_vms.vm_by_name.values()
+    ]
+    min_probes = 25
     processes.wait_until(
         lambda: all(
-            next(vm.membership.swim.probe_numbers) > start + wanted
-            for vm, start in zip(five.vm_by_name.values(), probes, strict=True)
+            next(vm.membership.swim.probe_numbers) > start + min_probes
+            for vm, start in zip(
+                five_vms.vm_by_name.values(), first_numbers, strict=True
+            )
         )
     )
-    assert five.agrees(*five.vm_by_name)
-    assert not any(vm.history for vm in five.vm_by_name.values())
+    assert five_vms.agrees(*five_vms.vm_by_name)
+    assert not any(vm.history for vm in five_vms.vm_by_name.values())
 
 
-@pytest.mark.parametrize("list_up", [True, False])
-def test_both_sides_of_a_partition_find_each_other(five, monkeypatch, list_up):
-    """A switch parts the VMs; each side holds the other for dead.
+@pytest.mark.parametrize("list_available", [True, False])
+def test_both_sides_of_a_partition_rejoin(five_vms, monkeypatch, list_available):
+    """A switch fails and partitions the VMs; each side declares the other dead.
 
-    When it is back, the platform's list, or where that is down the memory of
-    dead VMs, brings the two together.
+    Once it works again, the two sides rejoin through the platform's list or,
+    if that is unavailable, by reconnecting to dead VMs.
     """
-    five.split("vm-1", "vm-2")
+    five_vms.split("vm-1", "vm-2")
     processes.wait_until(
         lambda: (
-            five.agrees("vm-1", "vm-2")
+            five_vms.agrees("vm-1", "vm-2")
             and all(
-                five.views()[name] == {"vm-3", "vm-4", "vm-5"}
+                five_vms.views()[name] == {"vm-3", "vm-4", "vm-5"}
                 for name in ("vm-3", "vm-4", "vm-5")
             )
         )
     )
-    five.list.up = list_up
-    if not list_up:
-        for vm in five.vm_by_name.values():
+    five_vms.list.available = list_available
+    if not list_available:
+        for vm in five_vms.vm_by_name.values():
             vm.membership.listed_by_name = {}
-    five.network.group_by_vm.clear()
-    one_side = five.vm_by_name["vm-4"].exchange
-    names = list(five.vm_by_name)
+    five_vms.network.group_by_vm.clear()
+    one_exchange = five_vms.vm_by_name["vm-4"].exchange
+    names = list(five_vms.vm_by_name)
     processes.wait_until(
-        lambda: five.agrees(*names) or (not list_up and one_side.reconnect())
+        lambda: (
+            five_vms.agrees(*names) or (not list_available and one_exchange.reconnect())
+        )
     )
 
 
-def test_a_parted_region_is_not_declared_dead(group):
-    """The regions lose each other for minutes, as several times a year.
+def test_an_unreachable_region_is_not_declared_dead(group):
+    """Two regions lose their connection for minutes, several times a year.
 
-    No VM of the far region may be dropped for it: each would move ownership
-    and spread news, and all of it again when the link is back.
+    No VM of the other region may be removed for that. Each removal would change
+    owners and gossip updates, and again when the connection is restored.
     """
     for name, region in (("a-1", "a"), ("a-2", "a"), ("b-1", "b"), ("b-2", "b")):
         group.add(name, region)
@@ -151,43 +161,50 @@
     )
 
 
-def test_a_vm_that_restarts_under_its_name_replaces_its_former_life(five):
-    """A VM is replaced at once by another of the same name elsewhere."""
-    five.vm_by_name.pop("vm-5").stop()
-    five.list.vms = five.list.vms[:-1]
-    reborn = five.add("vm-5")
+def test_a_vm_that_restarts_under_its_name_replaces_its_previous_entry(five_vms):
+    """A VM is immediately replaced by another of the same name at another address."""
+    five_vms.vm_by_name.pop("vm-5").stop()
+    five_vms.list.vms = five_vms.list.vms[:-1]
+    replacement = five_vms.add("vm-5")
     processes.wait_until(
         lambda: all(
-            vm.membership.find("vm-5").peer_port == reborn.peers.port
-            for name, vm in five.vm_by_name.items()
+            vm.membership.find("vm-5").peer_port == replacement.peers.port
+            for name, vm in five_vms.vm_by_name.items()
             if name != "vm-5"
         )
     )
-    five.wait(*five.vm_by_name)
+    five_vms.wait(*five_vms.vm_by_name)
 
 
-def test_packets_stay_small_and_news_ends(five):
-    """A data centre is lost at once: much news, still in small packets."""
-    vm = five.vm_by_name["vm-1"]
-    me = vm.membership.me()
+def test_packets_stay_small_and_updates_stop_being_sent(five_vms):
+    """Many updates at once, as when a data centre fails, still use small packets."""
+    vm = five_vms.vm_by_name["vm-1"]
+    own_member = vm.membership.me()
     for number in range(60):
-        far = attrs.evolve(me, name=f"far-vm-{number}", region="region-far-away")
-        row = members.Record(far, 1, members.State.ALIVE).row()
+        remote_member = attrs.evolve(
+            own_member, name=f"far-vm-{number}", region="region-far-away"
+        )
+        row = members.Record(remote_member, 1, members.State.ALIVE).row()
         vm.membership.table.merge(row)
-    known = 65
+    total_vms = 65
     processes.wait_until(
-        lambda: all(len(view) == known for view in five.views().values())
+        lambda: all(len(view) == total_vms for view in five_vms.views().values())
     )
-    update_queues = [item.membership.update_queue for item in five.vm_by_name.values()]
+    update_queues = [
+        item.membership.update_queue for item in five_vms.vm_by_name.values()
+    ]
     processes.wait_until(
         lambda: not any(item.pending_by_name for item in update_queues)
     )
-    assert max(item.socket.largest for item in five.vm_by_name.values()) < 1200
+    assert (
+        max(item.socket.max_packet_bytes for item in five_vms.vm_by_name.values())
+        < 1200
+    )
 
 
-def test_bad_datagrams_are_ignored(five):
-    """Something else sends to the port; the VM goes on."""
-    vm = five.vm_by_name["vm-1"]
+def test_bad_datagrams_are_ignored(five_vms):
+    """Another program sends datagrams to the port; the VM keeps working."""
+    vm = five_vms.vm_by_name["vm-1"]
     sender = gevent.socket.socket(gevent.socket.AF_INET, gevent.socket.SOCK_DGRAM)
     address = (vm.kernel.settings.address, vm.peers.port)
     for data in (
@@ -198,21 +215,21 @@
         b"x" * 1500,
     ):
         sender.sendto(data, address)
-        sender.sendto(swim.tag(five.deployment, "vm-1") + data, address)
-    five.vm_by_name.pop("vm-2").stop()
-    five.wait("vm-1", "vm-3", "vm-4", "vm-5")
+        sender.sendto(swim.tag(five_vms.deployment, "vm-1") + data, address)
+    five_vms.vm_by_name.pop("vm-2").stop()
+    five_vms.wait("vm-1", "vm-3", "vm-4", "vm-5")
     assert vm.kernel.failure is None
 
 
 @pytest.mark.parametrize(
     "value", [5, None, [], [1], ["a", 0], [[], 0, 1], [1, None, 1, "x"], [10, 1], b"x"]
 )
-def test_bad_messages_over_tcp_are_ignored(five, value):
-    """Something else, or another version, talks on the peers' port."""
-    vm = five.vm_by_name["vm-1"]
+def test_bad_messages_over_tcp_are_ignored(five_vms, value):
+    """Another program or version connects to the port for peers."""
+    vm = five_vms.vm_by_name["vm-1"]
     address = (vm.kernel.settings.address, vm.peers.port)
     version = messages.PROTOCOL_VERSION
-    hello = messages.pack(messages.Hello(version, "odd", five.deployment))
+    hello = messages.pack(messages.Hello(version, "odd", five_vms.deployment))
     with gevent.socket.create_connection(address) as sock:
         sock.sendall(hello + msgpack.packb(value))
         processes.wait_until(lambda: "odd" in vm.peers.link_by_vm)
@@ -221,15 +238,15 @@
     assert vm.kernel.failure is None
 
 
-def test_messages_to_peers_that_are_not_connected_take_one_task_each(group):
-    # A VM that has just begun tells a hundred peers about hundreds of endpoints
-    # before any connection is open. A task for each message took 300 MB.
+def test_messages_to_an_unconnected_peer_share_one_task(group):
+    # A VM that has just started sends messages about hundreds of endpoints to a
+    # hundred peers before any connection is open. A task per message took 300 MB.
     vms = [group.add(name) for name in ("a", "b", "c")]
     group.wait("a", "b", "c")
     sender = vms[0]
-    heard = []
+    received = []
     for vm in vms[1:]:
-        vm.peers.handle(exchange.MembersTable, lambda *told: heard.append(told))
+        vm.peers.handle(exchange.MembersTable, lambda *args: received.append(args))
     for link in list(sender.peers.link_by_vm.values()):
         link.close()
     processes.wait_until(lambda: not sender.peers.link_by_vm)
@@ -241,10 +258,10 @@
         return connect(*args)
 
     sender.peers.connect = wait_and_connect
-    before = len(sender.peers.tasks.group)
+    tasks_before = len(sender.peers.tasks.group)
     for _ in range(300):
         sender.peers.send_all(exchange.MembersTable(()))
     gevent.sleep(0)
-    assert len(sender.peers.tasks.group) <= before + 2
+    assert len(sender.peers.tasks.group) <= tasks_before + 2
     opened.set()
-    processes.wait_until(lambda: len(heard) >= 600)
+    processes.wait_until(lambda: len(received) >= 600)
