--- a/packages/mothworks/src/mothworks/gossip.py
+++ b/packages/mothworks/src/mothworks/gossip.py
@@ -14,7 +14,7 @@
 
 #: Transmissions of one update, as a multiple of log2 of the number of VMs.
 TRANSMISSIONS_PER_LOG2 = 3
-#: Maximum size of the updates in one packet, which keeps packets below 1,200 bytes.
+#: Maximum total size of the updates in a packet; keeps packets below 1,200 bytes.
 MAX_UPDATE_BYTES = 1_100
 
 
--- a/packages/mothworks/src/mothworks/kernel.py
+++ b/packages/mothworks/src/mothworks/kernel.py
@@ -64,7 +64,7 @@
     def get(self, part_class: type[PartType]) -> PartType:
         """Return the node's part of a class, building it on first use.
 
-        :param part_class: a class that takes the kernel.
+        :param part_class: a class that is constructed with the kernel.
         """
         part = self.part_by_class.get(part_class)
         if part is None:
--- a/packages/mothworks/src/mothworks/links.py
+++ b/packages/mothworks/src/mothworks/links.py
@@ -112,7 +112,8 @@
         try:
             sent = self.sock.send(frame, 0, 0.0)
         except OSError:
-            # The send buffer is full, or the connection failed; the reader handles it.
+            # The send buffer is full, or the connection failed, which the reader
+            # detects.
             return 0
         self.sent_bytes += sent
         return sent
--- a/packages/mothworks/src/mothworks/members.py
+++ b/packages/mothworks/src/mothworks/members.py
@@ -137,8 +137,8 @@
         on_live_change: collections.abc.Callable[[], None],
         get_suspicion_rounds: collections.abc.Callable[[], int],
     ):
-        # Starting at the wall time in seconds puts a VM that restarts under the
-        # same name above its former incarnation, which it does not know.
+        # Starting at the wall time in whole seconds puts a VM that restarts under
+        # the same name above its former incarnation, which it does not know.
         self.own = Record(me, int(time.time()), State.ALIVE)
         self.on_update = on_update
         self.on_live_change = on_live_change
--- a/packages/mothworks/src/mothworks/membership.py
+++ b/packages/mothworks/src/mothworks/membership.py
@@ -139,7 +139,7 @@
         own_name = self.kernel.settings.name
         nodes = [item for item in vms if item.kind is vm_list.VmKind.NODE]
         self.listed_by_name = {
-            item.name: _member(item) for item in nodes if item.name != own_name
+            item.name: _make_member(item) for item in nodes if item.name != own_name
         }
         leaving_vms = [item for item in vms if item.state is vm_list.VmState.LEAVING]
         leaving_endpoints = frozenset(
@@ -165,7 +165,7 @@
         return self.swim.suspicion_rounds()
 
 
-def _member(vm: vm_list.Vm) -> members.Member:
+def _make_member(vm: vm_list.Vm) -> members.Member:
     return members.Member(
         vm.name, vm.address, vm.peer_port, vm.port, vm.data_centre, vm.region
     )
