--- a/packages/mothworks/src/mothworks/demand.py
+++ b/packages/mothworks/src/mothworks/demand.py
@@ -1,8 +1,9 @@
-"""Demand: how much work callers bring for each model.
+"""Demand: how many batch slots callers' requests use, by model.
 
-Every entry counts arrivals, those refused for want of an endpoint among
-them, and the time that requests held an endpoint. It sends the counts to its
-region's planner, which keeps a fast and a slow average for each model.
+Every entry VM counts arrivals, including requests refused because no endpoint
+was available, and the time that requests held a batch slot. It sends the
+counts to its region's planner, which maintains a fast and a slow moving
+average for each model.
 """
 
 import math
@@ -13,47 +14,47 @@
 
 from mothworks import kernel, membership, messages, ownership, peers, plugins
 
-#: Seconds between an entry's reports.
-REPORT_S = 2.0
-#: Time constants of the averages, seconds.
-FAST_S = 10.0
-SLOW_S = 300.0
-#: Time that a request holds a place in a batch where none was seen yet, seconds.
-SERVICE_S = 2.0
-#: Weight of the newest report in the mean time that a request holds a place.
+#: Interval between an entry VM's reports, seconds.
+REPORT_INTERVAL_S = 2.0
+#: Time constants of the moving averages, seconds.
+FAST_TIME_CONSTANT_S = 10.0
+SLOW_TIME_CONSTANT_S = 300.0
+#: Time that a request is assumed to hold a batch slot before any has ended, seconds.
+DEFAULT_SERVICE_S = 2.0
+#: Weight of the newest report in the mean time that a request holds a batch slot.
 SERVICE_WEIGHT = 0.2
-#: A rate below this counts as none, requests a second.
-NEGLIGIBLE = 1e-3
+#: Rate below which a model's averages are discarded, requests/s.
+MIN_RATE = 1e-3
 
 
 @messages.message(70)
 @attrs.frozen
 class Counts:
-    """What one entry saw since its last report, in arrays of the same order.
+    """An entry VM's counts since its last report, as parallel arrays.
 
     :param names: models and adapters as callers named them.
     :param arrivals: requests that arrived.
-    :param ends: requests that had a place and ended.
-    :param held_ms: time that those held their places, milliseconds.
+    :param completions: requests that held a batch slot and ended.
+    :param held_ms: total time that those held their batch slots, milliseconds.
     """
 
     names: tuple[str, ...] = attrs.field(converter=tuple)
     arrivals: tuple[int, ...] = attrs.field(converter=tuple)
-    ends: tuple[int, ...] = attrs.field(converter=tuple)
+    completions: tuple[int, ...] = attrs.field(converter=tuple)
     held_ms: tuple[int, ...] = attrs.field(converter=tuple)
 
 
 @attrs.define
 class Count:
-    """An entry's counts of one model since the last report.
+    """An entry VM's counts of one model since the last report.
 
     :param arrivals: requests that arrived.
-    :param ends: requests that had a place and ended.
-    :param held_s: time that those held their places, seconds.
+    :param completions: requests that held a batch slot and ended.
+    :param held_s: total time that those held their batch slots, seconds.
     """
 
     arrivals: int = 0
-    ends: int = 0
+    completions: int = 0
     held_s: float = 0.0
 
 
@@ -61,84 +62,92 @@
 class Averages:
     """The planner's view of one model's or adapter's demand.
 
-    :param fast: arrivals, requests a second, over about 10 s.
-    :param slow: arrivals, requests a second, over about 5 minutes.
-    :param service_s: mean time that a request holds a place, seconds.
-    :param new: arrivals since the last update.
+    :param fast: arrival rate averaged over about 10 s, requests/s.
+    :param slow: arrival rate averaged over about 5 minutes, requests/s.
+    :param service_s: mean time that a request holds a batch slot, seconds.
+    :param new_arrivals: arrivals since the last update.
     """
 
     fast: float = 0.0
     slow: float = 0.0
-    service_s: float = SERVICE_S
-    new: int = 0
+    service_s: float = DEFAULT_SERVICE_S
+    new_arrivals: int = 0
 
     def update(self, seconds: float) -> None:
-        """Take the new arrivals into the averages.
+        """Update the averages with the new arrivals.
 
         :param seconds: time since the last update.
         """
-        rate = self.new / seconds
-        self.new = 0
-        self.fast += (rate - self.fast) * (1 - math.exp(-seconds / FAST_S))
-        self.slow += (rate - self.slow) * (1 - math.exp(-seconds / SLOW_S))
+        rate = self.new_arrivals / seconds
+        self.new_arrivals = 0
+        self.fast += (rate - self.fast) * (
+            1 - math.exp(-seconds / FAST_TIME_CONSTANT_S)
+        )
+        self.slow += (rate - self.slow) * (
+            1 - math.exp(-seconds / SLOW_TIME_CONSTANT_S)
+        )
 
-    def observe(self, ends: int, held_s: float) -> None:
-        """Take the time that requests held their places.
+    def add_service_times(self, completions: int, held_s: float) -> None:
+        """Update the mean time that a request holds a batch slot.
 
-        :param ends: requests that ended.
-        :param held_s: their time together, seconds.
+        :param completions: requests that ended.
+        :param held_s: total time that they held their batch slots, seconds.
         """
-        if ends:
-            self.service_s += (held_s / ends - self.service_s) * SERVICE_WEIGHT
+        if completions:
+            self.service_s += (held_s / completions - self.service_s) * SERVICE_WEIGHT
 
     @property
     def rate(self) -> float:
-        """Return the rate to plan for, requests a second.
+        """Return the rate to plan for, requests/s.
 
-        The larger average follows a rise at once and a fall slowly, so that
-        a replica is not given up in a short lull.
+        The larger average rises quickly and falls slowly, so that a replica
+        is not evicted in a short lull.
         """
         return max(self.fast, self.slow)
 
     @property
-    def places(self) -> float:
-        """Return the places in batches that the demand fills."""
+    def batch_slots(self) -> float:
+        """Return the batch slots that the demand uses."""
         return self.rate * self.service_s
 
 
 class Book:
-    """Averages of all models of a region."""
+    """Demand averages of all models and adapters of a region."""
 
     def __init__(self):
         self.averages_by_name: dict[str, Averages] = {}
 
     def take(self, counts: Counts) -> None:
-        """Add an entry's counts.
+        """Add an entry VM's counts to the averages.
 
         :param counts: its report.
         """
         rows = zip(
-            counts.names, counts.arrivals, counts.ends, counts.held_ms, strict=True
+            counts.names,
+            counts.arrivals,
+            counts.completions,
+            counts.held_ms,
+            strict=True,
         )
-        for name, arrivals, ends, held_ms in rows:
+        for name, arrivals, completions, held_ms in rows:
             averages = self.averages_by_name.setdefault(name, Averages())
-            averages.new += arrivals
-            averages.observe(ends, held_ms / 1000)
+            averages.new_arrivals += arrivals
+            averages.add_service_times(completions, held_ms / 1000)
 
     def update(self, seconds: float) -> None:
-        """Take what came since the last update into the averages.
+        """Update all averages; discard those of models without demand.
 
-        :param seconds: time since then.
+        :param seconds: time since the last update.
         """
         for name, averages in list(self.averages_by_name.items()):
             averages.update(seconds)
-            if averages.rate < NEGLIGIBLE:
+            if averages.rate < MIN_RATE:
                 del self.averages_by_name[name]
 
 
 @plugins.register(plugins.PART, "demand")
 class Demand(kernel.Part):
-    """Counts this VM's requests and, on the planner, everybody's.
+    """Counts this VM's requests; on the planner, aggregates the region's.
 
     :param node_kernel: the node's kernel.
     """
@@ -152,8 +161,8 @@
         self.peers.handle(Counts, self._receive)
 
     def start(self) -> None:
-        """Start to report."""
-        self.tasks.every(REPORT_S, self._report)
+        """Start reporting to the planner."""
+        self.tasks.every(REPORT_INTERVAL_S, self._report)
 
     def arrived(self, name: str) -> None:
         """Count a request's arrival.
@@ -162,15 +171,15 @@
         """
         self._count(name).arrivals += 1
 
-    def ended(self, name: str, began: float) -> None:
-        """Count a request that had a place in a batch.
+    def ended(self, name: str, sent_at: float) -> None:
+        """Count a request that held a batch slot and ended.
 
         :param name: the model or adapter that it asked for.
-        :param began: monotonic time at which it was sent, seconds.
+        :param sent_at: monotonic time at which it was sent, seconds.
         """
         count = self._count(name)
-        count.ends += 1
-        count.held_s += time.monotonic() - began
+        count.completions += 1
+        count.held_s += time.monotonic() - sent_at
 
     def _count(self, name: str) -> Count:
         return self.count_by_name.setdefault(name, Count())
@@ -198,6 +207,6 @@
     return Counts(
         list(count_by_name),
         [count.arrivals for count in counts],
-        [count.ends for count in counts],
+        [count.completions for count in counts],
         [round(count.held_s * 1000) for count in counts],
     )
--- a/packages/mothworks/src/mothworks/endpoint_task.py
+++ b/packages/mothworks/src/mothworks/endpoint_task.py
@@ -200,7 +200,7 @@
         kind = endpoints.OrderKind(move.kind)
         match kind:
             case endpoints.OrderKind.LOAD:
-                holding = self.part.holding(move.name, move.version)
+                holding = self.part.make_holding(move.name, move.version)
             case endpoints.OrderKind.UNLOAD:
                 holding = self.mover.current.holding(move.name, move.version)
             case endpoints.OrderKind.ROLE:
--- a/packages/mothworks/src/mothworks/fleet.py
+++ b/packages/mothworks/src/mothworks/fleet.py
@@ -1,35 +1,35 @@
-"""The planner's view of models, endpoints and load.
+"""The planner's view of models, endpoints and demand.
 
-A planned load or unload is entered here at once, so that the next decision
-of the same pass sees it; reports from owners later confirm or undo it. Load
-is counted in places of batches: arrivals a second times the time each
-request holds a place.
+Planned loads and unloads are applied here at once, so that later decisions of
+the same pass take them into account; owners' reports later confirm or undo
+them. Demand is measured in batch slots: requests/s times the mean time that a
+request holds its slot.
 """
 
 import collections.abc
 
 import attrs
 
-#: Share of an endpoint's places that planning fills; the rest takes bursts.
-UTILISATION = 0.8
+#: Share of an endpoint's batch slots that planning fills; the rest absorbs bursts.
+PLANNED_UTILISATION = 0.8
 
 
 @attrs.frozen
 class Need:
-    """A model or adapter that is to be resident somewhere.
+    """A model or adapter that must be resident.
 
     :param name: its name.
-    :param version: the version to be resident.
-    :param memory_mb: memory it takes with its working room, MB.
-    :param spare_mb: memory to leave free beside it for its adapters, MB.
-    :param replicas: fewest replicas.
+    :param version: the required version.
+    :param memory_mb: its weights and its working memory, MB.
+    :param adapter_reserve_mb: memory that its load leaves free for its adapters, MB.
+    :param replicas: least number of replicas.
     :param base: the model that an adapter belongs to; empty for a model.
     """
 
     name: str
     version: str
     memory_mb: int
-    spare_mb: int = 0
+    adapter_reserve_mb: int = 0
     replicas: int = 1
     base: str = ""
 
@@ -40,8 +40,8 @@
 
     @property
     def room_mb(self) -> int:
-        """Return the free memory that an endpoint must have for it, MB."""
-        return self.memory_mb + self.spare_mb
+        """Return the free memory that a load of it requires, MB."""
+        return self.memory_mb + self.adapter_reserve_mb
 
 
 @attrs.define(eq=False)
@@ -49,16 +49,16 @@
     """An endpoint as the planner sees it.
 
     :param name: its name.
-    :param data_centre: where it runs.
+    :param data_centre: its data centre.
     :param memory_mb: its memory, MB.
-    :param places: requests in its batch that planning fills.
-    :param open: whether it takes new work.
-    :param free_mb: memory that a load may take, MB.
-    :param load: places that the demand fills.
+    :param places: batch slots that planning fills.
+    :param open: whether it accepts new work.
+    :param free_mb: memory available to loads, MB.
+    :param load: batch slots that the demand uses.
     :param memory_by_key: memory of residents and loads by name and version, MB.
-    :param loading: keys that are not ready yet.
+    :param loading: keys that are being loaded.
     :param leaving: keys that are being unloaded.
-    :param names: the models and adapters whose demand it shares.
+    :param names: the models and adapters that it serves as a replica.
     """
 
     name: str
@@ -74,19 +74,19 @@
     names: set[str] = attrs.field(factory=set)
 
     @property
-    def spare(self) -> float:
-        """Return the places that are free; below 0 where it is overloaded."""
+    def free_slots(self) -> float:
+        """Return the free batch slots; negative if the endpoint is overloaded."""
         return self.places - self.load
 
 
 @attrs.define(eq=False)
 class Demanded:
-    """A need with its replicas and its demand.
+    """A required model or adapter with its demand and its replicas.
 
-    :param need: what is to be resident.
-    :param places: places that its demand fills.
-    :param service_s: mean time that a request holds a place, seconds.
-    :param share_by_site: its replicas, with the places each of them fills.
+    :param need: the model or adapter.
+    :param places: batch slots that its demand uses.
+    :param service_s: mean time that a request holds a batch slot, seconds.
+    :param share_by_site: batch slots that it uses on each replica's endpoint.
     """
 
     need: Need
@@ -96,7 +96,7 @@
 
 
 class Fleet:
-    """Needs, endpoints, and which of them hold what."""
+    """Required models, endpoints, and the replicas on them."""
 
     def __init__(self):
         self.site_by_name: dict[str, Site] = {}
@@ -104,29 +104,29 @@
         self.adapters_by_model: dict[str, set[str]] = {}
 
     def declare(self, needs: collections.abc.Iterable[Need]) -> None:
-        """Replace the needs, keeping demand and replicas of those that stay.
+        """Replace the required models; retain demand and replicas of those that stay.
 
         :param needs: models first, then adapters.
         """
-        before = self.demanded_by_name
+        previous_by_name = self.demanded_by_name
         self.demanded_by_name = {}
         self.adapters_by_model = {}
         for need in needs:
-            known = before.get(need.name) or Demanded(need)
-            known.need = need
-            self.demanded_by_name[need.name] = known
+            demanded = previous_by_name.get(need.name) or Demanded(need)
+            demanded.need = need
+            self.demanded_by_name[need.name] = demanded
             if need.base:
                 self.adapters_by_model.setdefault(need.base, set()).add(need.name)
-        for name in before.keys() - self.demanded_by_name.keys():
-            for site_name, share in before[name].share_by_site.items():
+        for name in previous_by_name.keys() - self.demanded_by_name.keys():
+            for site_name, share in previous_by_name[name].share_by_site.items():
                 self.site_by_name[site_name].load -= share
         for site in self.site_by_name.values():
-            self._find_replicas(site)
+            self._update_replicas(site)
         for name in self.demanded_by_name:
-            self.split(name)
+            self.distribute_demand(name)
 
     def add(self, site: Site) -> None:
-        """Add an endpoint, with whatever it holds.
+        """Add an endpoint with its residents.
 
         :param site: the endpoint.
         """
@@ -134,28 +134,28 @@
         self.refresh(site)
 
     def remove(self, name: str) -> None:
-        """Forget an endpoint.
+        """Remove an endpoint and its replicas.
 
         :param name: its name.
         """
         site = self.site_by_name.pop(name, None)
         if site is not None:
-            self._clear(site)
+            self._remove_replicas(site)
 
     def refresh(self, site: Site) -> None:
-        """Take an endpoint's changed state or memory into account.
+        """Update replicas and demand after an endpoint's state or memory changed.
 
         :param site: an endpoint of this fleet.
         """
-        # In a fixed order, so that the same reports give the same plan.
-        for name in sorted(self._find_replicas(site)):
-            self.split(name)
+        # Sorted, so that the same reports yield the same plan.
+        for name in sorted(self._update_replicas(site)):
+            self.distribute_demand(name)
 
     def load(self, site: Site, need: Need) -> None:
-        """Enter a planned load.
+        """Apply a planned load.
 
-        :param site: where to.
-        :param need: what is loaded.
+        :param site: the endpoint.
+        :param need: the model or adapter.
         """
         site.memory_by_key[need.key] = need.memory_mb
         site.loading.add(need.key)
@@ -163,9 +163,9 @@
         self.refresh(site)
 
     def unload(self, site: Site, key: tuple[str, str]) -> None:
-        """Enter a planned unload.
+        """Apply a planned unload.
 
-        :param site: where.
+        :param site: the endpoint.
         :param key: name and version.
         """
         site.leaving.add(key)
@@ -175,30 +175,30 @@
     def cancel_unload(self, site: Site, key: tuple[str, str]) -> None:
         """Undo :meth:`unload`.
 
-        :param site: where.
+        :param site: the endpoint.
         :param key: name and version.
         """
         site.leaving.discard(key)
         site.free_mb -= site.memory_by_key[key]
         self.refresh(site)
 
-    def set_demand(self, name: str, places: float, service_s: float) -> None:
-        """Set what a model's or adapter's callers ask for now.
+    def set_demand(self, name: str, batch_slots: float, service_s: float) -> None:
+        """Set the current demand for a model or adapter.
 
         :param name: the model or adapter.
-        :param places: places in batches that the demand fills.
-        :param service_s: mean time that a request holds a place, seconds.
+        :param batch_slots: batch slots that the demand uses.
+        :param service_s: mean time that a request holds a batch slot, seconds.
         """
         demanded = self.demanded_by_name.get(name)
         if demanded is None:
             return
         demanded.service_s = service_s
-        if abs(places - demanded.places) > 0.02 * demanded.places:
-            demanded.places = places
-            self.split(name)
+        if abs(batch_slots - demanded.places) > 0.02 * demanded.places:
+            demanded.places = batch_slots
+            self.distribute_demand(name)
 
     def replicas(self, name: str) -> list[Site]:
-        """Return the open endpoints that hold, or are loading, a version needed.
+        """Return the open endpoints that hold or are loading the required version.
 
         :param name: a declared model or adapter.
         """
@@ -206,92 +206,92 @@
         return [self.site_by_name[site] for site in shares]
 
     def ready(self, name: str) -> list[Site]:
-        """Return the open endpoints that hold the version needed already.
+        """Return the open endpoints where the required version is ready.
 
         :param name: a declared model or adapter.
         """
         key = self.demanded_by_name[name].need.key
         return [site for site in self.replicas(name) if key not in site.loading]
 
-    def split(self, name: str) -> None:
-        """Divide a model's demand so that its replicas are equally full.
+    def distribute_demand(self, name: str) -> None:
+        """Distribute a model's demand so that its replicas are equally utilised.
 
-        An owner's queue sends a request where a place is free; the division
-        that fills all replicas to the same level is what that comes to.
+        Requests are sent to replicas with free batch slots, which evens out
+        the utilisation of all replicas.
 
         :param name: a declared model or adapter.
         """
         demanded = self.demanded_by_name[name]
         shares = demanded.share_by_site
-        # The places of an adapter's requests are counted with its model's.
+        # The demand of an adapter is included in its model's.
         if not shares or demanded.need.base:
             return
         sites = [self.site_by_name[site] for site in shares]
         for site in sites:
             site.load = max(0.0, site.load - shares[site.name])
-        level = _level(sites, demanded.places)
+        utilisation = _shared_utilisation(sites, demanded.places)
         for site in sites:
-            share = max(0.0, level * site.places - site.load)
+            share = max(0.0, utilisation * site.places - site.load)
             shares[site.name] = share
             site.load += share
 
     def excess(self, name: str) -> float:
-        """Return the places that a model's demand lacks.
+        """Return the batch slots by which a model's demand exceeds its replicas.
 
         :param name: a declared model or adapter.
         """
         demanded = self.demanded_by_name[name]
         if not demanded.share_by_site:
             return demanded.places
-        missing = 0.0
+        missing_slots = 0.0
         for site_name, share in demanded.share_by_site.items():
             site = self.site_by_name[site_name]
             if site.load > site.places:
-                missing += share * (site.load - site.places) / site.load
-        return missing
+                missing_slots += share * (site.load - site.places) / site.load
+        return missing_slots
 
-    def _find_replicas(self, site: Site) -> set[str]:
-        """Bring the replicas in line with an endpoint's memory."""
-        held = set()
+    def _update_replicas(self, site: Site) -> set[str]:
+        """Update an endpoint's replicas; return the names whose replicas changed."""
+        resident_names = set()
         if site.open:
             for name, version in site.memory_by_key.keys() - site.leaving:
                 demanded = self.demanded_by_name.get(name)
                 if demanded is not None and demanded.need.version == version:
-                    held.add(name)
-        gone = site.names - held
-        for name in gone:
-            self._give_up(site, name)
-        new = held - site.names
-        for name in sorted(new):
+                    resident_names.add(name)
+        removed = site.names - resident_names
+        for name in removed:
+            self._remove_replica(site, name)
+        added = resident_names - site.names
+        for name in sorted(added):
             self.demanded_by_name[name].share_by_site[site.name] = 0.0
-        site.names = held
-        return (gone & self.demanded_by_name.keys()) | new
+        site.names = resident_names
+        return (removed & self.demanded_by_name.keys()) | added
 
-    def _clear(self, site: Site) -> None:
+    def _remove_replicas(self, site: Site) -> None:
         for name in site.names:
-            self._give_up(site, name)
+            self._remove_replica(site, name)
         changed = site.names & self.demanded_by_name.keys()
         site.names = set()
         for name in sorted(changed):
-            self.split(name)
+            self.distribute_demand(name)
 
-    def _give_up(self, site: Site, name: str) -> None:
+    def _remove_replica(self, site: Site, name: str) -> None:
         demanded = self.demanded_by_name.get(name)
         if demanded is not None:
             share = demanded.share_by_site.pop(site.name, 0.0)
             site.load = max(0.0, site.load - share)
 
 
-def _level(sites: list[Site], places: float) -> float:
-    """Return how full sites are once places are poured onto the emptiest."""
-    by_level = sorted(sites, key=lambda site: site.load / site.places)
+def _shared_utilisation(sites: list[Site], added_slots: float) -> float:
+    """Return the utilisation after demand is added to the least utilised."""
+    by_utilisation = sorted(sites, key=lambda site: site.load / site.places)
     capacity = 0.0
-    total = places
-    level = 0.0
-    for site in by_level:
+    total = added_slots
+    utilisation = 0.0
+    for site in by_utilisation:
         if capacity and total / capacity <= site.load / site.places:
             break
         capacity += site.places
         total += site.load
-        level = total / capacity
-    return level
+        utilisation = total / capacity
+    return utilisation
--- a/packages/mothworks/src/mothworks/move_messages.py
+++ b/packages/mothworks/src/mothworks/move_messages.py
@@ -8,7 +8,7 @@
 @messages.message(72)
 @attrs.frozen
 class Move:
-    """The planner asks an endpoint's owner for a load, an unload or a role.
+    """The planner requests a load, an unload or a change of role from an owner.
 
     :param endpoint: the endpoint's name.
     :param kind: a :class:`endpoints.OrderKind`.
@@ -27,18 +27,18 @@
 @messages.message(71)
 @attrs.frozen
 class Holdings:
-    """An owner tells the planner what an endpoint's ledger holds.
+    """An owner reports a summary of an endpoint's ledger to the planner.
 
     :param endpoint: the endpoint's name.
     :param fence: the ledger's fencing number; larger is newer.
-    :param names: residents.
+    :param names: the residents.
     :param versions: their versions, in the same order.
-    :param reserved_mb: the memory kept for each of them, in the same order, MB.
-    :param free_mb: memory that a load may take now, MB.
-    :param pending_kind: kind of the order under way; empty for none.
+    :param reserved_mb: memory reserved for each of them, in the same order, MB.
+    :param free_mb: memory available to a load now, MB.
+    :param pending_kind: kind of the order in progress; empty for none.
     :param pending_name: the model or adapter that it loads or unloads.
     :param pending_version: its version.
-    :param queued: moves that wait for it.
+    :param queued: number of moves queued behind it.
     """
 
     endpoint: str
--- a/packages/mothworks/src/mothworks/orders.py
+++ b/packages/mothworks/src/mothworks/orders.py
@@ -1,8 +1,8 @@
-"""Orders: carries out the moves of the endpoints that this VM owns.
+"""Orders: executes the moves of the endpoints that this VM owns.
 
-One task for each owned endpoint takes its steps from :mod:`mothworks.moves`.
-The planner hands out moves; what an endpoint holds goes back to the planner
-as :class:`move_messages.Holdings`.
+One task per owned endpoint executes moves step by step; see
+:mod:`mothworks.moves`. The planner sends the moves and receives reports of the
+endpoints' ledgers as :class:`move_messages.Holdings`.
 """
 
 import gevent
@@ -25,14 +25,14 @@
     row_classes,
 )
 
-#: Seconds between reports to the planner where nothing changed. At the target
-#: size a VM owns 14 endpoints and sends some 250 bytes for each.
-REPORT_S = 6.0
+#: Interval between reports to the planner without changes, seconds. At the
+#: target size a VM owns 14 endpoints; each report takes about 250 bytes.
+REPORT_INTERVAL_S = 6.0
 
 
 @plugins.register(plugins.PART, "orders")
 class Orders(kernel.Part):
-    """Runs one task for each owned endpoint that takes orders.
+    """Runs one task for each owned endpoint that accepts orders.
 
     :param node_kernel: the node's kernel.
     """
@@ -45,58 +45,58 @@
         self.peers = node_kernel.get(peers.Peers)
         self.audit = node_kernel.get(audit.Audit)
         self.store = ledger_store.LedgerStore(node_kernel.get(objects.Objects).api)
-        self.work_by_endpoint: dict[str, endpoint_task.EndpointTask] = {}
-        self.task_by_endpoint: dict[str, gevent.Greenlet] = {}
-        #: Functions that take this VM's own holdings, where it plans.
-        self.on_holdings: list = []
+        self.endpoint_task_by_name: dict[str, endpoint_task.EndpointTask] = {}
+        self.greenlet_by_endpoint: dict[str, gevent.Greenlet] = {}
+        #: Functions called with this VM's own reports if it is the planner.
+        self.holdings_callbacks: list = []
         self.moves_total = node_kernel.metrics.counter(
             "moves_total", "Orders carried out, by kind and outcome."
         )
         self.planner_name = ""
-        self.health.on_owned.append(self.assign)
-        self.membership.on_change.append(self._follow_planner)
+        self.health.on_owned.append(self.update_tasks)
+        self.membership.on_change.append(self._update_planner)
         self.peers.handle(move_messages.Move, self._receive)
 
     def start(self) -> None:
-        """Start the tasks of what this VM owns, and report to the planner."""
-        self.assign()
-        self.tasks.every(REPORT_S, self._report_all)
+        """Start the tasks of owned endpoints and periodic reports to the planner."""
+        self.update_tasks()
+        self.tasks.every(REPORT_INTERVAL_S, self._report_all)
 
-    def assign(self) -> None:
-        """Start and stop tasks so that they fit what this VM owns.
+    def update_tasks(self) -> None:
+        """Start and stop tasks to match the endpoints that this VM owns.
 
-        A task may be stopped at any step: the ledger tells the next owner
-        how to go on.
+        A task may be stopped at any step: the next owner continues from the
+        ledger.
         """
-        owned = {name for name in self.health.owned() if self._takes_orders(name)}
-        for name in self.task_by_endpoint.keys() - owned:
-            self.task_by_endpoint.pop(name).kill(block=False)
-            self.work_by_endpoint.pop(name, None)
-        for name in owned - self.task_by_endpoint.keys():
-            work = endpoint_task.EndpointTask(self, name)
-            self.work_by_endpoint[name] = work
-            self.task_by_endpoint[name] = self.tasks.spawn(work.run)
-
-    def take(self, move: move_messages.Move) -> None:
-        """Queue a move of an owned endpoint; one that is queued already is left.
+        owned = {name for name in self.health.owned() if self._accepts_orders(name)}
+        for name in self.greenlet_by_endpoint.keys() - owned:
+            self.greenlet_by_endpoint.pop(name).kill(block=False)
+            self.endpoint_task_by_name.pop(name, None)
+        for name in owned - self.greenlet_by_endpoint.keys():
+            task = endpoint_task.EndpointTask(self, name)
+            self.endpoint_task_by_name[name] = task
+            self.greenlet_by_endpoint[name] = self.tasks.spawn(task.run)
+
+    def queue_move(self, move: move_messages.Move) -> None:
+        """Queue a move of an owned endpoint, unless it is queued already.
 
         :param move: the planner's move.
         """
-        work = self.work_by_endpoint.get(move.endpoint)
-        if work is not None:
-            work.add(move)
+        task = self.endpoint_task_by_name.get(move.endpoint)
+        if task is not None:
+            task.add(move)
 
     def report(self, holdings: move_messages.Holdings) -> None:
-        """Tell the region's planner what an endpoint holds.
+        """Report an endpoint's holdings to its region's planner.
 
-        :param holdings: the endpoint's ledger in short.
+        :param holdings: the summary of the endpoint's ledger.
         """
         planner = self.planner(holdings.endpoint)
         if planner is None:
             return
         if planner.name == self.kernel.settings.name:
-            for notify in self.on_holdings:
-                notify(holdings)
+            for callback in self.holdings_callbacks:
+                callback(holdings)
         else:
             self.peers.send(planner.name, holdings)
 
@@ -112,8 +112,8 @@
         region = index.region_by_data_centre[declared.data_centre]
         return ownership.planner_of(region, self.membership.live())
 
-    def holding(self, name: str, version: str) -> ledger.Holding | None:
-        """Return a model or adapter as it is to be loaded, or None.
+    def make_holding(self, name: str, version: str) -> ledger.Holding | None:
+        """Return a declared model or adapter as a holding to load, or None.
 
         :param name: the model or adapter.
         :param version: the model's version.
@@ -128,22 +128,22 @@
         return None
 
     def under_way(self) -> list[row_classes.MoveRow]:
-        """Return the orders of owned endpoints that are sent or wait."""
+        """Return the sent and queued orders of owned endpoints."""
         return [
             row
-            for _, work in sorted(self.work_by_endpoint.items())
-            for row in work.under_way()
+            for _, task in sorted(self.endpoint_task_by_name.items())
+            for row in task.under_way()
         ]
 
-    def _takes_orders(self, name: str) -> bool:
+    def _accepts_orders(self, name: str) -> bool:
         declared = self.configuration.index.endpoint_by_name.get(name)
         return declared is not None and declared.memory_mb > 0
 
     def _receive(self, _: str, move: move_messages.Move, __: peers.Answer) -> None:
-        self.take(move)
+        self.queue_move(move)
 
-    def _follow_planner(self) -> None:
-        """Report to a new planner at once, so that it need not wait long."""
+    def _update_planner(self) -> None:
+        """Report to a new planner immediately, which shortens its initial wait."""
         region = self.kernel.settings.region
         planner = ownership.planner_of(region, self.membership.live())
         name = planner.name if planner is not None else ""
@@ -152,5 +152,5 @@
             self._report_all()
 
     def _report_all(self) -> None:
-        for work in list(self.work_by_endpoint.values()):
-            work.report()
+        for task in list(self.endpoint_task_by_name.values()):
+            task.report()
--- a/packages/mothworks/src/mothworks/placement_policy.py
+++ b/packages/mothworks/src/mothworks/placement_policy.py
@@ -1,4 +1,4 @@
-"""What placement policies share: their interface and the moves of one pass."""
+"""Interface of placement policies, and the moves of one planning pass."""
 
 from mothworks import catalogue, endpoints, fleet, move_messages
 
@@ -6,26 +6,26 @@
 class Policy:
     """Interface of the plug-ins of kind :data:`plugins.PLACEMENT`.
 
-    :param weights: how the deployment weighs attainment against moves.
+    :param weights: weights of latency target attainment and of moves.
     """
 
     def __init__(self, weights: catalogue.Weights):
         self.weights = weights
 
     def plan(self, planned: fleet.Fleet, loads: int) -> list[move_messages.Move]:
-        """Return the moves to begin now, the most urgent first.
+        """Return the moves to start now, the most urgent first.
 
-        :param planned: the fleet; the moves are entered into it.
-        :param loads: most loads, as the weight store allows.
+        :param planned: the fleet; the moves are applied to it.
+        :param loads: maximum loads, limited by the weight store.
         """
         raise NotImplementedError
 
 
 class Batch:
-    """The moves of one pass.
+    """The moves of one planning pass.
 
-    :param planned: the fleet; moves are entered into it.
-    :param loads: most loads.
+    :param planned: the fleet; the moves are applied to it.
+    :param loads: maximum loads.
     """
 
     def __init__(self, planned: fleet.Fleet, loads: int):
@@ -35,14 +35,14 @@
 
     @property
     def full(self) -> bool:
-        """Return whether the weight store allows no further load."""
+        """Return whether the weight store's limit permits no further load."""
         return self.loads <= 0
 
     def load(self, site: fleet.Site, need: fleet.Need, why: str) -> None:
         """Add a load.
 
-        :param site: where to.
-        :param need: what is loaded.
+        :param site: the endpoint.
+        :param need: the model or adapter.
         :param why: the reason, for the audit trail.
         """
         self.loads -= 1
@@ -55,7 +55,7 @@
     def unload(self, site: fleet.Site, key: tuple[str, str], why: str) -> None:
         """Add an unload.
 
-        :param site: where.
+        :param site: the endpoint.
         :param key: name and version.
         :param why: the reason, for the audit trail.
         """
--- a/packages/mothworks/src/mothworks/planner.py
+++ b/packages/mothworks/src/mothworks/planner.py
@@ -1,8 +1,8 @@
-"""Planner: decides which models are resident where, for one region.
+"""Planner: decides which models are resident on which endpoints of a region.
 
-One VM of the region plans; every VM knows which by hashing. Two that both
-believe it, while membership is stale, do no harm: each endpoint's ledger
-refuses what does not fit, and an owner drops a move that changes nothing.
+One VM of the region plans; every VM derives which one by hashing. While
+membership views differ, two VMs may both plan. This is safe: each endpoint's
+ledger rejects loads that do not fit, and owners drop moves without effect.
 """
 
 import time
@@ -31,7 +31,7 @@
 
 @plugins.register(plugins.PART, "planner")
 class Planner(kernel.Part):
-    """Plans while this VM is its region's planner.
+    """Plans moves while this VM is its region's planner.
 
     :param node_kernel: the node's kernel.
     """
@@ -52,14 +52,14 @@
             "planner_pass_seconds", "Processor time of one pass."
         )
         self.peers.handle(move_messages.Holdings, self._receive)
-        self.orders.on_holdings.append(self.take)
+        self.orders.holdings_callbacks.append(self.update_holdings)
 
     def start(self) -> None:
-        """Start to plan whenever this VM is the planner."""
-        self.tasks.every(region_plan.PERIOD_S, self._pass)
+        """Start periodic planning passes, active while this VM is the planner."""
+        self.tasks.every(region_plan.PASS_INTERVAL_S, self._run_pass)
 
-    def _follow_role(self) -> bool:
-        """Begin or end to plan with the membership; return whether this VM plans."""
+    def _update_role(self) -> bool:
+        """Update this VM's planner role; return whether it is the planner."""
         region = self.kernel.settings.region
         planner = ownership.planner_of(region, self.membership.live())
         if planner is None or planner.name != self.kernel.settings.name:
@@ -70,38 +70,38 @@
             self.demand.book = demand.Book()
         return self.state is not None
 
-    def take(self, holdings: move_messages.Holdings) -> None:
-        """Take an owner's report.
+    def update_holdings(self, holdings: move_messages.Holdings) -> None:
+        """Process an owner's report.
 
-        :param holdings: what an endpoint's ledger holds.
+        :param holdings: the summary of an endpoint's ledger.
         """
-        if self._follow_role():
+        if self._update_role():
             self.state.take(holdings)
 
     def _receive(
         self, _: str, holdings: move_messages.Holdings, __: peers.Answer
     ) -> None:
-        self.take(holdings)
+        self.update_holdings(holdings)
 
-    def _pass(self) -> None:
-        if not self._follow_role():
+    def _run_pass(self) -> None:
+        if not self._update_role():
             return
         index = self.configuration.index
         self.state.follow(self.configuration.revision, index, time.monotonic())
-        began = time.thread_time()
+        started_s = time.thread_time()
         moves = self.state.plan(
             time.monotonic(), self.demand.book, self._open_endpoints()
         )
-        self.pass_seconds.add({}, time.thread_time() - began)
+        self.pass_seconds.add({}, time.thread_time() - started_s)
         for move in moves:
-            self._hand_out(move)
+            self._send(move)
 
     def _open_endpoints(self) -> frozenset[str]:
-        """Return the endpoints that may get loads and whose replicas count."""
+        """Return the endpoints that may load models and whose replicas count."""
         names = self.placement.status_by_endpoint
         return frozenset(name for name in names if not self.placement.why_closed(name))
 
-    def _hand_out(self, move: move_messages.Move) -> None:
+    def _send(self, move: move_messages.Move) -> None:
         endpoint = self.configuration.index.endpoint_by_name.get(move.endpoint)
         owner = self.health.owner(endpoint) if endpoint is not None else None
         if owner is None:
@@ -109,14 +109,14 @@
         what = f"{move.kind} {move.name} {move.version}"
         self.audit.record(audit.Kind.MOVE, move.endpoint, what, move.why)
         if owner.name == self.kernel.settings.name:
-            self.orders.take(move)
+            self.orders.queue_move(move)
         else:
             self.peers.send(owner.name, move)
 
 
 def _policy_class(name: str) -> type[placement_policy.Policy]:
-    found = plugins.find(plugins.PLACEMENT, name)
-    if found is None:
-        known = ", ".join(plugins.keys(plugins.PLACEMENT))
-        raise ValueError(f"placement: expected one of {known}, found {name!r}")
-    return found
+    policy_class = plugins.find(plugins.PLACEMENT, name)
+    if policy_class is None:
+        names = ", ".join(plugins.keys(plugins.PLACEMENT))
+        raise ValueError(f"placement: expected one of {names}, found {name!r}")
+    return policy_class
--- a/packages/mothworks/src/mothworks/region_plan.py
+++ b/packages/mothworks/src/mothworks/region_plan.py
@@ -1,4 +1,4 @@
-"""The plan of one region: its fleet, its demand, and moves that are under way."""
+"""The plan of one region: its fleet, its demand and its unfinished moves."""
 
 import collections
 
@@ -15,24 +15,24 @@
     relocations,
 )
 
-#: Seconds between passes.
-PERIOD_S = 1.0
-#: Shortest and longest time that a new planner listens before it plans, seconds;
-#: the longest covers the owners' regular reports.
+#: Interval between planning passes, seconds.
+PASS_INTERVAL_S = 1.0
+#: Minimum and maximum time that a new planner waits for owners' reports before
+#: it plans, seconds. The maximum covers the interval of periodic reports.
 LISTEN_S = 4.0
-LISTEN_LONGEST_S = 8.0
-#: Time after which a move is forgotten if its owner reports no work, seconds.
-FORGOTTEN_S = 10.0
-#: Time after which a move is forgotten whatever its owner reports, seconds.
-LONGEST_S = 600.0
+MAX_REPORT_WAIT_S = 8.0
+#: Time after which a move expires if its owner reports no unfinished move, seconds.
+IDLE_MOVE_TIMEOUT_S = 10.0
+#: Time after which a move expires whatever its owner reports, seconds.
+MOVE_TIMEOUT_S = 600.0
 
 
 @attrs.define
-class Allowance:
-    """A token bucket for the weight store's loads.
+class LoadLimiter:
+    """Limits loads from the weight store by a token bucket.
 
-    :param rate: loads that may start each second.
-    :param parallel: loads that may run at a time.
+    :param rate: loads that may start per second.
+    :param parallel: maximum concurrent loads.
     :param tokens: loads that may start now.
     """
 
@@ -41,27 +41,27 @@
     tokens: float = 1.0
 
     def refill(self, seconds: float) -> None:
-        """Add what time has brought.
+        """Add tokens for the time elapsed.
 
         :param seconds: time since the last call.
         """
-        most = max(1.0, self.rate * PERIOD_S)
-        self.tokens = min(most, self.tokens + self.rate * seconds)
+        max_tokens = max(1.0, self.rate * PASS_INTERVAL_S)
+        self.tokens = min(max_tokens, self.tokens + self.rate * seconds)
 
     def loads(self, running: int) -> int:
         """Return how many loads may start now.
 
-        :param running: loads under way.
+        :param running: loads in progress.
         """
         return max(0, min(int(self.tokens), self.parallel - running))
 
 
 class RegionPlan:
-    """What a planner knows of its region, and the moves it handed out.
+    """A planner's view of its region, and the moves that it sent to owners.
 
     :param name: the region.
     :param now: monotonic time, seconds.
-    :param policy: decides the moves.
+    :param policy: chooses the moves.
     """
 
     def __init__(self, name: str, now: float, policy: placement_policy.Policy):
@@ -71,31 +71,31 @@
         self.revision = -1
         self.fleet = fleet.Fleet()
         self.endpoint_by_name: dict[str, catalogue.Endpoint] = {}
-        #: Monotonic time since which each endpoint is known, seconds.
+        #: Monotonic time at which each endpoint was first declared, seconds.
         self.declared_at: dict[str, float] = {}
-        self.allowance = Allowance(1.0, 1)
+        self.load_limiter = LoadLimiter(1.0, 1)
         self.policy = policy
-        #: What operators ordered.
+        #: Moves ordered by operators.
         self.relocations = relocations.Relocations()
-        #: Moves handed out and not reported yet, with the time of each.
+        #: Moves sent and not yet reflected in a report, with the time of each.
         self.outstanding: dict[str, dict[move_messages.Move, float]] = (
             collections.defaultdict(dict)
         )
         self.holdings_by_endpoint: dict[str, move_messages.Holdings] = {}
-        self.dirty: set[str] = set()
+        self.changed_endpoints: set[str] = set()
 
     def follow(self, revision: int, index: catalogue.Index, now: float) -> None:
-        """Follow the catalogue in force.
+        """Apply the current catalogue.
 
         :param revision: its revision.
-        :param index: its items.
+        :param index: the indexed catalogue.
         :param now: monotonic time, seconds.
         """
         if revision == self.revision:
             return
         self.revision = revision
         weights = index.catalogue.weights
-        self.allowance = Allowance(weights.loads_per_s, weights.parallel_loads)
+        self.load_limiter = LoadLimiter(weights.loads_per_s, weights.parallel_loads)
         self.policy.weights = weights
         self.endpoint_by_name = {
             item.name: item
@@ -109,130 +109,137 @@
         for name in self.fleet.site_by_name.keys() - self.endpoint_by_name.keys():
             self.fleet.remove(name)
         for name, site in self.fleet.site_by_name.items():
-            self._follow_endpoint(site, self.endpoint_by_name[name])
+            self._update_endpoint(site, self.endpoint_by_name[name])
         self.fleet.declare(needs(index.catalogue))
-        self.dirty.update(self.holdings_by_endpoint)
+        self.changed_endpoints.update(self.holdings_by_endpoint)
 
-    def _follow_endpoint(self, site: fleet.Site, declared: catalogue.Endpoint) -> None:
+    def _update_endpoint(self, site: fleet.Site, declared: catalogue.Endpoint) -> None:
         site.data_centre = declared.data_centre
         site.memory_mb = declared.memory_mb
-        site.places = declared.slots * fleet.UTILISATION
+        site.places = declared.slots * fleet.PLANNED_UTILISATION
 
     def take(self, holdings: move_messages.Holdings) -> None:
-        """Take an owner's report, unless a newer one is known.
+        """Store an owner's report unless a newer one is stored.
 
-        :param holdings: what an endpoint's ledger holds.
+        :param holdings: the summary of an endpoint's ledger.
         """
-        known = self.holdings_by_endpoint.get(holdings.endpoint)
-        if known is not None and known.fence > holdings.fence:
+        previous = self.holdings_by_endpoint.get(holdings.endpoint)
+        if previous is not None and previous.fence > holdings.fence:
             return
-        if known != holdings:
+        if previous != holdings:
             self.holdings_by_endpoint[holdings.endpoint] = holdings
-            self.dirty.add(holdings.endpoint)
+            self.changed_endpoints.add(holdings.endpoint)
 
-    def relocate(self, wanted: relocations.Relocation) -> result.Result[None, str]:
-        """Begin a move that an operator ordered.
+    def relocate(self, relocation: relocations.Relocation) -> result.Result[None, str]:
+        """Start a relocation that an operator ordered.
 
-        :param wanted: the move.
-        :returns: or why it can't be done.
+        :param relocation: the relocation.
+        :returns: nothing, or the reason for rejecting it.
         """
-        return self.relocations.accept(self.fleet, wanted)
+        return self.relocations.accept(self.fleet, relocation)
 
     def plan(
         self, now: float, book: demand.Book, open_endpoints: frozenset[str]
     ) -> list[move_messages.Move]:
-        """Return the moves to hand out now.
+        """Return the moves to send to owners now.
 
         :param now: monotonic time, seconds.
         :param book: the region's demand.
-        :param open_endpoints: endpoints that take new work.
+        :param open_endpoints: endpoints that accept new work.
         """
-        seconds = max(1e-3, now - self.planned_at)
+        elapsed_s = max(1e-3, now - self.planned_at)
         self.planned_at = now
-        book.update(seconds)
+        book.update(elapsed_s)
         self._set_demand(book)
-        self._forget(now)
-        for name in sorted(self.dirty & self.endpoint_by_name.keys()):
-            self._sync(name)
-        self.dirty.clear()
-        self._follow_states(open_endpoints)
-        self.allowance.refill(seconds)
-        if self._must_listen(now):
+        self._expire_moves(now)
+        for name in sorted(self.changed_endpoints & self.endpoint_by_name.keys()):
+            self._apply_report(name)
+        self.changed_endpoints.clear()
+        self._update_open(open_endpoints)
+        self.load_limiter.refill(elapsed_s)
+        if self._awaits_reports(now):
             return []
-        loads = self.allowance.loads(self._running_loads())
+        loads = self.load_limiter.loads(self._running_loads())
         moves = self.relocations.plan(self.fleet, now, loads)
         loads -= sum(move.kind == endpoints.OrderKind.LOAD for move in moves)
         moves += self.policy.plan(self.fleet, loads)
         for move in moves:
             self.outstanding[move.endpoint][move] = now
             if move.kind == endpoints.OrderKind.LOAD:
-                self.allowance.tokens -= 1
+                self.load_limiter.tokens -= 1
         return moves
 
-    def _must_listen(self, now: float) -> bool:
-        """Return whether owners may still have to say what is resident.
+    def _awaits_reports(self, now: float) -> bool:
+        """Return whether reports from owners are still outstanding.
 
-        Models of an endpoint that was not heard of look as if they were
-        resident nowhere, and would be loaded a second time; and while only
-        this VM's own endpoints are known, everything would be loaded there.
+        Models on an endpoint without a report look as if they were resident
+        nowhere and would be loaded again. While only this VM's own endpoints
+        have reported, every model would be loaded there.
         """
         if now - self.began < LISTEN_S:
             return True
-        unheard = self.endpoint_by_name.keys() - self.holdings_by_endpoint.keys()
-        declared = (self.declared_at[name] for name in unheard)
-        return any(now - at < LISTEN_LONGEST_S for at in declared)
+        unreported = self.endpoint_by_name.keys() - self.holdings_by_endpoint.keys()
+        declared_times = (self.declared_at[name] for name in unreported)
+        return any(
+            now - first_declared < MAX_REPORT_WAIT_S
+            for first_declared in declared_times
+        )
 
     def _set_demand(self, book: demand.Book) -> None:
-        places = collections.Counter()
-        service_s = {}
+        slots_by_name = collections.Counter()
+        service_s_by_name = {}
         for name, demanded in self.fleet.demanded_by_name.items():
             averages = book.averages_by_name.get(name)
             if averages is not None:
-                # A request for an adapter runs on its model's endpoints.
-                places[demanded.need.base or name] += averages.places
-                places[name] += averages.places if demanded.need.base else 0.0
-                service_s[name] = averages.service_s
+                # A request for an adapter uses a batch slot of its model's endpoint.
+                slots_by_name[demanded.need.base or name] += averages.batch_slots
+                slots_by_name[name] += (
+                    averages.batch_slots if demanded.need.base else 0.0
+                )
+                service_s_by_name[name] = averages.service_s
         for name in self.fleet.demanded_by_name:
-            seconds = service_s.get(name, demand.SERVICE_S)
-            self.fleet.set_demand(name, places[name], seconds)
+            service_s = service_s_by_name.get(name, demand.DEFAULT_SERVICE_S)
+            self.fleet.set_demand(name, slots_by_name[name], service_s)
 
-    def _forget(self, now: float) -> None:
-        """Forget moves that were lost on the way or that an owner dropped."""
+    def _expire_moves(self, now: float) -> None:
+        """Drop moves that were lost in transit or dropped by their owner."""
         for name, moves in self.outstanding.items():
             holdings = self.holdings_by_endpoint.get(name)
             idle = holdings is None or not (holdings.pending_kind or holdings.queued)
-            longest_s = FORGOTTEN_S if idle else LONGEST_S
-            for move, since in list(moves.items()):
-                if now - since > longest_s:
+            timeout_s = IDLE_MOVE_TIMEOUT_S if idle else MOVE_TIMEOUT_S
+            for move, sent_at in list(moves.items()):
+                if now - sent_at > timeout_s:
                     del moves[move]
-                    self.dirty.add(name)
+                    self.changed_endpoints.add(name)
 
-    def _follow_states(self, open_endpoints: frozenset[str]) -> None:
+    def _update_open(self, open_endpoints: frozenset[str]) -> None:
         for site in self.fleet.site_by_name.values():
             is_open = site.name in open_endpoints
             if site.open != is_open:
                 site.open = is_open
                 self.fleet.refresh(site)
 
-    def _sync(self, name: str) -> None:
-        """Bring one endpoint in line with its owner's report."""
+    def _apply_report(self, name: str) -> None:
+        """Update one endpoint from its owner's report."""
         holdings = self.holdings_by_endpoint[name]
         site = self.fleet.site_by_name.get(name)
         if site is None:
             site = fleet.Site(name, "", 0, 1.0, open=False)
-            self._follow_endpoint(site, self.endpoint_by_name[name])
+            self._update_endpoint(site, self.endpoint_by_name[name])
             self.fleet.add(site)
         keys = zip(holdings.names, holdings.versions, strict=True)
         site.memory_by_key = dict(zip(keys, holdings.reserved_mb, strict=True))
         site.free_mb = holdings.free_mb
         site.loading = set()
         site.leaving = set()
-        self._add_pending(site, holdings)
+        self._apply_pending(site, holdings)
         for move in list(self.outstanding[name]):
-            self._add_outstanding(site, move)
+            self._apply_outstanding(site, move)
         self.fleet.refresh(site)
 
-    def _add_pending(self, site: fleet.Site, holdings: move_messages.Holdings) -> None:
+    def _apply_pending(
+        self, site: fleet.Site, holdings: move_messages.Holdings
+    ) -> None:
         key = (holdings.pending_name, holdings.pending_version)
         match holdings.pending_kind:
             case endpoints.OrderKind.LOAD:
@@ -241,7 +248,7 @@
             case endpoints.OrderKind.UNLOAD if key in site.memory_by_key:
                 site.leaving.add(key)
 
-    def _add_outstanding(self, site: fleet.Site, move: move_messages.Move) -> None:
+    def _apply_outstanding(self, site: fleet.Site, move: move_messages.Move) -> None:
         key = (move.name, move.version)
         match move.kind:
             case endpoints.OrderKind.LOAD if key in site.memory_by_key:
@@ -266,20 +273,20 @@
 
 
 def needs(declared: catalogue.Catalogue) -> list[fleet.Need]:
-    """Return what a catalogue wants resident, models first.
+    """Return the models and adapters that a catalogue requires, models first.
 
     :param declared: the catalogue.
     """
-    spare_by_model = collections.Counter()
+    adapter_reserve_by_model = collections.Counter()
     version_by_model = {item.name: item.version for item in declared.models}
     for adapter in declared.adapters:
-        spare_by_model[adapter.model] += adapter.memory_mb
+        adapter_reserve_by_model[adapter.model] += adapter.memory_mb
     models = [
         fleet.Need(
             item.name,
             item.version,
             item.memory_mb + item.working_mb,
-            spare_by_model[item.name],
+            adapter_reserve_by_model[item.name],
             item.replicas,
         )
         for item in declared.models
--- a/packages/mothworks/src/mothworks/relocations.py
+++ b/packages/mothworks/src/mothworks/relocations.py
@@ -1,9 +1,9 @@
 """Relocations: moves of models that operators ordered.
 
-A relocation loads the model, and the adapters that it has at its source, at
-the target; only when all are resident there, the source gives them up. So
-its callers always find a replica. A planner that dies in between leaves two
-replicas, of which the next planner keeps what demand needs.
+A relocation loads the model, and the adapters resident with it at the source,
+on the target. The source unloads them only once all are resident on the
+target, so that a replica is always available. If the planner fails in between,
+two replicas remain, and the next planner treats the surplus one as usual.
 """
 
 import attrs
@@ -11,19 +11,19 @@
 
 from mothworks import endpoints, fleet, move_messages
 
-#: Time after which a relocation that makes no progress is given up, seconds.
+#: Time after which an unfinished relocation is abandoned, seconds.
 PATIENCE_S = 600.0
 
 
 @attrs.define
 class Relocation:
-    """A move of one model.
+    """A move of one model between two endpoints.
 
     :param model: the model.
-    :param source: the endpoint that gives it up.
-    :param target: the endpoint that gets it.
+    :param source: the endpoint that unloads it.
+    :param target: the endpoint that loads it.
     :param why: the reason, for the audit trail.
-    :param until: monotonic time when it is given up, seconds.
+    :param until: monotonic time at which it is abandoned, seconds.
     """
 
     model: str
@@ -34,74 +34,74 @@
 
 
 class Relocations:
-    """The relocations under way in one region."""
+    """The unfinished relocations of one region."""
 
     def __init__(self):
         self.by_model: dict[str, Relocation] = {}
 
     def accept(
-        self, planned: fleet.Fleet, wanted: Relocation
+        self, planned: fleet.Fleet, relocation: Relocation
     ) -> result.Result[None, str]:
-        """Begin a relocation.
+        """Start a relocation if it is possible.
 
         :param planned: the region's fleet.
-        :param wanted: the relocation.
-        :returns: or why it can't be done, with the numbers.
+        :param relocation: the relocation.
+        :returns: nothing, or the reason for rejecting it, with its numbers.
         """
-        problem = _problem(planned, wanted)
-        if problem is None and wanted.model in self.by_model:
-            problem = f"{wanted.model!r} is being moved already"
+        problem = _problem(planned, relocation)
+        if problem is None and relocation.model in self.by_model:
+            problem = f"{relocation.model!r} is being moved already"
         if problem is not None:
             return result.Err(problem)
-        self.by_model[wanted.model] = wanted
+        self.by_model[relocation.model] = relocation
         return result.Ok(None)
 
     def plan(
         self, planned: fleet.Fleet, now: float, loads: int
     ) -> list[move_messages.Move]:
-        """Return the moves to begin now; they are entered into the fleet.
+        """Return the moves to start now, applied to the fleet already.
 
         :param planned: the region's fleet.
         :param now: monotonic time, seconds.
-        :param loads: most loads.
+        :param loads: maximum loads.
         """
         moves = []
         for relocation in list(self.by_model.values()):
-            step = _step(planned, relocation, loads)
-            moves += step
-            loads -= sum(move.kind == endpoints.OrderKind.LOAD for move in step)
+            next_moves = _next_moves(planned, relocation, loads)
+            moves += next_moves
+            loads -= sum(move.kind == endpoints.OrderKind.LOAD for move in next_moves)
             if now > relocation.until or _is_done(planned, relocation):
                 del self.by_model[relocation.model]
         return moves
 
 
-def _problem(planned: fleet.Fleet, wanted: Relocation) -> str | None:
-    demanded = planned.demanded_by_name.get(wanted.model)
-    source = planned.site_by_name.get(wanted.source)
-    target = planned.site_by_name.get(wanted.target)
+def _problem(planned: fleet.Fleet, relocation: Relocation) -> str | None:
+    demanded = planned.demanded_by_name.get(relocation.model)
+    source = planned.site_by_name.get(relocation.source)
+    target = planned.site_by_name.get(relocation.target)
     if demanded is None or demanded.need.base:
-        return f"no model is named {wanted.model!r}"
+        return f"no model is named {relocation.model!r}"
     if source is None or target is None:
-        missing = wanted.source if source is None else wanted.target
+        missing = relocation.source if source is None else relocation.target
         return f"the planner has no report of an endpoint {missing!r} in its region"
     key = demanded.need.key
     if key not in source.memory_by_key or key in source.leaving | source.loading:
-        return f"{wanted.model!r} is not resident on {wanted.source!r}"
+        return f"{relocation.model!r} is not resident on {relocation.source!r}"
     if key in target.memory_by_key:
-        return f"{wanted.target!r} has {wanted.model!r} already"
+        return f"{relocation.target!r} has {relocation.model!r} already"
     if not target.open:
-        return f"{wanted.target!r} takes no new work"
-    needed_mb = sum(need.memory_mb for need in _needs(planned, wanted))
+        return f"{relocation.target!r} takes no new work"
+    needed_mb = sum(need.memory_mb for need in _needs(planned, relocation))
     if target.free_mb < needed_mb:
         return (
-            f"{wanted.target!r} has {target.free_mb} MB free; {wanted.model!r} "
+            f"{relocation.target!r} has {target.free_mb} MB free; {relocation.model!r} "
             f"and its adapters there need {needed_mb} MB"
         )
     return None
 
 
 def _needs(planned: fleet.Fleet, relocation: Relocation) -> list[fleet.Need]:
-    """Return what must be resident at the target: the model goes first."""
+    """Return what the target must load, the model first."""
     source = planned.site_by_name[relocation.source]
     adapters = planned.adapters_by_model.get(relocation.model, set())
     names = [relocation.model, *sorted(adapters)]
@@ -109,7 +109,7 @@
     return [needs[0], *(need for need in needs[1:] if need.key in source.memory_by_key)]
 
 
-def _step(
+def _next_moves(
     planned: fleet.Fleet, relocation: Relocation, loads: int
 ) -> list[move_messages.Move]:
     source = planned.site_by_name.get(relocation.source)
--- a/packages/mothworks/src/mothworks/room.py
+++ b/packages/mothworks/src/mothworks/room.py
@@ -1,4 +1,4 @@
-"""Room for a load: which residents may leave an endpoint for it."""
+"""Chooses the residents to evict from an endpoint for a load."""
 
 import collections
 import collections.abc
@@ -7,17 +7,19 @@
 
 from mothworks import fleet
 
-#: Returns the endpoints that a model could be loaded on.
-Candidates = collections.abc.Callable[[fleet.Fleet, fleet.Demanded], list[fleet.Site]]
+#: Returns the endpoints that can load a model.
+FindCandidates = collections.abc.Callable[
+    [fleet.Fleet, fleet.Demanded], list[fleet.Site]
+]
 
 
 @attrs.frozen
-class Place:
-    """An endpoint for a load, with what must leave it first.
+class PlacementCandidate:
+    """An endpoint for a load, with the evictions that the load requires.
 
     :param site: the endpoint.
     :param victims: keys to unload before the load.
-    :param gain: requests a second that come into their target.
+    :param gain: additional requests/s that meet their target.
     """
 
     site: fleet.Site
@@ -26,21 +28,21 @@
 
 
 @attrs.frozen
-class Copy:
-    """A load that lets a single replica leave another endpoint later.
+class ReplicaCopy:
+    """A load on another endpoint that makes the original replica evictable.
 
-    :param site: where to.
-    :param need: what is loaded.
+    :param site: the endpoint that loads the copy.
+    :param need: the model.
     """
 
     site: fleet.Site
     need: fleet.Need
 
 
-def victims(
+def find_victims(
     planned: fleet.Fleet, site: fleet.Site, need: fleet.Need
 ) -> tuple[tuple[str, str], ...] | None:
-    """Return residents that make room for a load without harm, or None.
+    """Return surplus residents to evict for a load, or None if too few.
 
     :param planned: the fleet.
     :param site: the endpoint.
@@ -49,10 +51,10 @@
     missing_mb = need.room_mb - site.free_mb
     if missing_mb <= 0:
         return ()
-    surplus = [key for key in site.memory_by_key if may_go(planned, site, key)]
-    surplus.sort(key=lambda key: (share(planned, site, key), key))
+    evictable = [key for key in site.memory_by_key if is_evictable(planned, site, key)]
+    evictable.sort(key=lambda key: (used_slots(planned, site, key), key))
     victims = []
-    for key in surplus:
+    for key in evictable:
         if missing_mb <= 0:
             break
         victims.append(key)
@@ -62,8 +64,12 @@
     return tuple(victims)
 
 
-def may_go(planned: fleet.Fleet, site: fleet.Site, key: tuple[str, str]) -> bool:
-    """Return whether a resident has enough replicas elsewhere.
+def is_evictable(planned: fleet.Fleet, site: fleet.Site, key: tuple[str, str]) -> bool:
+    """Return whether a resident is surplus.
+
+    It is if it is undeclared, if a new version is ready, or if enough other
+    replicas are ready. An adapter, and the model of an adapter's only
+    replica, are not.
 
     :param planned: the fleet.
     :param site: the endpoint.
@@ -85,8 +91,8 @@
     return len(others) >= item.need.replicas
 
 
-def share(planned: fleet.Fleet, site: fleet.Site, key: tuple[str, str]) -> float:
-    """Return the places that a resident fills.
+def used_slots(planned: fleet.Fleet, site: fleet.Site, key: tuple[str, str]) -> float:
+    """Return the batch slots that a resident's demand uses.
 
     :param planned: the fleet.
     :param site: the endpoint.
@@ -96,35 +102,42 @@
     return 0.0 if item is None else item.share_by_site.get(site.name, 0.0)
 
 
-def loss(planned: fleet.Fleet, site: fleet.Site, key: tuple[str, str]) -> float:
-    """Return the requests a second that an unload leaves unserved.
+def eviction_cost(
+    planned: fleet.Fleet, site: fleet.Site, key: tuple[str, str]
+) -> float:
+    """Return the requests/s that an eviction leaves unserved.
 
     :param planned: the fleet.
     :param site: the endpoint.
     :param key: name and version of the resident.
     """
-    places = share(planned, site, key)
-    if not places:
+    demanded_slots = used_slots(planned, site, key)
+    if not demanded_slots:
         return 0.0
     others = [other for other in planned.replicas(key[0]) if other is not site]
-    spare = sum(max(0.0, other.spare) for other in others)
+    free_slots = sum(max(0.0, other.free_slots) for other in others)
     service_s = planned.demanded_by_name[key[0]].service_s
-    return max(0.0, places - spare) / service_s
+    return max(0.0, demanded_slots - free_slots) / service_s
+
 
+def copies_before_eviction(
+    planned: fleet.Fleet,
+    site: fleet.Site,
+    need: fleet.Need,
+    find_candidates: FindCandidates,
+) -> list[ReplicaCopy]:
+    """Return copies to load elsewhere so that an endpoint can evict enough.
 
-def copies(
-    planned: fleet.Fleet, site: fleet.Site, need: fleet.Need, candidates: Candidates
-) -> list[Copy]:
-    """Return loads elsewhere after which a site can make room, or none.
+    Returns an empty list if copies would not help or none are needed.
 
     :param planned: the fleet.
-    :param site: the endpoint that is to make room.
-    :param need: what is to be loaded there.
-    :param candidates: finds endpoints for the copies.
+    :param site: the endpoint that evicts.
+    :param need: the model to load there.
+    :param find_candidates: returns the endpoints that can load a copy.
     """
     missing_mb = need.room_mb - site.free_mb
-    taken_mb: collections.Counter[str] = collections.Counter()
-    made = []
+    reserved_mb: collections.Counter[str] = collections.Counter()
+    copies_to_make = []
     for key in sorted(site.memory_by_key, key=site.memory_by_key.get):
         if missing_mb <= 0:
             break
@@ -134,17 +147,17 @@
         if key in site.leaving or key in site.loading:
             continue
         missing_mb -= site.memory_by_key[key]
-        if may_go(planned, site, key):
+        if is_evictable(planned, site, key):
             continue
         fitting = [
-            place
-            for place in candidates(planned, other)
-            if place is not site
-            and place.free_mb - taken_mb[place.name] >= other.need.room_mb
+            candidate
+            for candidate in find_candidates(planned, other)
+            if candidate is not site
+            and candidate.free_mb - reserved_mb[candidate.name] >= other.need.room_mb
         ]
         if not fitting:
             return []
-        tightest = min(fitting, key=lambda place: place.free_mb)
-        taken_mb[tightest.name] += other.need.room_mb
-        made.append(Copy(tightest, other.need))
-    return made if missing_mb <= 0 else []
+        least_free = min(fitting, key=lambda candidate: candidate.free_mb)
+        reserved_mb[least_free.name] += other.need.room_mb
+        copies_to_make.append(ReplicaCopy(least_free, other.need))
+    return copies_to_make if missing_mb <= 0 else []
--- a/packages/mothworks/tests/test_packing.py
+++ b/packages/mothworks/tests/test_packing.py
@@ -182,14 +182,14 @@
 
 
 def test_adapters_follow_their_model():
-    needs = [need("menu", spare_mb=5), need("menu-es", 5, base="menu")]
+    needs = [need("menu", adapter_reserve_mb=5), need("menu-es", 5, base="menu")]
     planned = made(needs)
     settle(planned, policy())
     assert holders(planned, "menu-es") == holders(planned, "menu")
 
 
 def test_an_adapters_demand_fills_its_models_places_once():
-    needs = [need("menu", spare_mb=5), need("menu-es", 5, base="menu")]
+    needs = [need("menu", adapter_reserve_mb=5), need("menu-es", 5, base="menu")]
     planned = made(needs, memories=(100,))
     settle(planned, policy())
     planned.set_demand("menu", 4.0, 1.0)
--- a/packages/mothworks/tests/test_planner.py
+++ b/packages/mothworks/tests/test_planner.py
@@ -89,7 +89,7 @@
 def test_an_endpoint_whose_owner_never_reports_stops_nothing():
     planning = Planning()
     planning.report(holdings("engine-0"))
-    assert planning.plan(region_plan.LISTEN_LONGEST_S)
+    assert planning.plan(region_plan.MAX_REPORT_WAIT_S)
 
 
 def test_loads_keep_to_the_weight_stores_rate_and_number():
@@ -109,7 +109,7 @@
     planning.report_empty()
     (lost,) = planning.plan()
     assert planning.plan() == []
-    again = planning.plan(region_plan.FORGOTTEN_S + 1)
+    again = planning.plan(region_plan.IDLE_MOVE_TIMEOUT_S + 1)
     assert [(move.kind, move.name) for move in again] == [(LOAD, lost.name)]
 
 
@@ -126,7 +126,7 @@
         pending_version="1",
     )
     planning.report(pending)
-    assert planning.plan(region_plan.FORGOTTEN_S + 60) == []
+    assert planning.plan(region_plan.IDLE_MOVE_TIMEOUT_S + 60) == []
 
 
 def test_an_older_report_is_left():
@@ -156,7 +156,7 @@
     book = demand.Book()
     book.take(demand.Counts(["menu"], [20], [0], [0]))
     book.update(1.0)
-    assert book.averages_by_name["menu"].places > 0
+    assert book.averages_by_name["menu"].batch_slots > 0
 
 
 def test_two_planners_cannot_overcommit():
