--- a/packages/mothworks/src/mothworks/endpoint_task.py
+++ b/packages/mothworks/src/mothworks/endpoint_task.py
@@ -1,7 +1,7 @@
-"""The task of one owned endpoint: takes its moves, one step after the other.
+"""The task of one owned endpoint: executes its moves step by step.
 
-A step that cannot be taken now is tried again after a pause; the task may be
-stopped at any step, since the ledger tells the next owner how to go on.
+A step that fails is retried after a pause. The task may be stopped at any
+step, since the next owner continues from the ledger.
 """
 
 import collections
@@ -27,22 +27,22 @@
 
 log = logbook.Logger("orders")
 
-#: Seconds between comparisons of a ledger with the endpoint's own report.
+#: Interval between comparisons of a ledger with the endpoint's report, seconds.
 RECONCILE_S = 5.0
-#: Pause after a step that failed, seconds.
+#: Pause after a failed step, seconds.
 RETRY_S = 0.5
-#: Pause before a ledger that is not understood is read again, seconds.
+#: Pause before an unreadable ledger is read again, seconds.
 UNREADABLE_S = 30.0
-#: Pause before an order of unknown outcome is repeated, seconds.
+#: Pause before an order with an unknown outcome is repeated, seconds.
 REPEAT_S = 0.3
-#: Most moves that wait for one endpoint.
+#: Maximum moves queued for one endpoint.
 QUEUE_LENGTH = 64
 
 
 class EndpointTask:
-    """The task of one endpoint.
+    """Executes the moves of one endpoint.
 
-    :param part: the part that it belongs to.
+    :param part: the part that runs the task.
     :param name: the endpoint's name.
     """
 
@@ -53,47 +53,47 @@
         declared = index.endpoint_by_name[name]
         adapter = part.health.adapters.get(declared.kind)
         late_order_s = index.catalogue.weights.late_order_s
-        self.mover = moves.Mover(declared, part.store, adapter, late_order_s)
-        self.offering = offering.Offering(part.kernel, name)
+        self.executor = moves.OrderExecutor(declared, part.store, adapter, late_order_s)
+        self.model_drain = offering.ModelDrain(part.kernel, name)
         self.queue: collections.deque[move_messages.Move] = collections.deque()
-        self.changed = gevent.event.Event()
+        self.wakeup = gevent.event.Event()
         self.reconciled_at = float("-inf")
-        #: The unload that requests in flight were waited for, by its id.
-        self.quiet_for = ""
-        self.reported: move_messages.Holdings | None = None
+        #: Id of the unload order whose model was drained last.
+        self.drained_order_id = ""
+        self.last_report: move_messages.Holdings | None = None
 
     def add(self, move: move_messages.Move) -> None:
-        """Queue a move, unless it is queued or the queue is full.
+        """Queue a move, unless it is queued already or the queue is full.
 
         :param move: the planner's move.
         """
         if move not in self.queue and len(self.queue) < QUEUE_LENGTH:
             self.queue.append(move)
-            self.changed.set()
+            self.wakeup.set()
 
     def run(self) -> None:
-        """Take steps until this VM no longer owns the endpoint."""
+        """Execute steps until the task is stopped."""
         while True:
             pause_s = self.take_step()
             if pause_s:
-                self.changed.wait(pause_s)
-                self.changed.clear()
+                self.wakeup.wait(pause_s)
+                self.wakeup.clear()
 
-    def report(self, again: bool = True) -> None:
-        """Tell the planner what the ledger holds, if it is known.
+    def report(self, force: bool = True) -> None:
+        """Report the ledger's content to the planner, if it has been read.
 
-        :param again: also where nothing changed since the last report.
+        :param force: report even if nothing changed since the last report.
         """
-        current = self.mover.current
+        current = self.executor.current
         if current is None:
             return
         holdings = self._holdings(current)
-        if again or holdings != self.reported:
-            self.reported = holdings
+        if force or holdings != self.last_report:
+            self.last_report = holdings
             self.part.report(holdings)
 
     def _holdings(self, current: ledger.Ledger) -> move_messages.Holdings:
-        capacity_mb = self.mover.endpoint.memory_mb
+        capacity_mb = self.executor.endpoint.memory_mb
         free_mb = capacity_mb - current.reserved_mb()
         intent = current.intent
         return move_messages.Holdings(
@@ -110,7 +110,7 @@
         )
 
     def under_way(self) -> list[row_classes.MoveRow]:
-        """Return the order that was sent, and the moves that wait behind it."""
+        """Return the order in progress and the moves queued behind it."""
         owner = self.part.kernel.settings.name
         rows = [
             row_classes.MoveRow(
@@ -118,7 +118,7 @@
             )
             for move in self.queue
         ]
-        current = self.mover.current
+        current = self.executor.current
         if current is not None and current.intent is not None:
             intent = current.intent
             sent = row_classes.MoveRow(
@@ -135,38 +135,40 @@
         return rows
 
     def take_step(self) -> float:
-        """Take one step; return the pause before the next, seconds."""
-        self._follow_catalogue()
-        if self.mover.current is None:
-            return self._pause_after(self.mover.look())
-        if self.mover.current.intent is not None:
-            return self._resolve()
-        now = self.mover.clock.monotonic()
-        if now - self.reconciled_at > RECONCILE_S or self._late_is_over():
+        """Execute one step; return the pause before the next, seconds."""
+        self._update_declaration()
+        if self.executor.current is None:
+            return self._pause_s_after(self.executor.read_ledger())
+        if self.executor.current.intent is not None:
+            return self._resolve_order()
+        now = self.executor.clock.monotonic()
+        if now - self.reconciled_at > RECONCILE_S or self._late_load_expired():
             return self._reconcile(now)
         if self.queue:
-            return self._begin(self.queue.popleft())
-        late = self.mover.current.fenced_late()
+            return self._start_move(self.queue.popleft())
+        late = self.executor.current.fenceable_late_load()
         if late is not None:
-            return self._free_late(late)
+            return self._fence_late_load(late)
         return RECONCILE_S
 
-    def _follow_catalogue(self) -> None:
+    def _update_declaration(self) -> None:
         index = self.part.configuration.index
         declared = index.endpoint_by_name.get(self.name)
         if declared is not None:
-            self.mover.endpoint = declared
-            self.mover.late_order_s = index.catalogue.weights.late_order_s
+            self.executor.endpoint = declared
+            self.executor.late_order_s = index.catalogue.weights.late_order_s
 
-    def _pause_after(self, step: result.Result) -> float:
+    def _pause_s_after(self, step: result.Result) -> float:
         match step:
             case result.Ok(_):
-                self.report(again=False)
+                self.report(force=False)
                 return 0.0
-            case result.Err(ledger_store.Lost()):
+            case result.Err(ledger_store.WriteConflict()):
                 return 0.0
             case result.Err(ledger_store.Unreadable(reason)):
-                log.warning("{}: no moves, {}", self.name, reason)
+                log.warning(
+                    "{}: moves paused, ledger unreadable: {}", self.name, reason
+                )
                 return UNREADABLE_S
             case result.Err(problem):
                 log.debug("{}: {}", self.name, problem)
@@ -174,81 +176,94 @@
 
     def _reconcile(self, now: float) -> float:
         models = self.part.configuration.index.model_by_name
-        working = {name: model.working_mb for name, model in models.items()}
-        step = self.mover.reconcile(working)
+        working_mb_by_name = {name: model.working_mb for name, model in models.items()}
+        step = self.executor.reconcile(working_mb_by_name)
         if step.is_ok():
             self.reconciled_at = now
-            if self.offering.is_reduced():
-                self.offering.restore()
-        return self._pause_after(step)
+            if self.model_drain.has_withheld():
+                self.model_drain.restore()
+        return self._pause_s_after(step)
 
-    def _late_is_over(self) -> bool:
-        now = self.mover.clock.wall()
-        return any(item.until <= now for item in self.mover.current.late)
+    def _late_load_expired(self) -> bool:
+        now = self.executor.clock.wall()
+        return any(item.until <= now for item in self.executor.current.late)
 
-    def _free_late(self, late: ledger.Holding) -> float:
-        """Make a fencing endpoint refuse late copies of a load."""
+    def _fence_late_load(self, late: ledger.Holding) -> float:
+        """Unload again, so that a fencing endpoint rejects late copies of a load."""
         kind = endpoints.OrderKind.UNLOAD
-        step = self.mover.intend(kind, late)
+        step = self.executor.write_intent(kind, late)
         if step.is_ok():
             why = "a copy of its load may be late"
-            self._record(kind, late, why, self.mover.current.fence)
-        return self._pause_after(step)
+            self._record_audit(kind, late, why, self.executor.current.fence)
+        return self._pause_s_after(step)
 
-    def _begin(self, move: move_messages.Move) -> float:
-        # The wire brings the kind as text.
+    def _start_move(self, move: move_messages.Move) -> float:
+        # The kind arrives as text in the message.
         kind = endpoints.OrderKind(move.kind)
         match kind:
             case endpoints.OrderKind.LOAD:
                 holding = self.part.make_holding(move.name, move.version)
             case endpoints.OrderKind.UNLOAD:
-                holding = self.mover.current.holding(move.name, move.version)
+                holding = self.executor.current.holding(move.name, move.version)
             case endpoints.OrderKind.ROLE:
                 holding = ledger.Holding(move.name, "", 0)
         if holding is None:
             return 0.0
         if kind is endpoints.OrderKind.UNLOAD:
-            self.offering.withhold(self.mover.current, holding)
-            if self.offering.is_last(self.mover.current, holding):
-                log.info("{}: {} is the last replica now", self.name, holding.name)
-                self.offering.restore()
+            self.model_drain.drain(self.executor.current, holding)
+            if self.model_drain.is_last_replica(self.executor.current, holding):
+                log.info(
+                    "{}: unload dropped; {} is the last replica",
+                    self.name,
+                    holding.name,
+                )
+                self.model_drain.restore()
                 return 0.0
-        step = self.mover.intend(kind, holding)
+        step = self.executor.write_intent(kind, holding)
         match step:
             case result.Ok(_):
-                self._record(kind, holding, move.why, self.mover.current.fence)
+                self._record_audit(kind, holding, move.why, self.executor.current.fence)
             case result.Err(problem):
-                # The planner decides anew from the next report. Kept here, the
-                # move would withhold its model while the object API is down.
-                log.debug("{}: {} not begun: {}", self.name, move, problem)
-                self.offering.restore()
-        return self._pause_after(step)
+                # The planner replans from the next report. Retrying the move here
+                # would withhold its model during an outage of the object API.
+                log.debug("{}: {} not started: {}", self.name, move, problem)
+                self.model_drain.restore()
+        return self._pause_s_after(step)
 
-    def _resolve(self) -> float:
-        intent = self.mover.current.intent
-        if intent.kind is endpoints.OrderKind.UNLOAD and self.quiet_for != intent.id:
-            # The owner that wrote this intent may be gone, and this one may
-            # have offered the model since.
-            self.offering.withhold(self.mover.current, intent.holding)
-            self.quiet_for = intent.id
-        due = self.mover.due()
-        if due is None:
+    def _resolve_order(self) -> float:
+        intent = self.executor.current.intent
+        if (
+            intent.kind is endpoints.OrderKind.UNLOAD
+            and self.drained_order_id != intent.id
+        ):
+            # Another owner may have written this intent, and this VM may have
+            # announced the model since.
+            self.model_drain.drain(self.executor.current, intent.holding)
+            self.drained_order_id = intent.id
+        sendable = self.executor.sendable_intent()
+        if sendable is None:
             return 0.0
-        outcome = self.mover.send(due)
+        outcome = self.executor.send(sendable)
         match outcome:
             case result.Err(endpoints.OrderUnknown(reason)):
-                log.debug("{}: {} {}: {}", self.name, due.kind, due.id, reason)
+                log.debug(
+                    "{}: {} {}: {}",
+                    self.name,
+                    sendable.kind,
+                    sendable.id,
+                    reason,
+                )
                 return REPEAT_S
-        step = self.mover.settle(due, outcome)
+        step = self.executor.write_outcome(sendable, outcome)
         if step.is_ok():
             word = "done" if outcome.is_ok() else "refused"
-            self.part.moves_total.inc({"kind": due.kind, "outcome": word})
+            self.part.moves_total.inc({"kind": sendable.kind, "outcome": word})
             if outcome.is_err():
-                log.warning("{}: {}: {}", self.name, due, outcome.err())
-            self.offering.restore()
-        return self._pause_after(step)
+                log.warning("{}: {}: {}", self.name, sendable, outcome.err())
+            self.model_drain.restore()
+        return self._pause_s_after(step)
 
-    def _record(
+    def _record_audit(
         self,
         kind: endpoints.OrderKind,
         holding: ledger.Holding,
--- a/packages/mothworks/src/mothworks/ledger.py
+++ b/packages/mothworks/src/mothworks/ledger.py
@@ -1,12 +1,12 @@
 """The ledger: the durable record of one endpoint's accelerator memory.
 
-An order is sent only after its intent and its memory were written here by a
-conditional update, and it carries the fencing number of that write. Memory is
-free again only when nothing can take it any more: neither a resident, nor an
-order of unknown outcome, nor a copy of an order that is still on its way.
+An order is sent only after its intent, which reserves its memory, was written
+by a conditional update. The order carries the fencing number of that write.
+Memory is released only when nothing can use it any more: no resident, no order
+with an unknown outcome, and no delayed copy of an order.
 
-The functions of this module take a ledger and return the next one; writing
-it is the business of :mod:`mothworks.ledger_store`.
+The functions of this module take a ledger and return the next one;
+:mod:`mothworks.ledger_store` writes it.
 """
 
 import collections.abc
@@ -16,18 +16,18 @@
 
 from mothworks import endpoints
 
-#: Wall time that never comes, seconds.
+#: Wall time that is never reached, seconds.
 NEVER = 1e12
 
 
 @attrs.frozen
 class Holding:
-    """A model or adapter that takes memory.
+    """A model or adapter that occupies memory.
 
     :param name: the model or adapter.
     :param version: the model's version.
     :param memory_mb: its weights, MB.
-    :param working_mb: room that is kept beside the weights, MB.
+    :param working_mb: memory reserved in addition to the weights, MB.
     :param base: the model that an adapter belongs to; empty for a model.
     :param since: wall time since which it is known to be resident, seconds.
     """
@@ -41,22 +41,22 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """Return what tells two holdings apart."""
+        """Return the name and version, which identify the holding."""
         return (self.name, self.version)
 
     @property
     def reserved_mb(self) -> int:
-        """Return the memory that is kept for it, MB."""
+        """Return the memory that is reserved for it, MB."""
         return self.memory_mb + self.working_mb
 
 
 @attrs.frozen
 class Intent:
-    """An order that was, or is about to be, sent.
+    """An order that was sent or is about to be sent.
 
     :param id: the order's id.
-    :param kind: what is asked.
-    :param holding: what is loaded or unloaded; its name is the new role.
+    :param kind: the kind of order.
+    :param holding: what it loads or unloads; for a role, its name is the role.
     :param fence: the order's fencing number.
     """
 
@@ -66,7 +66,7 @@
     fence: int
 
     def order(self) -> endpoints.Order:
-        """Return the order as the endpoint gets it."""
+        """Return the order as sent to the endpoint."""
         item = self.holding
         return endpoints.Order(
             self.id,
@@ -80,16 +80,16 @@
 
 
 @attrs.frozen
-class Late:
-    """Memory that a copy of an earlier load may still take.
+class LateLoad:
+    """Memory that a delayed copy of an earlier load may still occupy.
 
-    It counts until a report that was asked for after ``until`` shows whether
-    a copy came. An endpoint that honours fencing numbers needs no such time:
-    an unload with a new number makes it refuse every copy.
+    It stays reserved until a report requested after ``until`` shows whether a
+    copy arrived. On an endpoint that honours fencing numbers no time limit is
+    needed: an unload with a new number makes it reject every copy.
 
-    :param holding: what the load would bring back.
+    :param holding: what the copy would load.
     :param until: wall time after which no copy can arrive, seconds;
-        :data:`NEVER` where only an unload ends it.
+        :data:`NEVER` if only an unload ends the reservation.
     """
 
     holding: Holding
@@ -98,14 +98,14 @@
 
 @attrs.frozen
 class Ledger:
-    """The record of one endpoint.
+    """The memory record of one endpoint.
 
     :param endpoint: its name.
-    :param fence: the highest fencing number given out.
-    :param nonce: tells this write from all others.
-    :param holdings: what is resident.
-    :param intent: the one order whose outcome is not known, if any.
-    :param late: memory that copies of earlier loads may still take.
+    :param fence: the highest fencing number issued.
+    :param nonce: identifies this write.
+    :param holdings: the residents.
+    :param intent: the order whose outcome is unknown, if any.
+    :param late: memory that delayed copies of earlier loads may still occupy.
     """
 
     endpoint: str
@@ -113,7 +113,7 @@
     nonce: str = ""
     holdings: tuple[Holding, ...] = ()
     intent: Intent | None = None
-    late: tuple[Late, ...] = ()
+    late: tuple[LateLoad, ...] = ()
 
     def holding(self, name: str, version: str) -> Holding | None:
         """Return a resident, or None.
@@ -121,26 +121,26 @@
         :param name: the model or adapter.
         :param version: its version.
         """
-        wanted = (name, version)
-        return next((item for item in self.holdings if item.key == wanted), None)
+        key = (name, version)
+        return next((item for item in self.holdings if item.key == key), None)
 
     def reserved_mb(self) -> int:
-        """Return the memory that is not free, MB.
+        """Return the reserved memory, MB.
 
-        A late copy of a load that is resident or pending brings back the same
-        weights, so that each model counts once; where the declared size has
-        changed in between, the larger one counts.
+        A late copy of a load loads the same weights as the resident or the
+        pending load, so each model counts once. If its declared size changed
+        in between, the larger size counts.
         """
-        most_by_key: dict[tuple[str, str], int] = {}
+        size_by_key: dict[tuple[str, str], int] = {}
         for item in self._reserved():
-            most = max(item.reserved_mb, most_by_key.get(item.key, 0))
-            most_by_key[item.key] = most
-        return sum(most_by_key.values())
+            size_mb = max(item.reserved_mb, size_by_key.get(item.key, 0))
+            size_by_key[item.key] = size_mb
+        return sum(size_by_key.values())
 
-    def fenced_late(self) -> Holding | None:
-        """Return late memory that an unload can free, or None."""
-        waiting = [item.holding for item in self.late if item.until == NEVER]
-        return waiting[0] if waiting else None
+    def fenceable_late_load(self) -> Holding | None:
+        """Return a late load whose memory an unload can release, or None."""
+        fenceable = [item.holding for item in self.late if item.until == NEVER]
+        return fenceable[0] if fenceable else None
 
     def _reserved(self) -> collections.abc.Iterator[Holding]:
         yield from self.holdings
@@ -150,18 +150,18 @@
 
 
 @attrs.frozen
-class NoRoom:
-    """A load does not fit.
+class InsufficientMemory:
+    """The endpoint lacks memory for a load.
 
-    :param missing_mb: how much memory is missing, MB.
+    :param missing_mb: memory that the load lacks, MB.
     """
 
     missing_mb: int
 
 
 @attrs.frozen
-class Busy:
-    """Another order's outcome is not known yet.
+class OrderPending:
+    """The outcome of another order is still unknown.
 
     :param order_id: that order.
     """
@@ -170,11 +170,11 @@
 
 
 @attrs.frozen
-class Needless:
-    """The order would change nothing."""
+class NoEffect:
+    """The order would have no effect."""
 
 
-IntentError = NoRoom | Busy | Needless
+IntentError = InsufficientMemory | OrderPending | NoEffect
 
 
 def intend(
@@ -184,32 +184,32 @@
     order_id: str,
     capacity_mb: int,
 ) -> result.Result[Ledger, IntentError]:
-    """Return the ledger with the intent of an order and its memory.
+    """Return the ledger with an order's intent, which reserves its memory.
 
     :param ledger: the ledger as last read.
-    :param kind: what is to be asked.
-    :param holding: what is to be loaded or unloaded.
+    :param kind: the kind of order.
+    :param holding: what to load or unload.
     :param order_id: the new order's id.
     :param capacity_mb: the endpoint's memory, MB.
     """
     if ledger.intent is not None:
-        return result.Err(Busy(ledger.intent.id))
+        return result.Err(OrderPending(ledger.intent.id))
     resident = ledger.holding(*holding.key)
     match kind:
         case endpoints.OrderKind.LOAD if resident is not None:
-            return result.Err(Needless())
+            return result.Err(NoEffect())
         case endpoints.OrderKind.UNLOAD if resident is not None:
             holding = resident
         case endpoints.OrderKind.UNLOAD:
             late = [item.holding for item in ledger.late]
             if holding.key not in {item.key for item in late}:
-                return result.Err(Needless())
+                return result.Err(NoEffect())
     fence = ledger.fence + 1
     intent = Intent(order_id, kind, holding, fence)
     intended = attrs.evolve(ledger, fence=fence, intent=intent)
     missing_mb = intended.reserved_mb() - capacity_mb
     if kind is endpoints.OrderKind.LOAD and missing_mb > 0:
-        return result.Err(NoRoom(missing_mb))
+        return result.Err(InsufficientMemory(missing_mb))
     return result.Ok(intended)
 
 
@@ -223,9 +223,9 @@
     """Return the ledger once the outcome of its intent is known.
 
     :param ledger: a ledger with an intent.
-    :param outcome: what the endpoint said.
-    :param fencing: whether it refuses orders with an old fencing number.
-    :param late_s: longest delay of a copy of an order, seconds.
+    :param outcome: the endpoint's reply.
+    :param fencing: whether the endpoint rejects orders with an old fencing number.
+    :param late_s: maximum delay of a copy of an order, seconds.
     :param now: wall time, seconds.
     """
     intent = ledger.intent
@@ -234,22 +234,22 @@
     match (intent.kind, outcome):
         case (endpoints.OrderKind.LOAD, result.Ok(_)):
             resident = attrs.evolve(holding, since=now)
-            settled = _without_late(settled, holding)
+            settled = _remove_late(settled, holding)
             return attrs.evolve(settled, holdings=(*settled.holdings, resident))
-        case (endpoints.OrderKind.LOAD, result.Err(refused)):
-            # A copy of the refused load may still arrive and succeed, on a
-            # fencing endpoint too, because nothing newer has reached it.
+        case (endpoints.OrderKind.LOAD, result.Err(refusal)):
+            # A copy of the refused load may still arrive and succeed, even on a
+            # fencing endpoint, because no newer order has reached it.
             until = NEVER if fencing else now + late_s
-            fence = max(settled.fence, refused.highest_fence)
-            late = Late(holding, until)
+            fence = max(settled.fence, refusal.highest_fence)
+            late = LateLoad(holding, until)
             return attrs.evolve(settled, fence=fence, late=(*settled.late, late))
         case (endpoints.OrderKind.UNLOAD, result.Ok(_)) if fencing:
-            settled = _without_late(settled, holding)
-            return attrs.evolve(settled, holdings=_holdings_without(settled, holding))
+            settled = _remove_late(settled, holding)
+            return attrs.evolve(settled, holdings=_remove_holding(settled, holding))
         case (endpoints.OrderKind.UNLOAD, result.Ok(_)):
-            return _drop(settled, holding, holding.since + late_s)
-        case (_, result.Err(refused)):
-            fence = max(settled.fence, refused.highest_fence)
+            return _move_to_late(settled, holding, holding.since + late_s)
+        case (_, result.Err(refusal)):
+            fence = max(settled.fence, refusal.highest_fence)
             return attrs.evolve(settled, fence=fence)
     return settled
 
@@ -259,55 +259,55 @@
     residents: collections.abc.Sequence[Holding],
     fencing: bool,
     late_s: float,
-    asked: float,
+    requested_at: float,
 ) -> Ledger:
-    """Return the ledger as the endpoint's own report corrects it.
+    """Return the ledger corrected by the endpoint's own report.
 
-    The report must have been asked for after the ledger was read and while
-    it has no intent; a conditional write then proves that no order came
-    between.
+    The report must be requested after the ledger was read, and the ledger must
+    have no intent. A successful conditional write then proves that no order
+    came in between.
 
     :param ledger: a ledger without an intent.
-    :param residents: what the endpoint says is in its memory, or being loaded.
-    :param fencing: whether it refuses orders with an old fencing number.
-    :param late_s: longest delay of a copy of an order, seconds.
-    :param asked: wall time at which the report was asked for, seconds.
+    :param residents: what the endpoint reports as resident or being loaded.
+    :param fencing: whether the endpoint rejects orders with an old fencing number.
+    :param late_s: maximum delay of a copy of an order, seconds.
+    :param requested_at: wall time at which the report was requested, seconds.
     """
-    reported = {item.key: item for item in residents}
+    reported_by_key = {item.key: item for item in residents}
     for holding in ledger.holdings:
-        if holding.key not in reported:
-            # The endpoint restarted, or a late copy of an unload arrived. A
-            # copy of the load may arrive as well, on a fencing endpoint too,
+        if holding.key not in reported_by_key:
+            # The endpoint restarted, or a delayed copy of an unload arrived. A
+            # copy of the load may still arrive, even on a fencing endpoint,
             # because no order with a newer number has reached it.
             until = NEVER if fencing else holding.since + late_s
-            ledger = _drop(ledger, holding, until)
-    known = {item.key for item in ledger.holdings}
-    found = [
-        attrs.evolve(item, since=asked)
-        for key, item in reported.items()
-        if key not in known
+            ledger = _move_to_late(ledger, holding, until)
+    known_keys = {item.key for item in ledger.holdings}
+    new_holdings = [
+        attrs.evolve(item, since=requested_at)
+        for key, item in reported_by_key.items()
+        if key not in known_keys
     ]
-    holdings = (*ledger.holdings, *found)
-    late = tuple(item for item in ledger.late if item.until > asked)
+    holdings = (*ledger.holdings, *new_holdings)
+    late = tuple(item for item in ledger.late if item.until > requested_at)
     return attrs.evolve(ledger, holdings=holdings, late=late)
 
 
-def _drop(ledger: Ledger, holding: Holding, until: float) -> Ledger:
-    """Return the ledger without a resident whose load may come again.
+def _move_to_late(ledger: Ledger, holding: Holding, until: float) -> Ledger:
+    """Return the ledger with a resident's memory reserved as a late load.
 
-    A copy of the load that was sent before its outcome was known may still
-    arrive and load the model once more; memory would be overcommitted by
-    whatever took its place. The last copy left before ``since``, so its
-    longest delay counts from there.
+    A copy of the load sent before its outcome was known may still arrive and
+    load the model again. If its memory were released, another load could
+    overcommit it. The last copy was sent before ``since``, so the maximum
+    delay counts from there.
     """
-    late = (*ledger.late, Late(holding, until))
-    return attrs.evolve(ledger, holdings=_holdings_without(ledger, holding), late=late)
+    late = (*ledger.late, LateLoad(holding, until))
+    return attrs.evolve(ledger, holdings=_remove_holding(ledger, holding), late=late)
 
 
-def _holdings_without(ledger: Ledger, holding: Holding) -> tuple[Holding, ...]:
+def _remove_holding(ledger: Ledger, holding: Holding) -> tuple[Holding, ...]:
     return tuple(item for item in ledger.holdings if item.key != holding.key)
 
 
-def _without_late(ledger: Ledger, holding: Holding) -> Ledger:
+def _remove_late(ledger: Ledger, holding: Holding) -> Ledger:
     late = tuple(item for item in ledger.late if item.holding.key != holding.key)
     return attrs.evolve(ledger, late=late)
--- a/packages/mothworks/src/mothworks/ledger_store.py
+++ b/packages/mothworks/src/mothworks/ledger_store.py
@@ -1,8 +1,8 @@
 """Reads and writes ledgers in the object API.
 
-One object for each endpoint, written by conditional update only. Every write
-carries a nonce of its own, by which a write whose reply was lost is
-recognised when the object is read back.
+Each endpoint has one object, written only by conditional updates. Every write
+carries its own nonce, which identifies a write whose reply was lost when the
+object is read back.
 """
 
 import uuid
@@ -17,11 +17,11 @@
 
 
 @attrs.frozen
-class Kept:
-    """A ledger as it was read or written.
+class StoredLedger:
+    """A ledger as last read or written.
 
     :param ledger: its content.
-    :param version: the object's version; None where there is no object.
+    :param version: the object's version; None if there is no object.
     """
 
     ledger: ledger.Ledger
@@ -29,40 +29,40 @@
 
 
 @attrs.frozen
-class Lost:
+class WriteConflict:
     """Another owner wrote the ledger; it must be read again."""
 
 
 @attrs.frozen
 class Unreadable:
-    """What is stored is not a ledger that this version understands.
+    """The stored ledger has a format that this version cannot read.
 
-    A later version may have stored more than this one knows; a write from
-    here would drop that, so the ledger is left alone.
+    A later version may have stored fields that this one does not know. A
+    write would drop them, so the ledger is not written.
 
-    :param reason: what is not understood.
+    :param reason: the parse error.
     """
 
     reason: str
 
 
 ReadError = objects.Unavailable | Unreadable
-StoreError = Lost | ReadError
+StoreError = WriteConflict | ReadError
 
 
 class LedgerStore:
-    """Ledgers in the object API.
+    """Stores ledgers in the object API.
 
     :param api: the object API's client.
-    :param patience_s: longest time to learn a write's outcome, seconds.
+    :param patience_s: timeout for determining a write's outcome, seconds.
     """
 
     def __init__(self, api: objects.Api, patience_s: float = objects.PATIENCE_S):
         self.api = api
         self.patience_s = patience_s
 
-    def read(self, endpoint: str) -> result.Result[Kept, ReadError]:
-        """Read an endpoint's ledger; an empty one where there is none.
+    def read(self, endpoint: str) -> result.Result[StoredLedger, ReadError]:
+        """Read an endpoint's ledger; return an empty one if none is stored.
 
         :param endpoint: the endpoint's name.
         """
@@ -70,42 +70,42 @@
             case result.Ok(stored):
                 return _parse(stored)
             case result.Err(objects.Missing()):
-                return result.Ok(Kept(ledger.Ledger(endpoint), None))
+                return result.Ok(StoredLedger(ledger.Ledger(endpoint), None))
             case error:
                 return error
 
     def write(
-        self, kept: Kept, changed: ledger.Ledger
-    ) -> result.Result[Kept, StoreError]:
-        """Replace a ledger if nobody else did since it was read.
+        self, stored: StoredLedger, updated: ledger.Ledger
+    ) -> result.Result[StoredLedger, StoreError]:
+        """Replace a ledger unless it was replaced since it was read.
 
-        :param kept: the ledger as last read or written.
-        :param changed: its next state.
-        :returns: the ledger as it stands now.
+        :param stored: the ledger as last read or written.
+        :param updated: its next state.
+        :returns: the ledger as stored now.
         """
         nonce = uuid.uuid4().hex
-        changed = attrs.evolve(changed, nonce=nonce)
-        body = orjson.dumps(documents.plain(changed))
-        key = PREFIX + changed.endpoint
+        updated = attrs.evolve(updated, nonce=nonce)
+        body = orjson.dumps(documents.plain(updated))
+        key = PREFIX + updated.endpoint
         written = objects.put_known(
-            self.api, key, body, kept.version, nonce.encode(), self.patience_s
+            self.api, key, body, stored.version, nonce.encode(), self.patience_s
         )
         match written:
             case result.Ok(version):
-                return result.Ok(Kept(changed, version))
+                return result.Ok(StoredLedger(updated, version))
             case result.Err(objects.Unavailable() as problem):
                 return result.Err(problem)
-        # Also where this write may have taken effect: then the ledger that is
-        # read next holds its intent, and whoever reads it goes on from there.
-        return result.Err(Lost())
+        # This write may have taken effect all the same. The next read then
+        # returns its intent, and its reader continues from there.
+        return result.Err(WriteConflict())
 
 
-def _parse(stored: objects.Stored) -> result.Result[Kept, Unreadable]:
+def _parse(stored: objects.Stored) -> result.Result[StoredLedger, Unreadable]:
     try:
         value = orjson.loads(stored.body)
     except orjson.JSONDecodeError as error:
         return result.Err(Unreadable(f"{stored.key}: {error}"))
     read = documents.structure(value, ledger.Ledger, stored.key)
-    return read.map(lambda found: Kept(found, stored.version)).map_err(
+    return read.map(lambda parsed: StoredLedger(parsed, stored.version)).map_err(
         lambda problem: Unreadable(str(problem))
     )
--- a/packages/mothworks/src/mothworks/moves.py
+++ b/packages/mothworks/src/mothworks/moves.py
@@ -1,9 +1,9 @@
-"""Moves of one endpoint: each step from an intent to its known outcome.
+"""Executes the orders of one endpoint, from the intent to the known outcome.
 
-A :class:`Mover` takes one step at a time and keeps nothing that its
-successor needs: whoever reads the ledger can go on from any step. Two movers
-of the same endpoint are safe beside each other, because each step ends with
-a conditional update that at most one of them wins.
+An :class:`OrderExecutor` executes one step at a time and holds no state that
+its successor needs: the ledger allows any owner to continue from any step. Two
+executors of the same endpoint may run concurrently, because each step ends
+with a conditional update that at most one of them wins.
 """
 
 import time
@@ -15,14 +15,14 @@
 
 from mothworks import catalogue, endpoints, ledger, ledger_store
 
-#: Longest time between a look at the ledger and the sending of an order,
-#: seconds. A VM that was paused for longer looks again before it sends.
-SEND_WINDOW_S = 3.0
+#: Maximum age of the last ledger read or write when an order is sent, seconds.
+#: A VM that was paused for longer reads the ledger again before it sends.
+MAX_LEDGER_AGE_S = 3.0
 
 
 @attrs.frozen
 class Clock:
-    """The time that a mover goes by; tests have their own.
+    """Clocks of an executor; tests pass their own.
 
     :param wall: returns wall time, seconds.
     :param monotonic: returns monotonic time, seconds.
@@ -32,14 +32,14 @@
     monotonic: typing.Callable[[], float] = time.monotonic
 
 
-class Mover:
-    """Carries out the orders of one endpoint.
+class OrderExecutor:
+    """Executes the orders of one endpoint.
 
     :param endpoint: the endpoint.
-    :param store: where ledgers are kept.
-    :param adapter: speaks the endpoint's protocol.
-    :param late_order_s: longest delay of a copy of an order, seconds.
-    :param clock: the time.
+    :param store: stores the ledgers.
+    :param adapter: implements the endpoint's protocol.
+    :param late_order_s: maximum delay of a copy of an order, seconds.
+    :param clock: wall and monotonic clocks.
     """
 
     def __init__(
@@ -55,65 +55,65 @@
         self.adapter = adapter
         self.late_order_s = late_order_s
         self.clock = clock or Clock()
-        self.kept: ledger_store.Kept | None = None
-        self.looked_at = 0.0
+        self.stored: ledger_store.StoredLedger | None = None
+        self.read_at = 0.0
 
     @property
     def current(self) -> ledger.Ledger | None:
-        """Return the ledger as last read or written, or None before."""
-        return self.kept.ledger if self.kept else None
+        """Return the ledger as last read or written, or None if there is none."""
+        return self.stored.ledger if self.stored else None
 
-    def look(self) -> result.Result[None, ledger_store.ReadError]:
+    def read_ledger(self) -> result.Result[None, ledger_store.ReadError]:
         """Read the ledger."""
         now = self.clock.monotonic()
         return self.store.read(self.endpoint.name).map(
-            lambda kept: self._keep(kept, now)
+            lambda stored: self._set_stored(stored, now)
         )
 
-    def intend(
+    def write_intent(
         self, kind: endpoints.OrderKind, holding: ledger.Holding
     ) -> result.Result[None, ledger.IntentError | ledger_store.StoreError]:
         """Write the intent of an order.
 
-        :param kind: what is to be asked.
-        :param holding: what is to be loaded or unloaded.
+        :param kind: the kind of order.
+        :param holding: what to load or unload.
         """
-        intended = ledger.intend(
+        with_intent = ledger.intend(
             self.current,
             kind,
             holding,
             uuid.uuid4().hex,
             self.endpoint.memory_mb,
         )
-        return intended.and_then(self._write)
+        return with_intent.and_then(self._write)
 
-    def due(self) -> ledger.Intent | None:
+    def sendable_intent(self) -> ledger.Intent | None:
         """Return the intent whose order may be sent now.
 
-        A paused VM wakes with an old ledger in memory. Its order may be long
-        carried out and undone by another owner, and on an endpoint that
-        ignores fencing it would take memory that is in use. So an order
-        leaves only shortly after a look at the ledger; what the pause can
-        still hit is covered by ``late_order_s``.
+        A VM that resumes from a pause has an old ledger in memory. Another
+        owner may have executed and undone its order meanwhile; on an endpoint
+        that ignores fencing, the order would occupy memory that is in use. An
+        order is therefore sent only shortly after the ledger was read or
+        written; ``late_order_s`` covers shorter pauses.
         """
-        if self.clock.monotonic() - self.looked_at > SEND_WINDOW_S:
-            self.kept = None
+        if self.clock.monotonic() - self.read_at > MAX_LEDGER_AGE_S:
+            self.stored = None
             return None
         return self.current.intent if self.current else None
 
     def send(self, intent: ledger.Intent) -> result.Result:
         """Send one copy of an order.
 
-        :param intent: what :meth:`due` returned.
+        :param intent: what :meth:`sendable_intent` returned.
         """
         return self.adapter.order(self.endpoint, intent.order())
 
-    def settle(
+    def write_outcome(
         self,
         intent: ledger.Intent,
         outcome: result.Result[None, endpoints.OrderFailure],
     ) -> result.Result[None, ledger_store.StoreError]:
-        """Write what became of an order; nothing while that is unknown.
+        """Write the outcome of an order, unless it is unknown.
 
         :param intent: the order's intent.
         :param outcome: what :meth:`send` returned.
@@ -122,30 +122,30 @@
             case result.Err(endpoints.OrderUnknown()):
                 return result.Ok(None)
         if self.current is None or self.current.intent != intent:
-            return result.Err(ledger_store.Lost())
-        settled = ledger.settle(
+            return result.Err(ledger_store.WriteConflict())
+        with_outcome = ledger.settle(
             self.current,
             outcome,
             self.endpoint.fencing,
             self.late_order_s,
             self.clock.wall(),
         )
-        return self._write(settled)
+        return self._write(with_outcome)
 
     def reconcile(
         self, working_mb_by_name: dict[str, int]
     ) -> result.Result[None, ledger_store.StoreError | str]:
         """Correct the ledger by the endpoint's own report.
 
-        :param working_mb_by_name: room that models need beside their weights.
+        :param working_mb_by_name: memory that models need besides their weights, MB.
         """
         if self.current is None or self.current.intent is not None:
             return result.Ok(None)
-        asked = self.clock.wall()
+        requested_at = self.clock.wall()
         match self.adapter.report(self.endpoint):
             case result.Ok(report):
                 residents = [
-                    _found(item, working_mb_by_name)
+                    _to_holding(item, working_mb_by_name)
                     for item in (*report.residents, *report.loading)
                 ]
             case result.Err(reason):
@@ -155,28 +155,28 @@
             residents,
             self.endpoint.fencing,
             self.late_order_s,
-            asked,
+            requested_at,
         )
-        if corrected == self.current and self.kept.version is not None:
+        if corrected == self.current and self.stored.version is not None:
             return result.Ok(None)
         return self._write(corrected)
 
     def _write(
-        self, changed: ledger.Ledger
+        self, updated: ledger.Ledger
     ) -> result.Result[None, ledger_store.StoreError]:
         now = self.clock.monotonic()
-        written = self.store.write(self.kept, changed)
-        if written.is_err():
-            # Another owner may have gone on; what is kept here is history.
-            self.kept = None
-        return written.map(lambda kept: self._keep(kept, now))
+        write_result = self.store.write(self.stored, updated)
+        if write_result.is_err():
+            # Another owner may have changed the ledger; this copy is outdated.
+            self.stored = None
+        return write_result.map(lambda stored: self._set_stored(stored, now))
 
-    def _keep(self, kept: ledger_store.Kept, looked_at: float) -> None:
-        self.kept = kept
-        self.looked_at = looked_at
+    def _set_stored(self, stored: ledger_store.StoredLedger, read_at: float) -> None:
+        self.stored = stored
+        self.read_at = read_at
 
 
-def _found(
+def _to_holding(
     item: endpoints.Resident, working_mb_by_name: dict[str, int]
 ) -> ledger.Holding:
     working_mb = working_mb_by_name.get(item.name, 0)
--- a/packages/mothworks/src/mothworks/offering.py
+++ b/packages/mothworks/src/mothworks/offering.py
@@ -1,22 +1,22 @@
-"""What an endpoint is offered for, and when a resident may leave it.
+"""Drains a model on one endpoint before the model is unloaded.
 
-Before an unload its model is withheld: it is announced no longer, gets no
-slots, and requests that wait for it go elsewhere. Then the requests in flight
-are waited for.
+The endpoint first withholds the model: it is no longer announced, gets no
+batch slots, and requests waiting for it are sent to other endpoints. The drain
+then waits for the requests in flight.
 """
 
 import gevent
 
 from mothworks import configuration, health, kernel, ledger, placement, slots
 
-#: Time that entries need to hear that a model is not offered any more, seconds.
-ANNOUNCE_S = 1.0
-#: Pause between looks at the requests in flight, seconds.
-IN_FLIGHT_S = 0.1
+#: Time for entry VMs to learn that a model is withheld, seconds.
+PROPAGATION_S = 1.0
+#: Interval between checks for requests in flight, seconds.
+IN_FLIGHT_POLL_S = 0.1
 
 
-class Offering:
-    """The residents that one owned endpoint is offered for.
+class ModelDrain:
+    """Withholds and drains residents of one owned endpoint.
 
     :param node_kernel: the node's kernel.
     :param endpoint: the endpoint's name.
@@ -29,78 +29,78 @@
         self.placement = node_kernel.get(placement.Placement)
         self.slots = node_kernel.get(slots.Slots)
 
-    def withhold(self, current: ledger.Ledger, leaving: ledger.Holding) -> None:
-        """Wait until no request in flight needs a resident any more.
+    def drain(self, current: ledger.Ledger, resident: ledger.Holding) -> None:
+        """Withhold a model and wait until no request in flight uses it.
 
-        Memory of a late load needs no wait: nothing can be running there.
-        Where another version stays resident, new requests go to that one and
-        only the requests of this moment are waited for.
+        The memory of a late load needs no drain: no request can be running on
+        it. If another version stays resident, new requests use that version,
+        and only the requests running now are waited for.
 
         :param current: the endpoint's ledger.
-        :param leaving: the resident.
+        :param resident: the resident.
         """
-        if current.holding(*leaving.key) is None:
+        if current.holding(*resident.key) is None:
             return
-        names = self._needing(leaving)
-        if has_other_version(current, leaving):
-            waited_for = self._running(names)
-            while waited_for & self._running(names):
-                gevent.sleep(IN_FLIGHT_S)
+        names = self._dependent_names(resident)
+        if has_other_version(current, resident):
+            running_before = self._running(names)
+            while running_before & self._running(names):
+                gevent.sleep(IN_FLIGHT_POLL_S)
             return
         self.slots.withhold(self.endpoint, names)
-        gevent.sleep(ANNOUNCE_S)
+        gevent.sleep(PROPAGATION_S)
         while self._running(names):
-            gevent.sleep(IN_FLIGHT_S)
+            gevent.sleep(IN_FLIGHT_POLL_S)
 
-    def is_last(self, current: ledger.Ledger, leaving: ledger.Holding) -> bool:
-        """Return whether a declared model would answer nowhere without this.
+    def is_last_replica(self, current: ledger.Ledger, resident: ledger.Holding) -> bool:
+        """Return whether this is the last open replica of a declared model.
 
-        Two planners, in a partition that just ended, may each have given up
-        the other's replica. Both owners have withheld the model by now and
-        heard of each other, so that both see it here and keep it.
+        After a partition, two planners may each have unloaded the replica that
+        the other relied on. Both owners have withheld the model and announced
+        it by now, so both detect the conflict here and keep their replica.
 
         :param current: the endpoint's ledger.
-        :param leaving: the resident, already withheld.
+        :param resident: the resident, already withheld.
         """
         index = self.configuration.index
         declared = index.model_by_name | index.adapter_by_name
-        if leaving.name not in declared or has_other_version(current, leaving):
+        if resident.name not in declared or has_other_version(current, resident):
             return False
-        answering = self.placement.open_endpoints(leaving.name)
-        return not set(answering) - {self.endpoint}
+        open_endpoints = self.placement.open_endpoints(resident.name)
+        return not set(open_endpoints) - {self.endpoint}
 
     def restore(self) -> None:
-        """Offer every resident, after a fresh look at what is resident.
+        """Announce every resident again, after a new report from the endpoint.
 
-        The last regular report may still name a model that was just
-        unloaded; offering from that would send requests into refusals.
+        The last periodic report may still list a model that was just
+        unloaded; requests routed by it would be refused.
         """
-        fresh = self.health.refresh(self.endpoint)
-        if fresh and self.is_reduced():
+        refreshed = self.health.refresh(self.endpoint)
+        if refreshed and self.has_withheld():
             self.slots.withhold(self.endpoint, frozenset())
 
-    def is_reduced(self) -> bool:
+    def has_withheld(self) -> bool:
         """Return whether any resident is withheld."""
         return bool(self.health.withheld_by_endpoint.get(self.endpoint))
 
-    def _needing(self, leaving: ledger.Holding) -> frozenset[str]:
-        """Return the names whose requests need a resident."""
+    def _dependent_names(self, resident: ledger.Holding) -> frozenset[str]:
+        """Return the model and adapter names whose requests use a resident."""
         adapters = self.configuration.index.catalogue.adapters
-        adapting = [item.name for item in adapters if item.model == leaving.name]
-        return frozenset([leaving.name, *adapting])
+        adapter_names = [item.name for item in adapters if item.model == resident.name]
+        return frozenset([resident.name, *adapter_names])
 
     def _running(self, names: frozenset[str]) -> frozenset[str]:
         running = [self.slots.running(self.endpoint, name) for name in names]
         return frozenset().union(*running)
 
 
-def has_other_version(current: ledger.Ledger, leaving: ledger.Holding) -> bool:
-    """Return whether a model is resident in another version as well.
+def has_other_version(current: ledger.Ledger, resident: ledger.Holding) -> bool:
+    """Return whether another version of a model is resident too.
 
     :param current: the endpoint's ledger.
-    :param leaving: one version of the model.
+    :param resident: one version of the model.
     """
     return any(
-        item.name == leaving.name and item.version != leaving.version
+        item.name == resident.name and item.version != resident.version
         for item in current.holdings
     )
--- a/packages/mothworks/tests/movers.py
+++ b/packages/mothworks/tests/movers.py
@@ -1,7 +1,7 @@
-"""One endpoint, its ledger and two owners in memory, for tests of moves.
+"""An endpoint, its ledger and its owners in memory, for tests of moves.
 
-Time stands still until a test advances it. What happens to each copy of an
-order on its way is the test's choice.
+Time advances only when a test advances it. The test chooses how each copy of
+an order is delivered.
 """
 
 import enum
@@ -13,39 +13,39 @@
 from mothworks import endpoints, ledger, ledger_store, moves
 from mothworks_fakes import engine_memory
 
-LATE_S = 30.0
+LATE_ORDER_S = 30.0
 CAPACITY_MB = 100
 
 
-class Fate(enum.Enum):
-    """What befalls one copy of an order."""
+class Delivery(enum.Enum):
+    """How one copy of an order is delivered."""
 
-    #: It arrives, and so does the reply.
-    ARRIVES = "arrives"
-    #: It is lost.
+    #: The order and its reply arrive.
+    DELIVERED = "delivered"
+    #: The order is lost.
     LOST = "lost"
-    #: It arrives, but the reply is lost.
+    #: The order arrives; its reply is lost.
     REPLY_LOST = "reply lost"
-    #: It arrives later; the sender hears nothing.
+    #: The order arrives later; the sender gets no reply.
     DELAYED = "delayed"
-    #: It arrives now and once more later.
-    DOUBLED = "doubled"
+    #: The order arrives now and again later.
+    DUPLICATED = "duplicated"
 
 
 class Adapter(endpoints.Adapter):
-    """Brings orders to the engine's memory as fate has it."""
+    """Delivers orders to the engine's memory as the test chooses."""
 
     def __init__(self, world):
         self.world = world
-        self.fate = Fate.ARRIVES
+        self.delivery = Delivery.DELIVERED
 
     def order(self, endpoint, order):
-        if self.fate in (Fate.DELAYED, Fate.DOUBLED):
+        if self.delivery in (Delivery.DELAYED, Delivery.DUPLICATED):
             self.world.copies.append((order, self.world.now))
-        if self.fate in (Fate.LOST, Fate.DELAYED):
+        if self.delivery in (Delivery.LOST, Delivery.DELAYED):
             return result.Err(endpoints.OrderUnknown("no reply"))
-        reply = self.world.arrive(order)
-        if self.fate is Fate.REPLY_LOST:
+        reply = self.world.deliver(order)
+        if self.delivery is Delivery.REPLY_LOST:
             return result.Err(endpoints.OrderUnknown("no reply"))
         match reply:
             case engine_memory.Reply.DONE:
@@ -63,14 +63,14 @@
         loading = self.world.engine.loading_by_key.values()
         return result.Ok(
             endpoints.Report(
-                tuple(resident(item) for item in residents),
-                loading=tuple(resident(item) for item in loading),
+                tuple(to_resident(item) for item in residents),
+                loading=tuple(to_resident(item) for item in loading),
             )
         )
 
 
 class World:
-    """An engine, the object API, and owners that share them."""
+    """An engine and the object API, shared by all owners."""
 
     def __init__(self, fencing):
         self.now = 1000.0
@@ -80,51 +80,53 @@
         self.adapter = Adapter(self)
         self.endpoint = builders.endpoint(memory_mb=CAPACITY_MB, fencing=fencing)
 
-    def owner(self):
+    def new_owner(self):
         clock = moves.Clock(lambda: self.now, lambda: self.now)
         store = ledger_store.LedgerStore(self.api, patience_s=0.0)
-        return moves.Mover(self.endpoint, store, self.adapter, LATE_S, clock)
+        return moves.OrderExecutor(
+            self.endpoint, store, self.adapter, LATE_ORDER_S, clock
+        )
 
-    def arrive(self, order):
+    def deliver(self, order):
         item = engine_memory.Item(order.name, order.version, order.memory_mb)
-        arrived = engine_memory.Order(order.id, order.kind, item, order.fence)
-        return self.engine.take(arrived)
+        delivered = engine_memory.Order(order.id, order.kind, item, order.fence)
+        return self.engine.take(delivered)
 
     def finish_loads(self):
         for key in list(self.engine.loading_by_key):
             self.engine.finish(key)
 
-    def ready_owner(self):
+    def reconciled_owner(self):
         """Return an owner that has read and reconciled the ledger."""
-        owner = self.owner()
-        owner.look()
+        owner = self.new_owner()
+        owner.read_ledger()
         owner.reconcile({})
         return owner
 
 
-def resident(item):
+def to_resident(item):
     return endpoints.Resident(item.name, item.version, item.memory_mb)
 
 
-def run(owner, world, kind, holding):
-    """Carry out one move without any fault."""
-    owner.intend(kind, holding).unwrap()
-    resolve(owner, world)
+def execute_move(owner, world, kind, holding):
+    """Execute one move without faults."""
+    owner.write_intent(kind, holding).unwrap()
+    resolve_order(owner, world)
 
 
-def resolve(owner, world):
-    """Repeat the pending order until its outcome is known and written."""
+def resolve_order(owner, world):
+    """Repeat the pending order until its outcome is written."""
     for _ in range(10):
         if owner.current is None:
-            owner.look().unwrap()
+            owner.read_ledger().unwrap()
         if owner.current.intent is None:
             return
-        intent = owner.due()
+        intent = owner.sendable_intent()
         if intent is None:
             continue
-        owner.settle(intent, owner.send(intent))
+        owner.write_outcome(intent, owner.send(intent))
         world.finish_loads()
-    raise AssertionError("the order's outcome stays unknown")
+    raise AssertionError("the outcome of the order is still unknown")
 
 
 def holding(name="menu", memory_mb=60, version="1"):
--- a/packages/mothworks/tests/test_ledger_machine.py
+++ b/packages/mothworks/tests/test_ledger_machine.py
@@ -1,4 +1,4 @@
-"""Two owners of one endpoint, any faults in any order: memory always suffices."""
+"""Two owners of one endpoint, any faults in any order: no memory overcommit."""
 
 import hypothesis
 import hypothesis.stateful
@@ -14,23 +14,37 @@
     movers.holding("tickets", 60),
     movers.holding("status", 40),
 )
-#: Longest way of a copy of an order, so that pause and way fit into LATE_S.
-WAY_S = movers.LATE_S - moves.SEND_WINDOW_S - 1.0
+#: Maximum transit time of a copy of an order; with a pause, within LATE_ORDER_S.
+MAX_TRANSIT_S = movers.LATE_ORDER_S - moves.MAX_LEDGER_AGE_S - 1.0
 
 SECONDS = (1.0, 4.0, 12.0, 31.0)
-#: What may happen next; what is listed twice is twice as likely.
+#: Possible actions; an action listed twice is twice as likely.
 ACTIONS = (
     *("move", "move", "swap", "swap", "swap"),
-    *("look", "reconcile", "reconcile", "free_late"),
-    *("intend", "pick", "pick", "send", "send", "settle", "replace_owner"),
-    *("copy_arrives", "copy_arrives", "copy_arrives", "load_ends", "load_ends"),
-    *("time_passes", "time_passes", "engine_restarts", "load_fails"),
+    *("read_ledger", "reconcile", "reconcile", "fence_late_load"),
+    *(
+        "intend",
+        "pick_intent",
+        "pick_intent",
+        "send",
+        "send",
+        "settle",
+        "replace_owner",
+    ),
+    *(
+        "deliver_copy",
+        "deliver_copy",
+        "deliver_copy",
+        "finish_load",
+        "finish_load",
+    ),
+    *("advance_time", "advance_time", "restart_engine", "toggle_load_failure"),
 )
 
 owners = strategies.integers(0, 1)
 items = strategies.sampled_from(ITEMS)
-fates = strategies.sampled_from(
-    (*movers.Fate, movers.Fate.DELAYED, movers.Fate.DOUBLED)
+deliveries = strategies.sampled_from(
+    (*movers.Delivery, movers.Delivery.DELAYED, movers.Delivery.DUPLICATED)
 )
 write_faults = strategies.sampled_from(
     (None, None, None, stored.Fault.LOST, stored.Fault.DROPPED, stored.Fault.DOWN)
@@ -38,14 +52,14 @@
 
 
 class LedgerMachine(hypothesis.stateful.RuleBasedStateMachine):
-    """Every step of a move is a rule, so that anything may come between."""
+    """Every step of a move is a separate action, so that any other may intervene."""
 
     @hypothesis.stateful.initialize(fencing=strategies.booleans())
-    def begin(self, fencing):
+    def set_up(self, fencing):
         self.fencing = fencing
         self.world = movers.World(fencing)
-        self.movers = [self.world.owner(), self.world.owner()]
-        self.picked = [None, None]
+        self.executors = [self.world.new_owner(), self.world.new_owner()]
+        self.picked_intents = [None, None]
         self.outcomes = [None, None]
 
     @hypothesis.stateful.rule(
@@ -53,139 +67,141 @@
         owner=owners,
         item=items,
         load=strategies.booleans(),
-        fates=strategies.tuples(fates, fates),
+        deliveries=strategies.tuples(deliveries, deliveries),
         fault=write_faults,
         number=strategies.integers(0, 9),
     )
-    def act(self, action, owner, item, load, fates, fault, number):
-        # One rule for all actions: hypothesis leaves whole rules out of a run,
-        # and a run without, say, any send would test nothing.
+    def act(self, action, owner, item, load, deliveries, fault, number):
+        # One rule for all actions: hypothesis omits whole rules from some runs,
+        # and a run without any send would test nothing.
         match action:
             case "move":
-                self.whole_move(owner, item, load, *fates)
+                self.execute_move(owner, item, load, *deliveries)
             case "swap":
-                self.swap(owner, item, *fates)
+                self.swap(owner, item, *deliveries)
             case "intend":
                 self.intend(owner, item, load, fault)
             case "send":
-                self.send(owner, fates[0])
+                self.send(owner, deliveries[0])
             case "settle":
                 self.settle(owner, fault)
-            case "copy_arrives" | "load_ends":
+            case "deliver_copy" | "finish_load":
                 getattr(self, action)(number)
-            case "time_passes":
-                self.time_passes(SECONDS[number % len(SECONDS)])
-            case "engine_restarts" | "load_fails":
+            case "advance_time":
+                self.advance_time(SECONDS[number % len(SECONDS)])
+            case "restart_engine" | "toggle_load_failure":
                 getattr(self, action)()
             case _:
                 getattr(self, action)(owner)
 
-    def look(self, owner):
-        self.movers[owner].look()
+    def read_ledger(self, owner):
+        self.executors[owner].read_ledger()
 
     def reconcile(self, owner):
-        mover = self.movers[owner]
-        if mover.current is not None:
-            mover.reconcile({})
+        executor = self.executors[owner]
+        if executor.current is not None:
+            executor.reconcile({})
 
     def intend(self, owner, item, load, fault):
-        mover = self.movers[owner]
-        if mover.current is None or mover.kept.version is None:
+        executor = self.executors[owner]
+        if executor.current is None or executor.stored.version is None:
             return
         self._set_fault(fault)
         kind = endpoints.OrderKind.LOAD if load else endpoints.OrderKind.UNLOAD
-        mover.intend(kind, item)
+        executor.write_intent(kind, item)
         self.world.api.put_faults.clear()
 
-    def whole_move(self, owner, item, load, first, then):
-        mover = self.movers[owner]
-        mover.look()
-        mover.reconcile({})
-        if mover.current is not None and mover.current.intent is None:
+    def execute_move(self, owner, item, load, first, second):
+        executor = self.executors[owner]
+        executor.read_ledger()
+        executor.reconcile({})
+        if executor.current is not None and executor.current.intent is None:
             self.intend(owner, item, load, None)
-        for fate in (first, then, movers.Fate.ARRIVES):
-            if mover.current is not None and mover.current.intent is not None:
-                self.pick(owner)
-                self.send(owner, fate)
+        for delivery in (first, second, movers.Delivery.DELIVERED):
+            if executor.current is not None and executor.current.intent is not None:
+                self.pick_intent(owner)
+                self.send(owner, delivery)
                 self.world.finish_loads()
                 self.settle(owner, None)
 
-    def swap(self, owner, item, first, then):
-        """Make room for a load by unloading whatever is resident."""
-        mover = self.movers[owner]
-        mover.look()
-        for resident in mover.current.holdings:
+    def swap(self, owner, item, first, second):
+        """Unload all other residents, then load an item."""
+        executor = self.executors[owner]
+        executor.read_ledger()
+        for resident in executor.current.holdings:
             if resident.key != item.key:
-                self.whole_move(owner, resident, False, movers.Fate.ARRIVES, then)
-        self.free_late(owner)
-        self.pick(owner)
-        self.send(owner, movers.Fate.ARRIVES)
+                self.execute_move(
+                    owner, resident, False, movers.Delivery.DELIVERED, second
+                )
+        self.fence_late_load(owner)
+        self.pick_intent(owner)
+        self.send(owner, movers.Delivery.DELIVERED)
         self.settle(owner, None)
-        self.whole_move(owner, item, True, first, then)
+        self.execute_move(owner, item, True, first, second)
 
-    def free_late(self, owner):
-        mover = self.movers[owner]
-        late = mover.current.fenced_late() if mover.current else None
+    def fence_late_load(self, owner):
+        executor = self.executors[owner]
+        late = executor.current.fenceable_late_load() if executor.current else None
         if late is not None:
-            mover.intend(endpoints.OrderKind.UNLOAD, late)
+            executor.write_intent(endpoints.OrderKind.UNLOAD, late)
 
-    def pick(self, owner):
-        mover = self.movers[owner]
-        if mover.current is not None:
-            self.picked[owner] = mover.due()
+    def pick_intent(self, owner):
+        executor = self.executors[owner]
+        if executor.current is not None:
+            self.picked_intents[owner] = executor.sendable_intent()
             self.outcomes[owner] = None
 
-    def send(self, owner, fate):
-        intent = self.picked[owner]
+    def send(self, owner, delivery):
+        intent = self.picked_intents[owner]
         if intent is not None:
-            self.world.adapter.fate = fate
-            self.outcomes[owner] = self.movers[owner].send(intent)
+            self.world.adapter.delivery = delivery
+            self.outcomes[owner] = self.executors[owner].send(intent)
 
     def settle(self, owner, fault):
-        mover = self.movers[owner]
+        executor = self.executors[owner]
         if self.outcomes[owner] is not None:
             self._set_fault(fault)
-            if mover.current is not None:
-                mover.settle(self.picked[owner], self.outcomes[owner])
+            if executor.current is not None:
+                executor.write_outcome(self.picked_intents[owner], self.outcomes[owner])
             self.world.api.put_faults.clear()
-            self.picked[owner] = None
+            self.picked_intents[owner] = None
             self.outcomes[owner] = None
 
     def replace_owner(self, owner):
-        self.movers[owner] = self.world.owner()
-        self.picked[owner] = None
+        self.executors[owner] = self.world.new_owner()
+        self.picked_intents[owner] = None
         self.outcomes[owner] = None
 
-    def copy_arrives(self, index):
+    def deliver_copy(self, index):
         if self.world.copies:
             order, _ = self.world.copies.pop(index % len(self.world.copies))
-            self.world.arrive(order)
+            self.world.deliver(order)
 
-    def load_ends(self, index):
+    def finish_load(self, index):
         loading = list(self.world.engine.loading_by_key)
         if loading:
             self.world.engine.finish(loading[index % len(loading)])
 
-    def time_passes(self, seconds):
+    def advance_time(self, seconds):
         self.world.now += seconds
         if self.fencing:
             return
-        # An endpoint that ignores fencing is safe only from copies, and from
-        # pauses between a look and a send, that the setting covers.
+        # On an endpoint that ignores fencing, the setting covers only limited
+        # delays of copies and limited pauses between a ledger read and a send.
         self.world.copies = [
             (order, sent)
             for order, sent in self.world.copies
-            if self.world.now - sent <= WAY_S
+            if self.world.now - sent <= MAX_TRANSIT_S
         ]
-        for owner, mover in enumerate(self.movers):
-            paused = self.world.now - mover.looked_at > moves.SEND_WINDOW_S
+        for owner, executor in enumerate(self.executors):
+            paused = self.world.now - executor.read_at > moves.MAX_LEDGER_AGE_S
             if paused and self.outcomes[owner] is None:
-                self.picked[owner] = None
+                self.picked_intents[owner] = None
 
-    def engine_restarts(self):
+    def restart_engine(self):
         self.world.engine.restart()
 
-    def load_fails(self):
+    def toggle_load_failure(self):
         self.world.engine.bad_versions ^= {"1"}
 
     @hypothesis.stateful.invariant()
@@ -194,21 +210,21 @@
             assert self.world.engine.peak_mb <= movers.CAPACITY_MB
 
     def teardown(self):
-        """Once faults end, one owner resolves whatever was midway."""
+        """After the faults end, one owner completes all unfinished steps."""
         if not hasattr(self, "world"):
             return
         world = self.world
         world.engine.bad_versions = set()
-        world.adapter.fate = movers.Fate.ARRIVES
+        world.adapter.delivery = movers.Delivery.DELIVERED
         world.copies.clear()
-        world.now += movers.LATE_S + 1
-        last = world.owner()
-        last.look()
-        movers.resolve(last, world)
+        world.now += movers.LATE_ORDER_S + 1
+        final_owner = world.new_owner()
+        final_owner.read_ledger()
+        movers.resolve_order(final_owner, world)
         world.finish_loads()
-        last.reconcile({}).unwrap()
+        final_owner.reconcile({}).unwrap()
         resident = set(world.engine.resident_by_key)
-        assert {item.key for item in last.current.holdings} == resident
+        assert {item.key for item in final_owner.current.holdings} == resident
         assert world.engine.peak_mb <= movers.CAPACITY_MB
 
     def _set_fault(self, fault):
--- a/packages/mothworks/tests/test_orders.py
+++ b/packages/mothworks/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""An owner's task: what it refuses to do, and what it offers afterwards."""
+"""The endpoint task: refused unloads, and withheld models afterwards."""
 
 import unittest.mock
 
@@ -23,12 +23,12 @@
 
 
 @pytest.fixture
-def work(monkeypatch):
+def task(monkeypatch):
     """The task of an endpoint that holds the model ``menu``."""
     monkeypatch.setattr(gevent, "sleep", lambda seconds: None)
     world = movers.World(fencing=True)
-    owner = world.ready_owner()
-    movers.run(owner, world, endpoints.OrderKind.LOAD, movers.holding())
+    executor = world.reconciled_owner()
+    movers.execute_move(executor, world, endpoints.OrderKind.LOAD, movers.holding())
     declared = builders.declared(endpoints=(world.endpoint,), services=())
     part = unittest.mock.Mock()
     part.configuration.index = catalogue.Index(declared)
@@ -43,41 +43,41 @@
         slots.Slots: part.slots,
     }
     part.kernel.get.side_effect = stub_by_class.get
-    made = endpoint_task.EndpointTask(part, "engine-1")
-    made.mover = owner
-    made.reconciled_at = owner.clock.monotonic()
-    made.world = world
-    return made
+    task = endpoint_task.EndpointTask(part, "engine-1")
+    task.executor = executor
+    task.reconciled_at = executor.clock.monotonic()
+    task.world = world
+    return task
 
 
-def step(work, answering):
-    work.part.placement.open_endpoints.return_value = answering
-    work.add(UNLOAD)
-    work.take_step()
+def queue_and_step(task, open_endpoints):
+    task.part.placement.open_endpoints.return_value = open_endpoints
+    task.add(UNLOAD)
+    task.take_step()
 
 
-def test_an_unload_withholds_the_model_before_its_order(work):
-    step(work, answering=["engine-2"])
-    work.part.slots.withhold.assert_called_with("engine-1", frozenset(["menu"]))
-    assert work.mover.current.intent.kind is endpoints.OrderKind.UNLOAD
-    work.take_step()
-    assert work.world.engine.resident_by_key == {}
+def test_an_unload_withholds_the_model_before_its_order(task):
+    queue_and_step(task, open_endpoints=["engine-2"])
+    task.part.slots.withhold.assert_called_with("engine-1", frozenset(["menu"]))
+    assert task.executor.current.intent.kind is endpoints.OrderKind.UNLOAD
+    task.take_step()
+    assert task.world.engine.resident_by_key == {}
 
 
-def test_the_last_replica_is_kept_and_offered_again(work):
-    """Two planners, each with half of the region, gave up one replica each.
-    Both owners withheld the model; if both went on, nobody would answer.
+def test_the_last_replica_is_not_unloaded_and_is_announced_again(task):
+    """Two planners in a partitioned region each unload one replica. Both owners
+    have withheld the model; if both continued, no replica would remain.
     """
-    step(work, answering=[])
-    assert work.mover.current.intent is None
-    work.part.slots.withhold.assert_called_with("engine-1", frozenset())
+    queue_and_step(task, open_endpoints=[])
+    assert task.executor.current.intent is None
+    task.part.slots.withhold.assert_called_with("engine-1", frozenset())
 
 
-def test_an_outage_does_not_leave_a_model_withheld(work):
-    """The object API goes down when an unload begins. The model is resident
-    and must go on answering; the planner decides anew later.
+def test_an_outage_does_not_leave_a_model_withheld(task):
+    """The object API fails when an unload starts. The model is still resident
+    and must continue to serve; the planner replans later.
     """
-    work.world.api.down = True
-    step(work, answering=["engine-2"])
-    work.part.slots.withhold.assert_called_with("engine-1", frozenset())
-    assert not work.queue
+    task.world.api.down = True
+    queue_and_step(task, open_endpoints=["engine-2"])
+    task.part.slots.withhold.assert_called_with("engine-1", frozenset())
+    assert not task.queue
--- a/packages/mothworks/tests/test_planner.py
+++ b/packages/mothworks/tests/test_planner.py
@@ -164,11 +164,11 @@
     both fit alone, together they do not.
     """
     world = movers.World(fencing=False)
-    first, second = world.ready_owner(), world.ready_owner()
+    first, second = world.reconciled_owner(), world.reconciled_owner()
     menu, tickets = movers.holding("menu", 60), movers.holding("tickets", 60)
-    assert first.intend(endpoints.OrderKind.LOAD, menu).is_ok()
-    assert second.intend(endpoints.OrderKind.LOAD, tickets).is_err()
-    movers.resolve(first, world)
-    second.look()
-    assert second.intend(endpoints.OrderKind.LOAD, tickets).is_err()
+    assert first.write_intent(endpoints.OrderKind.LOAD, menu).is_ok()
+    assert second.write_intent(endpoints.OrderKind.LOAD, tickets).is_err()
+    movers.resolve_order(first, world)
+    second.read_ledger()
+    assert second.write_intent(endpoints.OrderKind.LOAD, tickets).is_err()
     assert world.engine.peak_mb <= movers.CAPACITY_MB
