--- a/packages/mothworks/src/mothworks/application.py
+++ b/packages/mothworks/src/mothworks/application.py
@@ -1,7 +1,7 @@
 """Endpoint plug-in ``application``: instances of plain services.
 
-Calls pass through unchanged; ``GET /health`` says whether an instance is
-ready, and a 503 there that it is leaving.
+Calls are passed on unchanged. ``GET /health`` reports whether an instance is
+ready; status 503 means that it is draining.
 """
 
 import result
@@ -11,7 +11,7 @@
 
 @plugins.register(plugins.ENDPOINT, "application")
 class Application(endpoints.Adapter):
-    """Speaks to plain services."""
+    """Implements the protocol of plain services."""
 
     def __init__(self):
         self.transport = transport.Transport()
@@ -21,7 +21,7 @@
     ) -> result.Result[endpoints.Answer, endpoints.SendFailure]:
         """Send a call; see :meth:`endpoints.Adapter.send`.
 
-        A service's own errors are its answer and are passed on.
+        Error responses of the service are passed on to the caller.
         """
         return self.transport.exchange(
             (endpoint.address, endpoint.port),
@@ -35,14 +35,14 @@
     def report(
         self, endpoint: catalogue.Endpoint
     ) -> result.Result[endpoints.Report, str]:
-        """Ask for health; see :meth:`endpoints.Adapter.report`."""
-        asked = self.transport.exchange(
+        """Request the health; see :meth:`endpoints.Adapter.report`."""
+        response = self.transport.exchange(
             (endpoint.address, endpoint.port), "GET", "/health", (), b""
         )
-        return asked.map_err(lambda failure: failure.reason).and_then(_report)
+        return response.map_err(lambda failure: failure.reason).and_then(_parse_report)
 
 
-def _report(answer: transport.HttpAnswer) -> result.Result[endpoints.Report, str]:
+def _parse_report(answer: transport.HttpAnswer) -> result.Result[endpoints.Report, str]:
     try:
         for _ in answer.chunks():
             pass
--- a/packages/mothworks/src/mothworks/endpoint_task.py
+++ b/packages/mothworks/src/mothworks/endpoint_task.py
@@ -256,8 +256,8 @@
                 return REPEAT_S
         step = self.executor.write_outcome(sendable, outcome)
         if step.is_ok():
-            word = "done" if outcome.is_ok() else "refused"
-            self.part.moves_total.inc({"kind": sendable.kind, "outcome": word})
+            outcome_label = "done" if outcome.is_ok() else "refused"
+            self.part.moves_total.inc({"kind": sendable.kind, "outcome": outcome_label})
             if outcome.is_err():
                 log.warning("{}: {}: {}", self.name, sendable, outcome.err())
             self.model_drain.restore()
--- a/packages/mothworks/src/mothworks/inventory.py
+++ b/packages/mothworks/src/mothworks/inventory.py
@@ -1,4 +1,4 @@
-"""Inventory: rows about what this VM knows without asking others."""
+"""Inventory: rows built from this VM's own state, without calls to other VMs."""
 
 import collections
 
@@ -14,9 +14,9 @@
     row_classes,
 )
 
-#: Endpoints after which a long listing lets other tasks run. Finding an
-#: owner hashes every VM of a data centre: at 4,700 endpoints a listing would
-#: otherwise hold up requests for a good part of a second.
+#: Endpoints after which a long listing yields to other tasks. Finding an owner
+#: hashes every VM of a data centre: with 4,700 endpoints, a listing that does
+#: not yield delays requests by a considerable part of a second.
 YIELD_EVERY = 20
 
 
@@ -60,10 +60,10 @@
         )
 
     def endpoints(self) -> list[row_classes.EndpointRow]:
-        """Return the declared endpoints; lets other tasks run in between."""
+        """Return the declared endpoints; yields to other tasks in between."""
         rows = []
-        for place, item in enumerate(self.configuration.index.catalogue.endpoints):
-            if place % YIELD_EVERY == 0:
+        for position, item in enumerate(self.configuration.index.catalogue.endpoints):
+            if position % YIELD_EVERY == 0:
                 gevent.sleep(0)
             rows.append(self.endpoint(item))
         return rows
@@ -88,7 +88,7 @@
         )
 
     def callers(self) -> list[row_classes.CallerRow]:
-        """Return the declared callers, without their keys' hashes."""
+        """Return the declared callers, without the hashes of their keys."""
         return [
             row_classes.CallerRow(
                 caller=item.name,
@@ -102,7 +102,7 @@
         ]
 
     def peers(self) -> list[row_classes.PeerRow]:
-        """Return the live VMs; lets other tasks run in between."""
+        """Return the live VMs; yields to other tasks in between."""
         owned = collections.Counter(row.owner for row in self.endpoints())
         return [
             row_classes.PeerRow(
@@ -119,7 +119,7 @@
         ]
 
     def accelerators(self) -> int:
-        """Return the accelerators of the endpoints that take work."""
+        """Return the number of accelerators of the endpoints that accept work."""
         return sum(
             item.accelerators
             for item in self.configuration.index.catalogue.endpoints
--- a/packages/mothworks/src/mothworks/placement.py
+++ b/packages/mothworks/src/mothworks/placement.py
@@ -1,8 +1,8 @@
-"""The placement map: which endpoints answer for a model now.
+"""The placement map: which endpoints serve a model now.
 
-Each endpoint's owner announces its state when it changes, once to each VM of
-its region. Every VM keeps the newest announcement of each endpoint and an
-index by model; :mod:`mothworks.placement_repair` brings what was missed.
+The owner of an endpoint announces each change of its state once to every VM of
+its region. Every VM stores the newest announcement of each endpoint and an
+index by model; :mod:`mothworks.placement_repair` supplies missed announcements.
 """
 
 import collections.abc
@@ -15,14 +15,14 @@
 
 from mothworks import configuration, kernel, membership, messages, peers, plugins
 
-#: Parts into which the map's digest is divided.
-BUCKETS = 64
-#: Bits of a sequence that tell VMs apart.
-VM_BITS = 16
+#: Number of buckets of the map's digest.
+BUCKET_COUNT = 64
+#: Low bits of a sequence that distinguish VMs.
+VM_SEQUENCE_BITS = 16
 
 
 class EndpointState(enum.StrEnum):
-    """Whether an endpoint takes new work."""
+    """Whether an endpoint accepts new work."""
 
     OPEN = "open"
     DRAINING = "draining"
@@ -35,7 +35,7 @@
     """An owner's announcement about one endpoint.
 
     :param endpoint: its name.
-    :param sequence: larger is newer, also across owners.
+    :param sequence: increases with each announcement, also across owners.
     :param state: an :class:`EndpointState`.
     :param models: names of its resident models and adapters.
     """
@@ -47,46 +47,48 @@
 
 
 class Digest:
-    """Hashes of the map, equal on two VMs that know the same announcements."""
+    """Hashes of the map, equal on VMs that store the same announcements."""
 
     def __init__(self):
-        self.hashes = [0] * BUCKETS
+        self.hashes = [0] * BUCKET_COUNT
 
-    def change(self, status: EndpointStatus) -> None:
-        """Take an announcement into the digest, or out of it again.
+    def toggle(self, status: EndpointStatus) -> None:
+        """Add an announcement to the digest, or remove it if it is included.
 
         :param status: the announcement.
         """
         value = xxhash.xxh64_intdigest(f"{status.endpoint}\0{status.sequence}".encode())
         self.hashes[bucket(status.endpoint)] ^= value
 
-    def whole(self) -> int:
-        """Return one hash of the whole map."""
-        joined = b"".join(item.to_bytes(8) for item in self.hashes)
-        return xxhash.xxh64_intdigest(joined)
+    def overall_hash(self) -> int:
+        """Return a single hash of the whole map."""
+        hash_bytes = b"".join(item.to_bytes(8) for item in self.hashes)
+        return xxhash.xxh64_intdigest(hash_bytes)
 
-    def differing(self, hashes: collections.abc.Sequence[int]) -> frozenset[int]:
+    def differing_buckets(
+        self, hashes: collections.abc.Sequence[int]
+    ) -> frozenset[int]:
         """Return the buckets in which another VM's map differs.
 
-        :param hashes: the other's hashes.
+        :param hashes: the other VM's hashes.
         """
         pairs = zip(self.hashes, hashes, strict=False)
         return frozenset(
-            place for place, (own, other) in enumerate(pairs) if own != other
+            index for index, (own, other) in enumerate(pairs) if own != other
         )
 
 
 def bucket(endpoint: str) -> int:
-    """Return the part of the digest that an endpoint belongs to.
+    """Return the bucket of the digest that an endpoint belongs to.
 
     :param endpoint: its name.
     """
-    return xxhash.xxh32_intdigest(endpoint.encode()) % BUCKETS
+    return xxhash.xxh32_intdigest(endpoint.encode()) % BUCKET_COUNT
 
 
 @plugins.register(plugins.PART, "placement")
 class Placement(kernel.Part):
-    """Keeps the newest status of every endpoint.
+    """Stores the newest status of every endpoint.
 
     :param node_kernel: the node's kernel.
     """
@@ -99,52 +101,54 @@
         self.status_by_endpoint: dict[str, EndpointStatus] = {}
         self.digest = Digest()
         self.endpoints_by_model: dict[str, set[str]] = {}
-        self.peers.handle(EndpointStatus, self._receive)
-        self.configuration.on_change.append(self._forget_undeclared)
+        self.peers.handle(EndpointStatus, self._handle_status)
+        self.configuration.on_change.append(self._remove_undeclared)
 
     def announce(
         self, endpoint: str, state: EndpointState, models: tuple[str, ...]
     ) -> None:
-        """Tell every VM about an endpoint, if anything changed.
+        """Announce an endpoint's status to every VM of the region, if it changed.
 
         :param endpoint: an endpoint that this VM owns.
-        :param state: whether it takes new work.
+        :param state: whether it accepts new work.
         :param models: names of its resident models and adapters.
         """
-        known = self.status_by_endpoint.get(endpoint)
-        if known is not None and (known.state, known.models) == (state, models):
+        current = self.status_by_endpoint.get(endpoint)
+        if current is not None and (current.state, current.models) == (state, models):
             return
-        status = EndpointStatus(endpoint, self._sequence(known), state, models)
-        self.take(status)
+        status = EndpointStatus(endpoint, self._next_sequence(current), state, models)
+        self.update(status)
         self.peers.send_all(status)
 
-    def _sequence(self, known: EndpointStatus | None) -> int:
-        """Return a sequence above all that this VM knows of.
+    def _next_sequence(self, current: EndpointStatus | None) -> int:
+        """Return a sequence above the current one.
 
-        Wall time lets a new owner, which may not have heard the last
-        announcement, go on above it; the maximum covers clock steps. Where
-        two VMs both believe they own an endpoint and announce in the same
-        millisecond, equal sequences would never be told apart again; the
-        last bits differ by VM.
+        A new owner may have missed the last announcement; wall time puts its
+        sequence above that one. The maximum covers backward clock steps. If
+        two VMs that both believe they own an endpoint announced in the same
+        millisecond, equal sequences would hide the difference for good, so
+        the low bits differ by VM.
         """
-        floor = (known.sequence >> VM_BITS) + 1 if known else 0
-        number = max(floor, time.time_ns() // 1_000_000)
-        vm = xxhash.xxh32_intdigest(self.kernel.settings.name.encode())
-        return (number << VM_BITS) | (vm & ((1 << VM_BITS) - 1))
+        minimum = (current.sequence >> VM_SEQUENCE_BITS) + 1 if current else 0
+        sequence_ms = max(minimum, time.time_ns() // 1_000_000)
+        vm_hash = xxhash.xxh32_intdigest(self.kernel.settings.name.encode())
+        return (sequence_ms << VM_SEQUENCE_BITS) | (
+            vm_hash & ((1 << VM_SEQUENCE_BITS) - 1)
+        )
 
-    def take(self, status: EndpointStatus) -> bool:
-        """Keep a status if it is newer than the one known.
+    def update(self, status: EndpointStatus) -> bool:
+        """Store a status if it is newer than the stored one.
 
         :param status: an announcement.
         :returns: whether it was newer.
         """
-        known = self.status_by_endpoint.get(status.endpoint)
-        if known is not None and known.sequence >= status.sequence:
+        current = self.status_by_endpoint.get(status.endpoint)
+        if current is not None and current.sequence >= status.sequence:
             return False
-        if known is not None:
-            self._forget(known)
-        # The same few names come with every announcement; one copy of each
-        # keeps thousands of statuses small.
+        if current is not None:
+            self._remove(current)
+        # Announcements repeat the same few names; interning them saves memory
+        # with thousands of statuses.
         models = tuple(sys.intern(name) for name in status.models)
         status = attrs.evolve(
             status, endpoint=sys.intern(status.endpoint), models=models
@@ -152,11 +156,11 @@
         for model in models:
             self.endpoints_by_model.setdefault(model, set()).add(status.endpoint)
         self.status_by_endpoint[status.endpoint] = status
-        self.digest.change(status)
+        self.digest.toggle(status)
         return True
 
     def open_endpoints(self, target: str) -> list[str]:
-        """Return the endpoints that take new work for a target.
+        """Return the endpoints that accept new work for a target.
 
         :param target: a model, adapter or service.
         """
@@ -164,7 +168,7 @@
         return [name for name in names if not self.why_closed(name, target)]
 
     def candidates(self, target: str) -> list[str]:
-        """Return the endpoints that have a target, open or not.
+        """Return the endpoints that hold a target, whether open or not.
 
         :param target: a model, adapter or service.
         """
@@ -174,17 +178,17 @@
         return sorted(self.endpoints_by_model.get(target, ()))
 
     def why_closed(self, name: str, target: str = "") -> str:
-        """Return why an endpoint takes no new work; empty where it does.
+        """Return why an endpoint accepts no new work, or an empty text if it does.
 
         :param name: the endpoint's name.
-        :param target: a model or adapter; an endpoint that an operator drains
-            takes work for it until it is loaded elsewhere.
+        :param target: a model or adapter; an endpoint drained by an operator
+            accepts work for it until it is loaded elsewhere.
         """
         status = self.status_by_endpoint.get(name)
         declared = self.configuration.index.endpoint_by_name.get(name)
         if declared is None:
             return "not declared"
-        if declared.drain and not self._is_last(name, target):
+        if declared.drain and not self._must_serve_while_draining(name, target):
             return "drained by an operator"
         if name in self.membership.leaving_endpoints:
             return "its VM is leaving"
@@ -194,36 +198,37 @@
             return status.state
         return ""
 
-    def _is_last(self, name: str, target: str) -> bool:
-        """Return whether a model waits to be loaded elsewhere.
+    def _must_serve_while_draining(self, name: str, target: str) -> bool:
+        """Return whether a drained endpoint must serve a model for now.
 
-        That is so while no other endpoint answers for it, and one is open that
-        could load it. Where none is, a drain closes the endpoint all the same.
-        A service cannot be loaded; its drained instances take nothing.
+        This holds while no other open endpoint serves the model and an open
+        endpoint could load it. Without such an endpoint the drain takes effect
+        at once. Services cannot be loaded, so their drained instances accept
+        no work.
         """
         if not self.endpoints_by_model.get(target):
             return False
-        holding = self.candidates(target)
-        if any(not self.why_closed(other) for other in holding if other != name):
+        holders = self.candidates(target)
+        if any(not self.why_closed(other) for other in holders if other != name):
             return False
         declared = self.configuration.index.catalogue.endpoints
-        engines = [item.name for item in declared if item.memory_mb]
-        return any(not self.why_closed(other) for other in engines)
+        model_endpoints = [item.name for item in declared if item.memory_mb]
+        return any(not self.why_closed(other) for other in model_endpoints)
 
-    def _forget(self, status: EndpointStatus) -> None:
+    def _remove(self, status: EndpointStatus) -> None:
         del self.status_by_endpoint[status.endpoint]
-        self.digest.change(status)
+        self.digest.toggle(status)
         for model in status.models:
             names = self.endpoints_by_model[model]
             names.discard(status.endpoint)
             if not names:
                 del self.endpoints_by_model[model]
 
-    def _forget_undeclared(self) -> None:
+    def _remove_undeclared(self) -> None:
         declared = self.configuration.index.endpoint_by_name
         for status in list(self.status_by_endpoint.values()):
             if status.endpoint not in declared:
-                self._forget(status)
+                self._remove(status)
 
-    def _receive(self, _: str, status: EndpointStatus, __: peers.Answer) -> None:
-        self.take(status)
+    def _handle_status(self, _: str, status: EndpointStatus, __: peers.Answer) -> None:
+        self.update(status)
--- a/packages/mothworks/src/mothworks/placement_repair.py
+++ b/packages/mothworks/src/mothworks/placement_repair.py
@@ -1,9 +1,9 @@
-"""Repair of the placement map: what announcements missed, by comparison.
+"""Repairs the placement map by comparison between VMs (anti-entropy).
 
-An announcement is lost on a VM that joins later, was cut off, or lost the
-connection: it would never route to the endpoint, or go on routing to one
-that drains. Two VMs compare one hash; where it differs, hashes of parts; and
-only in parts that differ the numbers of single announcements.
+A VM misses announcements sent before it joined or while it was partitioned or
+disconnected. It would then never route to an endpoint, or still route to one
+that drains. Two VMs first compare one hash of their maps; if it differs, the
+hashes of all buckets; and for differing buckets the sequences of announcements.
 """
 
 import random
@@ -13,29 +13,29 @@
 
 from mothworks import kernel, membership, messages, peers, placement, plugins
 
-#: Seconds between comparisons with a random VM of the region.
-REPAIR_S = 2.0
-#: Seconds between comparisons of a linking VM with another region.
-LINK_S = 5.0
-#: Time for a reply, seconds.
-REPLY_S = 2.0
+#: Interval between comparisons with a random VM of the region, seconds.
+REPAIR_INTERVAL_S = 2.0
+#: Interval between comparisons of a linking VM with other regions, seconds.
+LINK_INTERVAL_S = 5.0
+#: Timeout for a reply, seconds.
+REPLY_TIMEOUT_S = 2.0
 
 
 @messages.message(21)
 @attrs.frozen
 class MapDigest:
-    """Asks a VM for the hashes of its map, unless it is the sender's.
+    """Requests the bucket hashes of a VM's map if the maps differ.
 
-    :param whole: see :meth:`placement.Digest.whole`.
+    :param overall_hash: see :meth:`placement.Digest.overall_hash`.
     """
 
-    whole: int
+    overall_hash: int
 
 
 @messages.message(22)
 @attrs.frozen
 class MapHashes:
-    """The parts of a map's digest; none where the maps are equal.
+    """The bucket hashes of a map's digest; empty if the maps are equal.
 
     :param hashes: see :class:`placement.Digest`.
     """
@@ -46,9 +46,9 @@
 @messages.message(23)
 @attrs.frozen
 class MapVersions:
-    """The announcements that a VM knows in the parts that differ.
+    """The announcements that a VM stores in the differing buckets.
 
-    :param buckets: the parts.
+    :param buckets: the differing buckets.
     :param endpoints: names of endpoints.
     :param sequences: the sequence of each one's announcement.
     """
@@ -61,19 +61,19 @@
 @messages.message(24)
 @attrs.frozen
 class MapRows:
-    """What the sender of :class:`MapVersions` lacks, and what it is to send.
+    """Announcements that the sender of :class:`MapVersions` lacks or must send.
 
     :param rows: the fields of newer announcements.
-    :param wanted: endpoints whose announcement is older here.
+    :param requested: endpoints whose stored announcement is older here.
     """
 
     rows: tuple[tuple, ...] = attrs.field(converter=tuple)
-    wanted: tuple[str, ...] = attrs.field(converter=tuple)
+    requested: tuple[str, ...] = attrs.field(converter=tuple)
 
 
 @plugins.register(plugins.PART, "placement repair")
 class PlacementRepair(kernel.Part):
-    """Compares the placement map with other VMs.
+    """Compares the placement map with other VMs and repairs both.
 
     :param node_kernel: the node's kernel.
     """
@@ -84,14 +84,14 @@
         self.peers = node_kernel.get(peers.Peers)
         self.placement = node_kernel.get(placement.Placement)
         self.joined = False
-        self.membership.on_change.append(self._join)
+        self.membership.on_change.append(self._repair_after_join)
         self.peers.handle(MapDigest, self._serve_digest)
         self.peers.handle(MapVersions, self._serve_versions)
 
     def start(self) -> None:
-        """Start to compare."""
-        self.tasks.every(REPAIR_S, self.repair)
-        self.tasks.every(LINK_S, self.link_regions)
+        """Start the periodic comparisons."""
+        self.tasks.every(REPAIR_INTERVAL_S, self.repair)
+        self.tasks.every(LINK_INTERVAL_S, self.link_regions)
 
     def repair(self) -> None:
         """Compare with a random VM of the region."""
@@ -100,41 +100,41 @@
             self.compare(random.choice(near).name)
 
     def link_regions(self) -> None:
-        """Compare with other regions, if this VM links, and pass on the news."""
+        """Compare with other regions, if this VM links them, and relay updates."""
         for member in self.membership.far():
             for status in self.compare(member.name):
                 self.peers.send_all(status)
 
     def compare(self, vm: str) -> list[placement.EndpointStatus]:
-        """Bring this VM's map and another's up to date.
+        """Update this VM's map and another VM's from each other.
 
         :param vm: the other VM's name.
-        :returns: what was new here.
+        :returns: the announcements that were new here.
         """
         digest = self.placement.digest
-        match self.peers.call(vm, MapDigest(digest.whole()), REPLY_S):
+        match self.peers.call(vm, MapDigest(digest.overall_hash()), REPLY_TIMEOUT_S):
             case result.Ok(MapHashes(hashes)) if hashes:
-                buckets = digest.differing(hashes)
+                buckets = digest.differing_buckets(hashes)
             case _:
                 return []
-        match self.peers.call(vm, self._versions(buckets), REPLY_S):
-            case result.Ok(MapRows(rows, wanted)):
-                self._send(vm, wanted)
-                return self._take(rows)
+        match self.peers.call(vm, self._make_versions(buckets), REPLY_TIMEOUT_S):
+            case result.Ok(MapRows(rows, requested)):
+                self._send(vm, requested)
+                return self._apply_rows(rows)
         return []
 
-    def _join(self) -> None:
-        """Get the map as soon as there is another VM to get it from."""
+    def _repair_after_join(self) -> None:
+        """Fetch the map as soon as the region has another VM."""
         if not self.joined and self.membership.near():
             self.joined = True
             self.tasks.spawn(self.repair)
 
-    def _versions(self, buckets: frozenset[int]) -> MapVersions:
-        known = self._in_buckets(buckets)
+    def _make_versions(self, buckets: frozenset[int]) -> MapVersions:
+        statuses = self._in_buckets(buckets)
         return MapVersions(
             sorted(buckets),
-            [status.endpoint for status in known],
-            [status.sequence for status in known],
+            [status.endpoint for status in statuses],
+            [status.sequence for status in statuses],
         )
 
     def _in_buckets(self, buckets: frozenset[int]) -> list[placement.EndpointStatus]:
@@ -144,9 +144,9 @@
             if placement.bucket(status.endpoint) in buckets
         ]
 
-    def _take(self, rows: tuple[tuple, ...]) -> list[placement.EndpointStatus]:
+    def _apply_rows(self, rows: tuple[tuple, ...]) -> list[placement.EndpointStatus]:
         statuses = [placement.EndpointStatus(*row) for row in rows]
-        return [status for status in statuses if self.placement.take(status)]
+        return [status for status in statuses if self.placement.update(status)]
 
     def _send(self, vm: str, endpoints: tuple[str, ...]) -> None:
         for endpoint in endpoints:
@@ -154,18 +154,24 @@
             if status is not None:
                 self.peers.send(vm, status)
 
-    def _serve_digest(self, _: str, asked: MapDigest, answer: peers.Answer) -> None:
+    def _serve_digest(self, _: str, request: MapDigest, respond: peers.Answer) -> None:
         digest = self.placement.digest
-        answer(MapHashes(() if asked.whole == digest.whole() else digest.hashes))
+        respond(
+            MapHashes(
+                () if request.overall_hash == digest.overall_hash() else digest.hashes
+            )
+        )
 
-    def _serve_versions(self, _: str, asked: MapVersions, answer: peers.Answer) -> None:
-        pairs = zip(asked.endpoints, asked.sequences, strict=False)
+    def _serve_versions(
+        self, _: str, request: MapVersions, respond: peers.Answer
+    ) -> None:
+        pairs = zip(request.endpoints, request.sequences, strict=False)
         sequence_by_endpoint = dict(pairs)
         rows = []
-        for status in self._in_buckets(frozenset(asked.buckets)):
-            theirs = sequence_by_endpoint.pop(status.endpoint, 0)
-            if theirs < status.sequence:
+        for status in self._in_buckets(frozenset(request.buckets)):
+            peer_sequence = sequence_by_endpoint.pop(status.endpoint, 0)
+            if peer_sequence < status.sequence:
                 rows.append(attrs.astuple(status))
-            elif theirs > status.sequence:
-                sequence_by_endpoint[status.endpoint] = theirs
-        answer(MapRows(rows, list(sequence_by_endpoint)))
+            elif peer_sequence > status.sequence:
+                sequence_by_endpoint[status.endpoint] = peer_sequence
+        respond(MapRows(rows, list(sequence_by_endpoint)))
--- a/packages/mothworks/src/mothworks/vllm.py
+++ b/packages/mothworks/src/mothworks/vllm.py
@@ -1,7 +1,7 @@
 """Endpoint plug-in ``vllm``: engines with vLLM's HTTP interface.
 
-Requests go to ``/v1/chat/completions`` and ``/v1/completions``. Residents,
-load and orders use the agent's pages ``/state`` and ``/orders`` beside them.
+Requests use ``/v1/chat/completions`` and ``/v1/completions``. Reports of
+residents and load, and orders, use the agent's ``/state`` and ``/orders``.
 """
 
 import attrs
@@ -10,19 +10,19 @@
 
 from mothworks import catalogue, endpoints, plugins, requests, transport
 
-#: Header that asks an engine to leave out events that the caller has, and by
-#: which the engine confirms it.
-RESUME_OFFSET = "X-Resume-Offset"
-#: Statuses by which an engine refuses a request before running it: too busy,
-#: leaving, or the model was unloaded since the placement map was read.
+#: Header that requests a stream from an event offset; the engine confirms the
+#: offset in the same response header.
+RESUME_OFFSET_HEADER = "X-Resume-Offset"
+#: Statuses by which an engine refuses a request before running it: overloaded,
+#: draining, or the model was unloaded since the placement map was read.
 REFUSED_STATUSES = frozenset((404, 429, 503))
-#: Lowest status by which an engine says that it failed on a request.
-LOWEST_ERROR = 500
+#: Lowest status that reports a failure of the engine.
+MIN_ERROR_STATUS = 500
 
 
 @plugins.register(plugins.ENDPOINT, "vllm")
 class Vllm(endpoints.Adapter):
-    """Speaks to vLLM-style engines."""
+    """Implements the protocol of vLLM-style engines."""
 
     resumes = True
     preempts = True
@@ -36,8 +36,8 @@
         """Send a request; see :meth:`endpoints.Adapter.send`."""
         headers = [*request.headers, ("X-Request-Id", request.id)]
         if offset:
-            headers.append((RESUME_OFFSET, str(offset)))
-        sent = self.transport.exchange(
+            headers.append((RESUME_OFFSET_HEADER, str(offset)))
+        response = self.transport.exchange(
             (endpoint.address, endpoint.port),
             request.method,
             request.path,
@@ -45,47 +45,47 @@
             _with_priority(request) if endpoint.priorities else request.body,
             transport.Sending(fresh=not request.repeatable),
         )
-        return sent.and_then(_unless_refused).and_then(
-            lambda answer: _resumed(answer, offset)
+        return response.and_then(_check_refusal).and_then(
+            lambda answer: _check_resumption(answer, offset)
         )
 
     def report(
         self, endpoint: catalogue.Endpoint
     ) -> result.Result[endpoints.Report, str]:
-        """Ask for residents and load; see :meth:`endpoints.Adapter.report`."""
-        asked = self.transport.exchange(
+        """Request residents and load; see :meth:`endpoints.Adapter.report`."""
+        response = self.transport.exchange(
             (endpoint.address, endpoint.port), "GET", "/state", (), b""
         )
-        return asked.map_err(lambda failure: failure.reason).and_then(_report)
+        return response.map_err(lambda failure: failure.reason).and_then(_parse_report)
 
     def order(
         self, endpoint: catalogue.Endpoint, order: endpoints.Order
     ) -> result.Result[None, endpoints.OrderFailure]:
         """Send one copy of an order; see :meth:`endpoints.Adapter.order`."""
-        sent = self.transport.exchange(
+        response = self.transport.exchange(
             (endpoint.address, endpoint.port),
             "POST",
             "/orders",
             (("Content-Type", "application/json"),),
             orjson.dumps(attrs.asdict(order)),
         )
-        return sent.map_err(
+        return response.map_err(
             lambda failure: endpoints.OrderUnknown(failure.reason)
-        ).and_then(_order_outcome)
+        ).and_then(_parse_order_outcome)
 
 
 def _with_priority(request: requests.Request) -> bytes:
-    """Return the body with the class of the work as the engine's priority.
+    """Return the body with the caller's urgency as the engine's priority.
 
-    It goes last, where it also overrides one that the caller has written.
+    The field is appended last, so that it overrides one set by the caller.
     """
     rank = request.caller.urgency.rank
     body = request.body.rstrip()
     return body.removesuffix(b"}") + b',"priority":%d}' % rank
 
 
-def _unless_refused(answer: transport.HttpAnswer):
-    if answer.status < LOWEST_ERROR and answer.status not in REFUSED_STATUSES:
+def _check_refusal(answer: transport.HttpAnswer):
+    if answer.status < MIN_ERROR_STATUS and answer.status not in REFUSED_STATUSES:
         return result.Ok(answer)
     answer.close()
     refused = answer.status in REFUSED_STATUSES
@@ -94,23 +94,23 @@
     return result.Err(endpoints.SendFailure(reason, True, refused, answered=True))
 
 
-def _resumed(answer: transport.HttpAnswer, offset: int):
-    """Check that an engine that was asked to resume says that it does.
+def _check_resumption(answer: transport.HttpAnswer, offset: int):
+    """Check that the engine confirms a requested resumption.
 
-    One that ignores the header begins anew, and the caller would read the
-    start of the answer twice.
+    An engine that ignores the header restarts the stream, and the caller would
+    receive the start of the answer twice.
     """
     if not offset:
         return result.Ok(answer)
-    confirmed = dict(answer.headers).get(RESUME_OFFSET)
-    if answer.status == 200 and confirmed == str(offset):
+    confirmed_offset = dict(answer.headers).get(RESUME_OFFSET_HEADER)
+    if answer.status == 200 and confirmed_offset == str(offset):
         return result.Ok(answer)
     answer.close()
-    reason = "the endpoint cannot continue the stream"
+    reason = "the endpoint did not resume the stream"
     return result.Err(endpoints.SendFailure(reason, sent=True, refused=True))
 
 
-def _report(answer: transport.HttpAnswer) -> result.Result[endpoints.Report, str]:
+def _parse_report(answer: transport.HttpAnswer) -> result.Result[endpoints.Report, str]:
     try:
         body = b"".join(answer.chunks())
     except transport.FAILURES as error:
@@ -129,7 +129,7 @@
             )
         )
     except (ValueError, KeyError, TypeError) as error:
-        return result.Err(f"the endpoint's state is not understood: {error!r}")
+        return result.Err(f"the endpoint's state cannot be parsed: {error!r}")
 
 
 def _residents(items: list[dict]) -> tuple[endpoints.Resident, ...]:
@@ -139,7 +139,7 @@
     )
 
 
-def _order_outcome(
+def _parse_order_outcome(
     answer: transport.HttpAnswer,
 ) -> result.Result[None, endpoints.OrderFailure]:
     try:
@@ -153,7 +153,9 @@
         outcome = reply["outcome"]
         highest_fence = int(reply["highest_fence"])
     except (ValueError, KeyError, TypeError) as error:
-        return result.Err(endpoints.OrderUnknown(f"not understood: {error!r}"))
+        return result.Err(
+            endpoints.OrderUnknown(f"the reply cannot be parsed: {error!r}")
+        )
     match outcome:
         case "done":
             return result.Ok(None)
--- a/packages/mothworks/tests/movers.py
+++ b/packages/mothworks/tests/movers.py
@@ -111,10 +111,10 @@
 def execute_move(owner, world, kind, holding):
     """Execute one move without faults."""
     owner.write_intent(kind, holding).unwrap()
-    resolve_order(owner, world)
+    resolve(owner, world)
 
 
-def resolve_order(owner, world):
+def resolve(owner, world):
     """Repeat the pending order until its outcome is written."""
     for _ in range(10):
         if owner.current is None:
--- a/packages/mothworks/tests/test_ledger_machine.py
+++ b/packages/mothworks/tests/test_ledger_machine.py
@@ -220,7 +220,7 @@
         world.now += movers.LATE_ORDER_S + 1
         final_owner = world.new_owner()
         final_owner.read_ledger()
-        movers.resolve_order(final_owner, world)
+        movers.resolve(final_owner, world)
         world.finish_loads()
         final_owner.reconcile({}).unwrap()
         resident = set(world.engine.resident_by_key)
--- a/packages/mothworks/tests/test_moves.py
+++ b/packages/mothworks/tests/test_moves.py
@@ -100,7 +100,7 @@
     """A new owner resolves the pending order and reconciles the ledger."""
     owner = world.new_owner()
     owner.read_ledger().unwrap()
-    movers.resolve_order(owner, world)
+    movers.resolve(owner, world)
     owner.reconcile({}).unwrap()
     return owner
 
@@ -122,7 +122,7 @@
         if surplus:
             movers.execute_move(owner, world, UNLOAD, surplus[0])
         elif missing and owner.write_intent(LOAD, missing[0]).is_ok():
-            movers.resolve_order(owner, world)
+            movers.resolve(owner, world)
         elif late is not None:
             movers.execute_move(owner, world, UNLOAD, late)
         else:
@@ -171,7 +171,7 @@
     paused.write_intent(LOAD, MENU).unwrap()
     intent = paused.current.intent
     other.read_ledger()
-    movers.resolve_order(other, world)
+    movers.resolve(other, world)
     world.now += movers.LATE_ORDER_S + 1
     movers.execute_move(other, world, UNLOAD, MENU)
     other.reconcile({})
--- a/packages/mothworks/tests/test_packing.py
+++ b/packages/mothworks/tests/test_packing.py
@@ -1,4 +1,4 @@
-"""The placement policy: what is moved, in which order, and what is left alone."""
+"""The packing policy: which moves it plans, in which order, and which it does not."""
 
 import attrs
 import hypothesis
@@ -14,12 +14,12 @@
     return fleet.Need(name, "1", memory_mb, **changes)
 
 
-def made(needs, memories=(100, 100, 100), places=10.0):
+def make_fleet(needs, memories=(100, 100, 100), batch_slots=10.0):
     planned = fleet.Fleet()
     planned.declare(needs)
     for number, memory_mb in enumerate(memories):
         data_centre = f"dc-{number % 2}"
-        site = fleet.Site(f"engine-{number}", data_centre, memory_mb, places)
+        site = fleet.Site(f"engine-{number}", data_centre, memory_mb, batch_slots)
         site.free_mb = memory_mb
         planned.add(site)
     return planned
@@ -30,8 +30,8 @@
     return packing.Packing(catalogue.Weights(**fields))
 
 
-def finish(planned):
-    """Let all moves under way end."""
+def finish_moves(planned):
+    """Finish all moves in progress."""
     for site in planned.site_by_name.values():
         site.loading.clear()
         for key in list(site.leaving):
@@ -40,165 +40,165 @@
         planned.refresh(site)
 
 
-def settle(planned, chosen, passes=20):
+def run_passes(planned, packing_policy, passes=20):
     moves = []
     for _ in range(passes):
-        moves += chosen.plan(planned, 100)
-        finish(planned)
+        moves += packing_policy.plan(planned, 100)
+        finish_moves(planned)
     return moves
 
 
-def shown(moves):
+def kinds_and_names(moves):
     return [(move.kind, move.name) for move in moves]
 
 
-def holders(planned, name):
+def ready_endpoints(planned, name):
     return {site.name for site in planned.ready(name)}
 
 
-def test_what_is_resident_nowhere_goes_first():
-    """A data centre was lost while another model's demand grows. With one
-    load allowed, the model that answers nobody must get it.
+def test_models_resident_nowhere_are_loaded_first():
+    """A data centre is lost while another model's demand grows. If only one load
+    is allowed, the model without any replica must get it.
     """
-    planned = made([need("busy"), need("lost")])
-    chosen = policy(moves=0.1)
+    planned = make_fleet([need("busy"), need("lost")])
+    packing_policy = policy(moves=0.1)
     planned.load(planned.site_by_name["engine-0"], need("busy"))
-    finish(planned)
+    finish_moves(planned)
     planned.set_demand("busy", 50.0, 1.0)
-    assert shown(chosen.plan(planned, 1)) == [(LOAD, "lost")]
+    assert kinds_and_names(packing_policy.plan(planned, 1)) == [(LOAD, "lost")]
 
 
-def test_models_get_two_data_centres_and_then_nothing_moves():
-    planned = made([need("menu"), need("tickets")])
-    settle(planned, policy())
+def test_models_get_two_data_centres_and_then_no_moves():
+    planned = make_fleet([need("menu"), need("tickets")])
+    run_passes(planned, policy())
     for name in ("menu", "tickets"):
         centres = {site.data_centre for site in planned.ready(name)}
         assert centres == {"dc-0", "dc-1"}
-    assert settle(planned, policy()) == []
+    assert run_passes(planned, policy()) == []
 
 
-def test_models_nobody_asks_for_yet_are_spread_over_all_endpoints():
-    """A first catalogue, and loads that take no time: each load finds the first
-    endpoint free again. All models would come to stand on a few endpoints,
-    and the first requests would queue there while others are empty.
+def test_models_without_demand_are_spread_over_all_endpoints():
+    """A first catalogue with instant loads: each load finds the first endpoint
+    idle again. If all models were loaded there, the first requests would queue
+    on few endpoints while others stay empty.
     """
-    planned = made([need(f"model-{number}", 20) for number in range(3)])
-    chosen = policy()
+    planned = make_fleet([need(f"model-{number}", 20) for number in range(3)])
+    packing_policy = policy()
     for _ in range(3):
-        chosen.plan(planned, 1)
-        finish(planned)
+        packing_policy.plan(planned, 1)
+        finish_moves(planned)
     assert all(len(site.names) == 1 for site in planned.site_by_name.values())
 
 
 def test_a_replica_is_loaded_only_if_it_is_worth_its_moves():
-    planned = made([need("menu", 90)])
-    settle(planned, policy())
-    assert len(holders(planned, "menu")) == 2
+    planned = make_fleet([need("menu", 90)])
+    run_passes(planned, policy())
+    assert len(ready_endpoints(planned, "menu")) == 2
     planned.set_demand("menu", 21.0, 1.0)
-    assert settle(planned, policy(moves=5.0)) == []
+    assert run_passes(planned, policy(moves=5.0)) == []
     planned.set_demand("menu", 26.0, 1.0)
-    assert shown(settle(planned, policy(moves=5.0))) == [(LOAD, "menu")]
+    assert kinds_and_names(run_passes(planned, policy(moves=5.0))) == [(LOAD, "menu")]
 
 
 def test_a_deployment_that_weighs_only_moves_keeps_its_models_resident():
-    planned = made([need("menu", 90)])
+    planned = make_fleet([need("menu", 90)])
     planned.set_demand("menu", 40.0, 1.0)
-    settle(planned, policy(attainment=0.0))
-    assert len(holders(planned, "menu")) == 2
+    run_passes(planned, policy(attainment=0.0))
+    assert len(ready_endpoints(planned, "menu")) == 2
 
 
-def test_demand_that_goes_again_moves_nothing():
-    """Demand rises and falls every hour. Unloading in each lull would load
-    the model again in each rise.
+def test_temporary_demand_causes_no_moves():
+    """Demand rises and falls every hour. Unloading in each lull would cause a
+    load at each rise.
     """
-    planned = made([need("menu", 90)])
-    chosen = policy()
+    planned = make_fleet([need("menu", 90)])
+    packing_policy = policy()
     planned.set_demand("menu", 40.0, 1.0)
-    settle(planned, chosen)
+    run_passes(planned, packing_policy)
     for places in (0.0, 40.0, 0.0, 40.0):
         planned.set_demand("menu", places, 1.0)
-        assert settle(planned, chosen) == []
+        assert run_passes(planned, packing_policy) == []
 
 
 def test_a_last_replica_is_never_unloaded_for_demand():
-    planned = made([need("quiet", 60), need("busy", 60)], memories=(100, 100))
-    chosen = policy()
-    settle(planned, chosen)
+    planned = make_fleet([need("quiet", 60), need("busy", 60)], memories=(100, 100))
+    packing_policy = policy()
+    run_passes(planned, packing_policy)
     planned.set_demand("busy", 100.0, 1.0)
-    settle(planned, chosen)
-    assert holders(planned, "quiet")
+    run_passes(planned, packing_policy)
+    assert ready_endpoints(planned, "quiet")
 
 
-def test_room_is_made_by_copying_away_first():
-    """A large model was lost, and no endpoint has room for it although there
-    is enough memory in all. A small model has to go elsewhere; callers of the
-    small one would be refused if it were unloaded before its copy is ready.
+def test_a_needed_replica_is_copied_before_its_eviction():
+    """A large model is resident nowhere, and no endpoint has enough free memory
+    although the fleet has. A small model has to move to another endpoint; its
+    callers would be refused if it were unloaded before its copy is ready.
     """
     needs = [need("a", 50), need("b", 50), need("large", 90)]
-    planned = made(needs, memories=(100, 100))
+    planned = make_fleet(needs, memories=(100, 100))
     planned.load(planned.site_by_name["engine-0"], needs[0])
     planned.load(planned.site_by_name["engine-1"], needs[1])
-    finish(planned)
-    chosen = policy()
-    first = chosen.plan(planned, 10)
+    finish_moves(planned)
+    packing_policy = policy()
+    first = packing_policy.plan(planned, 10)
     assert [move.kind for move in first] == [LOAD]
-    finish(planned)
-    settle(planned, chosen)
-    assert all(holders(planned, item.name) for item in needs)
+    finish_moves(planned)
+    run_passes(planned, packing_policy)
+    assert all(ready_endpoints(planned, item.name) for item in needs)
 
 
-def test_a_new_version_is_ready_before_the_old_one_goes():
-    """An operator rolls a model over. Between an unload of the old version and
-    the load of the new one nobody would answer.
+def test_a_new_version_is_ready_before_the_old_one_is_unloaded():
+    """An operator updates a model's version. If the old version were unloaded
+    first, no replica would serve until the new one is loaded.
     """
-    planned = made([need("menu")], memories=(100,))
-    chosen = policy()
-    settle(planned, chosen)
+    planned = make_fleet([need("menu")], memories=(100,))
+    packing_policy = policy()
+    run_passes(planned, packing_policy)
     planned.declare([attrs.evolve(need("menu"), version="2")])
-    assert shown(chosen.plan(planned, 10)) == [(LOAD, "menu")]
-    assert chosen.plan(planned, 10) == []
-    finish(planned)
-    moves = chosen.plan(planned, 10)
+    assert kinds_and_names(packing_policy.plan(planned, 10)) == [(LOAD, "menu")]
+    assert packing_policy.plan(planned, 10) == []
+    finish_moves(planned)
+    moves = packing_policy.plan(planned, 10)
     assert [(move.kind, move.version) for move in moves] == [(UNLOAD, "1")]
 
 
-def test_what_is_not_declared_any_more_goes():
-    planned = made([need("menu"), need("tickets")])
-    chosen = policy()
-    settle(planned, chosen)
+def test_undeclared_models_are_unloaded():
+    planned = make_fleet([need("menu"), need("tickets")])
+    packing_policy = policy()
+    run_passes(planned, packing_policy)
     planned.declare([need("menu")])
-    assert {move.name for move in settle(planned, chosen)} == {"tickets"}
+    assert {move.name for move in run_passes(planned, packing_policy)} == {"tickets"}
 
 
-def test_a_closed_endpoint_is_replaced():
-    planned = made([need("menu")], memories=(100, 100, 100))
-    chosen = policy()
-    settle(planned, chosen)
-    for name in sorted(holders(planned, "menu")):
+def test_replicas_on_a_closed_endpoint_are_replaced():
+    planned = make_fleet([need("menu")], memories=(100, 100, 100))
+    packing_policy = policy()
+    run_passes(planned, packing_policy)
+    for name in sorted(ready_endpoints(planned, "menu")):
         site = planned.site_by_name[name]
         site.open = False
         planned.refresh(site)
-    assert shown(chosen.plan(planned, 1)) == [(LOAD, "menu")]
+    assert kinds_and_names(packing_policy.plan(planned, 1)) == [(LOAD, "menu")]
 
 
-def test_adapters_follow_their_model():
+def test_adapters_are_loaded_with_their_model():
     needs = [need("menu", adapter_reserve_mb=5), need("menu-es", 5, base="menu")]
-    planned = made(needs)
-    settle(planned, policy())
-    assert holders(planned, "menu-es") == holders(planned, "menu")
+    planned = make_fleet(needs)
+    run_passes(planned, policy())
+    assert ready_endpoints(planned, "menu-es") == ready_endpoints(planned, "menu")
 
 
-def test_an_adapters_demand_fills_its_models_places_once():
+def test_an_adapters_demand_uses_its_models_slots_once():
     needs = [need("menu", adapter_reserve_mb=5), need("menu-es", 5, base="menu")]
-    planned = made(needs, memories=(100,))
-    settle(planned, policy())
+    planned = make_fleet(needs, memories=(100,))
+    run_passes(planned, policy())
     planned.set_demand("menu", 4.0, 1.0)
     planned.set_demand("menu-es", 4.0, 1.0)
     assert planned.site_by_name["engine-0"].load == 4.0
 
 
 def test_loads_respect_the_weight_store():
-    planned = made([need(f"model-{n}", 10) for n in range(9)])
+    planned = make_fleet([need(f"model-{n}", 10) for n in range(9)])
     assert len(policy().plan(planned, 2)) == 2
 
 
@@ -208,19 +208,19 @@
     memories=strategies.lists(strategies.integers(60, 150), min_size=1, max_size=5),
     demands=strategies.lists(strategies.integers(0, 40), min_size=12, max_size=12),
 )
-def test_plans_never_overfill_and_end(sizes, memories, demands):
+def test_plans_never_overcommit_memory_and_converge(sizes, memories, demands):
     needs = [need(f"model-{number}", size) for number, size in enumerate(sizes)]
-    planned = made(needs, tuple(memories))
-    chosen = policy()
+    planned = make_fleet(needs, tuple(memories))
+    packing_policy = policy()
     for number, _ in enumerate(sizes):
         planned.set_demand(f"model-{number}", float(demands[number]), 1.0)
     for _ in range(60):
-        moves = chosen.plan(planned, 4)
+        moves = packing_policy.plan(planned, 4)
         for site in planned.site_by_name.values():
             staying = site.memory_by_key.keys() - site.leaving
             assert sum(site.memory_by_key[key] for key in staying) <= site.memory_mb
             assert site.load >= -1e-6
-        finish(planned)
+        finish_moves(planned)
         if not moves:
             break
     assert not moves
--- a/packages/mothworks/tests/test_placement_trial.py
+++ b/packages/mothworks/tests/test_placement_trial.py
@@ -1,4 +1,4 @@
-"""The trials of placement measure the same every time and never overcommit."""
+"""Placement trials are reproducible and never overcommit memory."""
 
 import attrs
 import pytest
@@ -11,18 +11,20 @@
 )
 
 
-def trial(policy):
+def run_trial(policy):
     trace = demand_traces.Trace(demand_traces.SIAMCREST, demand_traces.Shape.LOST, 0)
     return placement_trial.Trial(trace, policy).run()
 
 
 @pytest.mark.parametrize("policy", ["packing", "static", "lru", "recomputed"])
 def test_no_policy_overcommits_when_a_data_centre_is_lost(policy):
-    assert trial(policy).overcommitted == 0
+    assert run_trial(policy).overcommitted == 0
 
 
-def test_a_lost_data_centre_makes_no_model_unreachable():
-    measured = trial("packing")
+def test_no_model_is_unreachable_when_a_data_centre_is_lost():
+    measured = run_trial("packing")
     assert measured.restore_s == []
-    again = trial("packing")
-    assert attrs.evolve(measured, planner_s=0.0) == attrs.evolve(again, planner_s=0.0)
+    repeated = run_trial("packing")
+    assert attrs.evolve(measured, planner_s=0.0) == attrs.evolve(
+        repeated, planner_s=0.0
+    )
--- a/packages/mothworks/tests/test_placement_whole.py
+++ b/packages/mothworks/tests/test_placement_whole.py
@@ -1,4 +1,4 @@
-"""Placement with node processes: what is declared becomes and stays resident."""
+"""Placement with node processes: declared models become and stay resident."""
 
 import attrs
 import gevent
@@ -13,7 +13,7 @@
 MEMORY_MB = 50_000
 
 
-def chat(url, model):
+def send_chat(url, model):
     body = orjson.dumps({"model": model, "messages": [], "max_tokens": 2})
     headers = {"Authorization": f"Bearer {builders.CALLER_KEY}"}
     http = geventhttpclient.HTTPClient.from_url(url)
@@ -23,20 +23,20 @@
 
 
 def wait_for_answer(url, model):
-    processes.wait_until(lambda: chat(url, model) == 200, 30.0)
+    processes.wait_until(lambda: send_chat(url, model) == 200, 30.0)
 
 
-def resident(bed, endpoint):
+def resident_keys(bed, endpoint):
     return set(bed.fake_by_endpoint[endpoint].memory.resident_by_key)
 
 
-def names(bed, endpoint):
-    return {key[0] for key in resident(bed, endpoint)}
+def resident_names(bed, endpoint):
+    return {key[0] for key in resident_keys(bed, endpoint)}
 
 
 @pytest.fixture
 def deployment(bed):
-    """Two empty engines in two data centres, and a node in each."""
+    """Two engines without models in two data centres, and a node in each."""
     speed = engine.Speed(load_mb_per_s=40_000.0)
     engines = [
         bed.add_engine(
@@ -61,13 +61,13 @@
         assert fake.memory.peak_mb <= MEMORY_MB
 
 
-def change(bed, **fields):
+def apply_change(bed, **fields):
     bed.declared = attrs.evolve(bed.declared, **fields)
     bed.revision = bed.apply(bed.declared, bed.revision)
 
 
-class Calling:
-    """A caller that asks for a model without a pause, and counts refusals."""
+class RepeatingCaller:
+    """A caller that sends chat requests continuously and records the statuses."""
 
     def __init__(self, url, model):
         self.statuses = []
@@ -75,7 +75,7 @@
 
     def run(self, url, model):
         while True:
-            self.statuses.append(chat(url, model))
+            self.statuses.append(send_chat(url, model))
             gevent.sleep(0.02)
 
     def stop(self):
@@ -83,74 +83,88 @@
         assert set(self.statuses) == {200}
 
 
-def test_declared_models_are_loaded_and_answer(deployment):
-    wanted = {"menu", "tickets", "menu-es"}
+def test_declared_models_are_loaded_and_serve(deployment):
+    expected_names = {"menu", "tickets", "menu-es"}
     processes.wait_until(
-        lambda: names(deployment, "engine-1") == names(deployment, "engine-2") == wanted
+        lambda: (
+            resident_names(deployment, "engine-1")
+            == resident_names(deployment, "engine-2")
+            == expected_names
+        )
     )
     for node in deployment.node_by_name.values():
-        for name in wanted:
+        for name in expected_names:
             wait_for_answer(node.url, name)
 
 
-def test_rolling_over_draining_and_retiring_refuse_nobody(deployment):
-    """An operator rolls a model over, drains an endpoint and retires another
-    model, while a guest chats. The guest must get every answer.
+def test_updates_drains_and_retirements_refuse_no_request(deployment):
+    """An operator updates a model's version, drains an endpoint and retires
+    another model while a caller sends requests. Every request must succeed.
     """
     url = deployment.node_by_name["vm-1"].url
     for node in deployment.node_by_name.values():
         wait_for_answer(node.url, "menu")
-    calling = Calling(url, "menu")
+    caller = RepeatingCaller(url, "menu")
     models = (builders.model("menu", version="2"), builders.model("tickets"))
-    change(deployment, models=models)
+    apply_change(deployment, models=models)
     processes.wait_until(
         lambda: (
-            ("menu", "2") in resident(deployment, "engine-1")
-            and ("menu", "1") not in resident(deployment, "engine-1")
+            ("menu", "2") in resident_keys(deployment, "engine-1")
+            and ("menu", "1") not in resident_keys(deployment, "engine-1")
         ),
         40.0,
     )
-    change(deployment, models=models[:1])
-    processes.wait_until(lambda: "tickets" not in names(deployment, "engine-2"))
+    apply_change(deployment, models=models[:1])
+    processes.wait_until(
+        lambda: "tickets" not in resident_names(deployment, "engine-2")
+    )
     first, second = deployment.declared.endpoints
-    change(deployment, endpoints=(attrs.evolve(first, drain=True), second))
-    running = deployment.fake_by_endpoint["engine-1"]
-    processes.wait_until(lambda: running.running == 0)
-    asked = len(calling.statuses)
-    processes.wait_until(lambda: len(calling.statuses) > asked + 20)
-    calling.stop()
-
-
-def test_a_restarted_engine_is_filled_again_after_an_outage(deployment):
-    """The object API is down and an engine restarts empty. What the other
-    engine holds goes on answering; nothing is loaded, since no intent can be
-    written; after the outage the engine gets its models back.
+    apply_change(deployment, endpoints=(attrs.evolve(first, drain=True), second))
+    drained_engine = deployment.fake_by_endpoint["engine-1"]
+    processes.wait_until(lambda: drained_engine.running == 0)
+    answered_count = len(caller.statuses)
+    processes.wait_until(lambda: len(caller.statuses) > answered_count + 20)
+    caller.stop()
+
+
+def test_a_restarted_engine_is_reloaded_after_an_outage(deployment):
+    """The object API is down and an engine restarts without models. The other
+    engine continues to serve; nothing is loaded, since no intent can be
+    written. After the outage the engine's models are loaded again.
     """
     url = deployment.node_by_name["vm-1"].url
-    wanted = {"menu", "tickets", "menu-es"}
+    expected_names = {"menu", "tickets", "menu-es"}
     processes.wait_until(
-        lambda: names(deployment, "engine-1") == names(deployment, "engine-2") == wanted
+        lambda: (
+            resident_names(deployment, "engine-1")
+            == resident_names(deployment, "engine-2")
+            == expected_names
+        )
     )
     wait_for_answer(url, "menu")
     deployment.object_api.faults.outage = True
-    restarted = deployment.fake_by_endpoint["engine-1"]
-    orders = len(restarted.order_ids)
-    restarted.restart()
+    restarted_engine = deployment.fake_by_endpoint["engine-1"]
+    order_count = len(restarted_engine.order_ids)
+    restarted_engine.restart()
     wait_for_answer(url, "menu")
-    assert len(restarted.order_ids) == orders
+    assert len(restarted_engine.order_ids) == order_count
     deployment.object_api.faults.outage = False
-    processes.wait_until(lambda: names(deployment, "engine-1") == wanted, 40.0)
+    processes.wait_until(
+        lambda: resident_names(deployment, "engine-1") == expected_names, 40.0
+    )
 
 
-def test_a_load_outlives_its_owner(deployment):
-    """The VM that ordered a load dies while the engine loads. The next owner
-    finds the intent in the ledger and finishes the load, with the same order.
+def test_a_load_completes_after_its_owner_failed(deployment):
+    """The VM that ordered a load fails while the engine loads. The next owner
+    reads the intent from the ledger and completes the load with the same order.
     """
-    loading = deployment.fake_by_endpoint["engine-1"]
-    loading.speed.load_mb_per_s = 8_000.0
-    processes.wait_until(lambda: loading.memory.loading_by_key)
+    loading_engine = deployment.fake_by_endpoint["engine-1"]
+    loading_engine.speed.load_mb_per_s = 8_000.0
+    processes.wait_until(lambda: loading_engine.memory.loading_by_key)
     deployment.node_by_name.pop("vm-1").kill()
     del deployment.vm_list.vm_by_name["vm-1"]
-    wanted = {"menu", "tickets", "menu-es"}
-    processes.wait_until(lambda: names(deployment, "engine-1") == wanted, 60.0)
+    expected_names = {"menu", "tickets", "menu-es"}
+    processes.wait_until(
+        lambda: resident_names(deployment, "engine-1") == expected_names, 60.0
+    )
     wait_for_answer(deployment.node_by_name["vm-2"].url, "menu")
--- a/packages/mothworks/tests/test_planner.py
+++ b/packages/mothworks/tests/test_planner.py
@@ -25,14 +25,14 @@
     versions = ["1"] * len(names)
     reserved_mb = [20_000] * len(names)
     free_mb = 100_000 - sum(reserved_mb)
-    made = move_messages.Holdings(
+    default = move_messages.Holdings(
         endpoint, fence, names, versions, reserved_mb, free_mb
     )
-    return attrs.evolve(made, **changes)
+    return attrs.evolve(default, **changes)
 
 
-class Planning:
-    """A region's plan whose time the test advances."""
+class RegionPlanning:
+    """A region's plan with time controlled by the test."""
 
     def __init__(self, **changes):
         self.declared = declared(**changes)
@@ -56,11 +56,11 @@
         return self.region.plan(self.now, self.book, self.open)
 
 
-def test_a_new_planner_listens_before_it_plans():
-    """A planner that begins before owners have reported would take every
-    endpoint for empty and load what is resident already.
+def test_a_new_planner_waits_for_reports():
+    """A planner that starts before owners have reported would treat every
+    endpoint as empty and load models that are resident already.
     """
-    planning = Planning()
+    planning = RegionPlanning()
     planning.now = 0.0
     assert planning.plan() == []
     for number in range(5):
@@ -72,11 +72,11 @@
 
 
 def test_a_first_catalogue_is_planned_once_all_owners_reported():
-    """Nodes have run for a while when the first catalogue is applied. The
-    planner hears its own endpoints first; planned at once, every model would
-    be loaded on those while the others stay empty.
+    """The first catalogue is applied long after nodes started. The planner gets
+    reports of its own endpoints first; a plan at that time would load every
+    model there while the others stay empty.
     """
-    planning = Planning()
+    planning = RegionPlanning()
     planning.now = 1000.0
     planning.region.follow(2, catalogue.Index(builders.declared()), 990.0)
     planning.region.follow(3, catalogue.Index(planning.declared), 1000.0)
@@ -86,14 +86,14 @@
     assert planning.plan()
 
 
-def test_an_endpoint_whose_owner_never_reports_stops_nothing():
-    planning = Planning()
+def test_an_endpoint_without_reports_does_not_block_planning():
+    planning = RegionPlanning()
     planning.report(holdings("engine-0"))
     assert planning.plan(region_plan.MAX_REPORT_WAIT_S)
 
 
-def test_loads_keep_to_the_weight_stores_rate_and_number():
-    planning = Planning()
+def test_loads_respect_the_weight_stores_rate_and_concurrency():
+    planning = RegionPlanning()
     planning.report_empty()
     first = planning.plan()
     second = planning.plan()
@@ -102,19 +102,19 @@
 
 
 def test_a_lost_move_is_planned_again():
-    """The message with a move is lost. The owner's report shows no work, and
-    after a while the planner decides anew; before that it does not repeat it.
+    """The message with a move is lost. The owner reports no unfinished move; the
+    planner plans again after a timeout, and does not repeat the move earlier.
     """
-    planning = Planning(models=(builders.model("model-0"),))
+    planning = RegionPlanning(models=(builders.model("model-0"),))
     planning.report_empty()
-    (lost,) = planning.plan()
+    (lost_move,) = planning.plan()
     assert planning.plan() == []
-    again = planning.plan(region_plan.IDLE_MOVE_TIMEOUT_S + 1)
-    assert [(move.kind, move.name) for move in again] == [(LOAD, lost.name)]
+    replanned = planning.plan(region_plan.IDLE_MOVE_TIMEOUT_S + 1)
+    assert [(move.kind, move.name) for move in replanned] == [(LOAD, lost_move.name)]
 
 
-def test_a_move_that_its_owner_works_on_is_not_planned_again():
-    planning = Planning(models=(builders.model("model-0"),))
+def test_a_move_in_progress_is_not_planned_again():
+    planning = RegionPlanning(models=(builders.model("model-0"),))
     planning.report_empty()
     (move,) = planning.plan()
     pending = holdings(
@@ -129,14 +129,14 @@
     assert planning.plan(region_plan.IDLE_MOVE_TIMEOUT_S + 60) == []
 
 
-def test_an_older_report_is_left():
-    planning = Planning(models=(builders.model("model-0"),))
+def test_an_older_report_is_ignored():
+    planning = RegionPlanning(models=(builders.model("model-0"),))
     planning.report(holdings("engine-0", fence=5, names=["model-0"]))
     planning.report(holdings("engine-0", fence=4))
     assert planning.region.holdings_by_endpoint["engine-0"].fence == 5
 
 
-def test_demand_rises_at_once_and_falls_slowly():
+def test_demand_rises_quickly_and_falls_slowly():
     book = demand.Book()
     for _ in range(30):
         book.take(demand.Counts(["menu"], [10], [10], [5000]))
@@ -160,15 +160,15 @@
 
 
 def test_two_planners_cannot_overcommit():
-    """A partition leaves two planners. Both give the same endpoint a load;
-    both fit alone, together they do not.
+    """In a partition two planners each send the same endpoint a load. Each load
+    fits alone, but not both together.
     """
     world = movers.World(fencing=False)
     first, second = world.reconciled_owner(), world.reconciled_owner()
     menu, tickets = movers.holding("menu", 60), movers.holding("tickets", 60)
     assert first.write_intent(endpoints.OrderKind.LOAD, menu).is_ok()
     assert second.write_intent(endpoints.OrderKind.LOAD, tickets).is_err()
-    movers.resolve_order(first, world)
+    movers.resolve(first, world)
     second.read_ledger()
     assert second.write_intent(endpoints.OrderKind.LOAD, tickets).is_err()
     assert world.engine.peak_mb <= movers.CAPACITY_MB
--- a/packages/mothworks/tests/test_relocations.py
+++ b/packages/mothworks/tests/test_relocations.py
@@ -1,4 +1,4 @@
-"""Relocations: the source gives a model up only after the target has it."""
+"""Relocations: the source unloads a model only after the target has loaded it."""
 
 import builders
 from mothworks import (
@@ -14,39 +14,39 @@
 SPANISH = ("menu-es", "1")
 
 
-def region():
-    """Return a fleet whose model and adapter are on engine-1."""
-    made = fleet.Fleet()
+def make_fleet():
+    """Return a fleet with a model and its adapter resident on engine-1."""
+    planned = fleet.Fleet()
     declared = builders.declared(adapters=(catalogue.Adapter("menu-es", "menu", 200),))
-    made.declare(region_plan.needs(declared))
+    planned.declare(region_plan.needs(declared))
     first = fleet.Site("engine-1", "dc-1", 50_000, 8.0, free_mb=29_800)
     first.memory_by_key = {MENU: 20_000, SPANISH: 200}
-    made.add(first)
-    made.add(fleet.Site("engine-2", "dc-1", 50_000, 8.0, free_mb=50_000))
-    return made
+    planned.add(first)
+    planned.add(fleet.Site("engine-2", "dc-1", 50_000, 8.0, free_mb=50_000))
+    return planned
 
 
-def move(source="engine-1", target="engine-2", model="menu"):
+def make_relocation(source="engine-1", target="engine-2", model="menu"):
     return relocations.Relocation(model, source, target, "upgrade", until=100.0)
 
 
-def arrive(planned):
+def finish_loads(planned):
     target = planned.site_by_name["engine-2"]
     target.loading.clear()
     planned.refresh(target)
 
 
 def test_the_source_is_unloaded_last():
-    """A caller would meet a model without any replica in between."""
-    planned, made = region(), relocations.Relocations()
-    made.accept(planned, move()).unwrap()
+    """Otherwise no replica would serve callers in between."""
+    planned, pending = make_fleet(), relocations.Relocations()
+    pending.accept(planned, make_relocation()).unwrap()
     load, unload = endpoints.OrderKind.LOAD, endpoints.OrderKind.UNLOAD
     steps = []
     for _ in range(5):
-        for item in made.plan(planned, 0.0, loads=1):
+        for item in pending.plan(planned, 0.0, loads=1):
             steps.append((item.kind, item.endpoint, item.name))
-        assert made.plan(planned, 0.0, loads=1) == []
-        arrive(planned)
+        assert pending.plan(planned, 0.0, loads=1) == []
+        finish_loads(planned)
     assert steps == [
         (load, "engine-2", "menu"),
         (load, "engine-2", "menu-es"),
@@ -55,36 +55,41 @@
     ]
 
 
-def test_the_weight_store_bounds_loads():
-    planned, made = region(), relocations.Relocations()
-    made.accept(planned, move()).unwrap()
-    assert made.plan(planned, 0.0, loads=0) == []
+def test_loads_respect_the_weight_store():
+    planned, pending = make_fleet(), relocations.Relocations()
+    pending.accept(planned, make_relocation()).unwrap()
+    assert pending.plan(planned, 0.0, loads=0) == []
 
 
-def test_what_cannot_be_done_is_refused_with_the_numbers():
-    planned, made = region(), relocations.Relocations()
-    assert "no model" in made.accept(planned, move(model="wine")).unwrap_err()
-    assert "no report" in made.accept(planned, move(target="x")).unwrap_err()
-    reverse = move("engine-2", "engine-1")
-    assert "not resident" in made.accept(planned, reverse).unwrap_err()
+def test_an_impossible_relocation_is_rejected_with_a_reason():
+    planned, pending = make_fleet(), relocations.Relocations()
+    assert (
+        "no model"
+        in pending.accept(planned, make_relocation(model="wine")).unwrap_err()
+    )
+    assert (
+        "no report" in pending.accept(planned, make_relocation(target="x")).unwrap_err()
+    )
+    reverse = make_relocation("engine-2", "engine-1")
+    assert "not resident" in pending.accept(planned, reverse).unwrap_err()
     planned.site_by_name["engine-2"].free_mb = 20_100
-    problem = made.accept(planned, move()).unwrap_err()
+    problem = pending.accept(planned, make_relocation()).unwrap_err()
     assert "20100 MB free" in problem
     assert "20200 MB" in problem
     planned.site_by_name["engine-2"].free_mb = 50_000
-    made.accept(planned, move()).unwrap()
-    assert "already" in made.accept(planned, move()).unwrap_err()
+    pending.accept(planned, make_relocation()).unwrap()
+    assert "already" in pending.accept(planned, make_relocation()).unwrap_err()
 
 
-def test_a_relocation_that_cannot_end_is_given_up():
-    planned, made = region(), relocations.Relocations()
-    made.accept(planned, move()).unwrap()
-    made.plan(planned, 101.0, loads=0)
-    assert made.by_model == {}
+def test_an_unfinished_relocation_is_abandoned_after_its_timeout():
+    planned, pending = make_fleet(), relocations.Relocations()
+    pending.accept(planned, make_relocation()).unwrap()
+    pending.plan(planned, 101.0, loads=0)
+    assert pending.by_model == {}
 
 
-def test_verdicts_of_places_name_what_is_missing():
-    planned = region()
+def test_verdicts_on_endpoints_state_the_missing_memory():
+    planned = make_fleet()
     first, second = planned.site_by_name.values()
     menu = planned.demanded_by_name["menu"].need
     assert local_facts.verdict(first, menu) == "is resident there"
