--- a/packages/mothworks/src/mothworks/placement.py
+++ b/packages/mothworks/src/mothworks/placement.py
@@ -129,8 +129,8 @@
         millisecond, equal sequences would hide the difference for good, so
         the low bits differ by VM.
         """
-        minimum = (current.sequence >> VM_SEQUENCE_BITS) + 1 if current else 0
-        sequence_ms = max(minimum, time.time_ns() // 1_000_000)
+        floor = (current.sequence >> VM_SEQUENCE_BITS) + 1 if current else 0
+        sequence_ms = max(floor, time.time_ns() // 1_000_000)
         vm_hash = xxhash.xxh32_intdigest(self.kernel.settings.name.encode())
         return (sequence_ms << VM_SEQUENCE_BITS) | (
             vm_hash & ((1 << VM_SEQUENCE_BITS) - 1)
--- a/packages/mothworks/src/mothworks/relocations.py
+++ b/packages/mothworks/src/mothworks/relocations.py
@@ -3,7 +3,7 @@
 A relocation loads the model, and the adapters resident with it at the source,
 on the target. The source unloads them only once all are resident on the
 target, so that a replica is always available. If the planner fails in between,
-two replicas remain, and the next planner treats the surplus one as usual.
+two replicas remain, and the next planner keeps those that demand requires.
 """
 
 import attrs
