--- a/packages/mothworks/src/mothworks/room.py
+++ b/packages/mothworks/src/mothworks/room.py
@@ -67,9 +67,9 @@
 def is_evictable(planned: fleet.Fleet, site: fleet.Site, key: tuple[str, str]) -> bool:
     """Return whether a resident is surplus.
 
-    It is if it is undeclared, if a new version is ready, or if enough other
-    replicas are ready. An adapter, and the model of an adapter's only
-    replica, are not.
+    A resident is surplus if it is undeclared, if its new version is ready, or
+    if enough other replicas are ready. In the required version, an adapter is
+    never surplus, nor is a model beside the only ready replica of an adapter.
 
     :param planned: the fleet.
     :param site: the endpoint.
