--- a/packages/mothworks/src/mothworks/transport.py
+++ b/packages/mothworks/src/mothworks/transport.py
@@ -1,8 +1,8 @@
-"""HTTP exchanges with endpoints, over geventhttpclient's pool and parser.
+"""HTTP client for endpoints, built on geventhttpclient's pool and parser.
 
-The library's own client may send a request again after a connection broke,
-which must not happen to work that may run only once. Here each exchange
-sends its bytes exactly once and says whether any of them left.
+The library's own client may resend a request after a connection error, which
+is unsafe for requests that must not run twice. Here each exchange sends its
+request at most once and reports whether any byte may have been sent.
 """
 
 import collections
@@ -19,44 +19,44 @@
 
 from mothworks import endpoints
 
-#: Most connections to one endpoint.
+#: Maximum number of connections to one endpoint.
 POOL_SIZE = 512
-#: Time for a connection to open, seconds.
-CONNECT_S = 1.0
-#: Longest silence of an endpoint, seconds.
-SILENCE_S = 120.0
-#: Longest time that an idle connection is kept for the next request, seconds,
-#: where the endpoint does not say how long it keeps it.
-IDLE_S = 2.0
-#: Time before an endpoint's own timeout at which an idle connection is given
-#: up, seconds: a request must not cross with the endpoint's close.
+#: Timeout for opening a connection, seconds.
+CONNECT_TIMEOUT_S = 1.0
+#: Longest time without a byte from an endpoint, seconds.
+READ_TIMEOUT_S = 120.0
+#: Idle time after which a pooled connection is closed, seconds, unless the
+#: endpoint's Keep-Alive header states another timeout.
+IDLE_TIMEOUT_S = 2.0
+#: A connection is closed this long before the endpoint's own idle timeout,
+#: seconds, so that no request is sent while the endpoint closes it.
 IDLE_MARGIN_S = 0.5
-#: Most idle connections to all endpoints together.
-MOST_IDLE = 1024
-#: Seconds between looks for connections that were idle for too long.
-CLOSE_IDLE_S = 1.0
-#: Silence after which a connection is probed, and between probes, seconds, and
-#: probes without an answer that end it: a path that dropped without a reset
-#: shows in about 4 s.
-PROBE_IDLE_S = 2
-PROBE_INTERVAL_S = 1
-PROBES = 2
-#: Bytes taken from a socket at once.
+#: Maximum number of idle connections to all endpoints together.
+MAX_IDLE = 1024
+#: Seconds between checks for connections that exceed their idle timeout.
+IDLE_CHECK_INTERVAL_S = 1.0
+#: TCP keepalive: idle time before the first probe and time between probes,
+#: seconds, and the number of unacknowledged probes that close the connection.
+#: A path that fails without a reset is detected within about 4 s.
+KEEPALIVE_IDLE_S = 2
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
+#: Maximum number of bytes per read from a socket.
 RECEIVE_BYTES = 16 << 10
 
-#: Methods that say nothing of a body where there is none.
-BODILESS = frozenset(("GET", "HEAD", "DELETE", "OPTIONS"))
+#: Methods whose requests carry no Content-Length where the body is empty.
+METHODS_WITHOUT_BODY = frozenset(("GET", "HEAD", "DELETE", "OPTIONS"))
 
-#: Longest answer that is read whole, bytes.
-MOST_BYTES = 8 << 20
+#: Longest body that :func:`whole` accepts, bytes.
+MAX_BODY_BYTES = 8 << 20
 
-#: Lowest status of an answer that is not interim.
-FINAL_STATUS = 200
+#: Lowest status of a final answer; lower ones are interim.
+LOWEST_FINAL_STATUS = 200
 
-#: What a broken connection or answer raises.
+#: Exceptions raised by a failed connection or a malformed answer.
 FAILURES = (OSError, geventhttpclient.response.HTTPParseError)
 
-#: Headers that concern one connection only and are not passed on.
+#: Hop-by-hop headers: they apply to one connection and are not forwarded.
 HOP_BY_HOP = frozenset(
     (
         "connection",
@@ -72,9 +72,9 @@
 
 
 class HttpAnswer(endpoints.Answer):
-    """An answer over HTTP whose body is passed on as it arrives.
+    """An HTTP answer whose body is streamed as it arrives.
 
-    :param response: the library's response, head already read.
+    :param response: the library's response, its head already read.
     """
 
     def __init__(self, response: "_Response"):
@@ -87,7 +87,7 @@
         self.response = response
 
     def header(self, name: str) -> str:
-        """Return a header's value, or an empty text.
+        """Return a header's value, or an empty string if it is absent.
 
         :param name: the header's name, in lower case.
         """
@@ -97,7 +97,7 @@
         return ""
 
     def chunks(self) -> collections.abc.Iterator[bytes]:
-        """Yield whatever has arrived, as few times as possible."""
+        """Yield the body in chunks, each with all bytes received since the last."""
         while True:
             try:
                 data = self.response.read_available()
@@ -108,38 +108,41 @@
             yield data
 
     def close(self) -> None:
-        """Return the connection to the pool, or close it to cancel."""
+        """Return the connection to the pool, or close it to cancel the answer."""
         self.response.release()
 
 
 class _Response(geventhttpclient.response.HTTPSocketPoolResponse):
-    """The library's response, with a read that waits for any bytes at all.
+    """The library's response, with a read that returns any available bytes.
 
-    Most chunks come one by one, so the read waits before it receives, with
-    one watcher and one timer for the whole answer: a receive that finds
-    nothing, and a timer made for each, take half of a chunk's time.
+    Chunks usually arrive one at a time, so a read waits until the socket is
+    readable before it receives. One watcher and one timer serve the whole
+    answer: a failed receive and a new timer for each chunk would take half of
+    the time spent on a chunk.
     """
 
     def __init__(
         self, sock: "_Socket", pool: "_Pool", method: str, deadline: float | None
     ):
-        self.pieces: list[bytes] = []
+        self.body_chunks: list[bytes] = []
         self.socket = sock
-        self.expired = False
+        self.timed_out = False
         self.pool_takes_unframed = pool.takes_unframed
         self.hub = gevent.get_hub()
         self.readable = self.hub.loop.io(sock.fileno(), 1)
-        self.silence = self.hub.loop.timer(pool.network_timeout, pool.network_timeout)
-        self.watchers = [self.readable, self.silence]
+        self.read_timer = self.hub.loop.timer(
+            pool.network_timeout, pool.network_timeout
+        )
+        self.watchers = [self.readable, self.read_timer]
         if deadline is not None:
-            expiry = self.hub.loop.timer(max(0.0, deadline - time.monotonic()))
-            expiry.start(self._fall_silent)
-            self.watchers.append(expiry)
+            deadline_timer = self.hub.loop.timer(max(0.0, deadline - time.monotonic()))
+            deadline_timer.start(self._time_out)
+            self.watchers.append(deadline_timer)
         super().__init__(sock, pool, method=method, block_size=RECEIVE_BYTES)
 
     @property
     def unframed(self) -> bool:
-        """Return whether the answer ends where its connection ends."""
+        """Return whether only the close of the connection ends the answer."""
         return (
             self.get("content-length") is None
             and self.get("transfer-encoding") is None
@@ -147,101 +150,108 @@
         )
 
     def read_available(self) -> bytes:
-        """Return what has arrived; nothing at the end."""
-        while not self.pieces and not self.message_complete:
+        """Wait for body bytes and return them; empty at the end of the body."""
+        while not self.body_chunks and not self.message_complete:
             sock = self._sock
             if sock is None:
-                raise ConnectionResetError("the answer was released")
-            self.silence.again(self._fall_silent)
+                raise ConnectionResetError("the answer was already closed")
+            self.read_timer.again(self._time_out)
             self.hub.wait(self.readable)
             data = sock.recv(RECEIVE_BYTES)
             if not data:
-                self._end()
+                self._handle_eof()
                 break
             self.feed(data)
-        body = self.pieces[0] if len(self.pieces) == 1 else b"".join(self.pieces)
-        self.pieces.clear()
+        body = (
+            self.body_chunks[0]
+            if len(self.body_chunks) == 1
+            else b"".join(self.body_chunks)
+        )
+        self.body_chunks.clear()
         return body
 
     def release(self) -> None:
-        """Return the connection to the pool, or close it to cancel."""
+        """Return the connection to the pool, or close it to cancel the answer."""
         for watcher in self.watchers:
             watcher.stop()
             watcher.close()
         self.watchers = []
         if self._sock is not None:
-            self._sock.keep_s = _stated_idle_s(self.get("keep-alive"))
+            self._sock.idle_timeout_s = _keep_alive_timeout_s(self.get("keep-alive"))
         super().release()
 
-    def _end(self) -> None:
-        """Take the end of the connection as the answer's, or as a break."""
-        if self.expired:
-            raise TimeoutError("the answer is late")
+    def _handle_eof(self) -> None:
+        """Complete an unframed answer at end of file; raise for any other."""
+        if self.timed_out:
+            raise TimeoutError("the answer did not arrive in time")
         if not (self.unframed and self.pool_takes_unframed):
-            raise ConnectionResetError("the answer broke off")
-        # An orderly end; a reset raises from the receive instead.
+            raise ConnectionResetError("the connection closed within the answer")
+        # The peer closed in good order; a reset makes recv() raise instead.
         self.message_complete = True
 
     def _on_message_begin(self) -> None:
-        # The parser would add the body of a second answer to the first.
-        if self.message_complete and self.get_code() >= FINAL_STATUS:
-            raise geventhttpclient.response.HTTPParseError("bytes after the answer")
+        # Otherwise the parser appends the body of a second answer to the first.
+        if self.message_complete and self.get_code() >= LOWEST_FINAL_STATUS:
+            raise geventhttpclient.response.HTTPParseError(
+                "unexpected bytes after the answer"
+            )
         super()._on_message_begin()
 
     def _on_message_complete(self) -> None:
-        # The library returns the connection to the pool here, before it is
-        # known whether more bytes follow.
+        # Does not call the base class, which returns the connection to the pool
+        # here, before it is known whether more bytes follow.
         self.message_complete = True
 
-    def _fall_silent(self) -> None:
-        # The waiting task then sees the answer break off.
-        self.expired = True
+    def _time_out(self) -> None:
+        # Wakes the waiting task, which then reads an end of file.
+        self.timed_out = True
         self.socket.shutdown(gevent.socket.SHUT_RD)
 
     def _on_body(self, buf: bytes) -> None:
-        # Called by the parser; the library would copy each piece twice more.
-        self.pieces.append(bytes(buf))
+        # Called by the parser; the base class would copy each chunk twice more.
+        self.body_chunks.append(bytes(buf))
 
 
 class _Socket(gevent.socket.socket):
     """A connection to an endpoint."""
 
-    #: Monotonic time since when it is in the pool, seconds.
+    #: Monotonic time at which it was returned to the pool, seconds.
     idle_since = 0.0
-    #: Time that it may be idle, seconds.
-    keep_s = IDLE_S
-    #: Whether it was opened for one request.
-    fresh = False
+    #: Time after which it is closed if idle, seconds.
+    idle_timeout_s = IDLE_TIMEOUT_S
+    #: Whether it is closed after one request instead of being pooled.
+    single_use = False
 
 
 class _Pool(geventhttpclient.connectionpool.ConnectionPool):
-    """The library's pool, for IP numbers and with a bound on idle time."""
+    """The library's pool, for IP addresses and with a bound on idle time."""
 
-    #: Whether an answer without a length is whole if its connection ended in
-    #: good order.
+    #: Whether an answer without a length is complete once the endpoint closes
+    #: the connection in good order.
     takes_unframed = False
 
     def __init__(self, *args, pool_by_idle: "dict[_Socket, _Pool]", **kwargs):
         super().__init__(*args, **kwargs)
-        #: The idle connections of all pools, the one that was used last at the end.
+        #: Idle connections of all pools, the most recently used last.
         self.pool_by_idle = pool_by_idle
 
-    def get_fresh(self) -> _Socket:
-        """Return a new connection."""
+    def open_for_one_request(self) -> _Socket:
+        """Open a connection that is closed after one request."""
         self._semaphore.acquire()
         try:
             sock = self._create_socket()
         except BaseException:
             self._semaphore.release()
             raise
-        sock.fresh = True
+        sock.single_use = True
         return sock
 
     def return_socket(self, sock: _Socket) -> None:
-        """Take back a connection whose answer was read completely."""
-        if sock.fresh:
-            # Work that may run once takes none from the pool: kept there, its
-            # connections fill the pool until giving one back waits for ever.
+        """Return a connection to the pool once its answer is read completely."""
+        if sock.single_use:
+            # Requests that must not run twice never take a connection from the
+            # pool. If theirs were pooled, they would fill it until returning
+            # one blocks for ever.
             self.release_socket(sock)
             return
         sock.idle_since = time.monotonic()
@@ -249,12 +259,12 @@
         self.pool_by_idle[sock] = self
 
     def close_idle(self, now: float) -> None:
-        """Close the connections that were idle for too long.
+        """Close the connections that exceed their idle timeout.
 
-        :param now: monotonic time.
+        :param now: monotonic time, seconds.
         """
         for sock in list(self._socket_queue.queue):
-            if not _may_be_used(sock, now):
+            if not _is_reusable(sock, now):
                 self.discard(sock)
 
     def discard(self, sock: _Socket) -> None:
@@ -272,7 +282,7 @@
         return self._socket_queue.empty() and self._semaphore.counter == self.size
 
     def _create_socket(self) -> _Socket:
-        # The library would ask the resolver, in a thread, for an IP number.
+        # The base class would run the resolver in a thread, even for an IP address.
         host, port = self._connection_host, self._connection_port
         family = gevent.socket.AF_INET6 if ":" in host else gevent.socket.AF_INET
         sock = _Socket(family, gevent.socket.SOCK_STREAM)
@@ -287,30 +297,30 @@
         return sock
 
     def _is_socket_alive(self, sock: _Socket) -> bool:
-        # Called for each connection that is taken out of the pool.
+        # The base class calls this for each connection taken out of the pool.
         self.pool_by_idle.pop(sock, None)
-        # An endpoint closes idle connections too. Where its close crosses
-        # with a request, the request looks as if it crashed the endpoint.
-        if not _may_be_used(sock, time.monotonic()):
+        # Endpoints close idle connections too. A request sent while the endpoint
+        # closes the connection looks as if it had crashed the endpoint.
+        if not _is_reusable(sock, time.monotonic()):
             return False
-        # The library's select() fails on descriptors above 1023.
-        readable = select.poll()
-        readable.register(sock, select.POLLIN)
-        return not readable.poll(0)
+        # select(), which the base class uses, fails on descriptors above 1023.
+        poller = select.poll()
+        poller.register(sock, select.POLLIN)
+        return not poller.poll(0)
 
 
 @attrs.frozen
 class Sending:
-    """How one exchange differs from the usual.
+    """Options of one exchange.
 
-    :param fresh: whether to open a connection for it. On a connection from
-        the pool a request may cross with the endpoint's close, and it cannot
-        be told whether it ran.
+    :param fresh: whether to open a new connection. The endpoint may close a
+        pooled one just as the request is sent; it is then unknown whether the
+        request ran.
     :param host: the Host header; empty for the address.
-    :param deadline: monotonic time by which the whole answer must be there.
-    :param head_deadline: monotonic time by which its head must be there.
-    :param valid: called right before the first byte leaves, once a connection
-        is open; the request is not sent unless it returns true.
+    :param deadline: monotonic time by which the whole answer must have arrived.
+    :param head_deadline: monotonic time by which its head must have arrived.
+    :param valid: called once the connection is open, right before the first
+        byte is sent; the request is not sent unless it returns true.
     """
 
     fresh: bool = False
@@ -321,23 +331,23 @@
 
 
 class Transport:
-    """Connections to all endpoints of one kind, pooled by address.
-
-    :param silence_s: longest silence of an endpoint, seconds.
-    :param size: most connections to one address.
-    :param connect_s: longest time for a connection to open, seconds.
-    :param takes_unframed: whether an answer without a length is whole if its
-        connection ended in good order.
-    :param most_idle: most connections that are kept for further requests.
+    """Connection pools for all endpoints of one kind, one pool per address.
+
+    :param silence_s: longest time without a byte from an endpoint, seconds.
+    :param size: maximum number of connections to one address.
+    :param connect_s: timeout for opening a connection, seconds.
+    :param takes_unframed: whether an answer without a length is complete once
+        the endpoint closes the connection in good order.
+    :param most_idle: maximum number of idle connections over all addresses.
     """
 
     def __init__(
         self,
-        silence_s: float = SILENCE_S,
+        silence_s: float = READ_TIMEOUT_S,
         size: int = POOL_SIZE,
-        connect_s: float = CONNECT_S,
+        connect_s: float = CONNECT_TIMEOUT_S,
         takes_unframed: bool = False,
-        most_idle: int = MOST_IDLE,
+        most_idle: int = MAX_IDLE,
     ):
         self.silence_s = silence_s
         self.size = size
@@ -346,7 +356,7 @@
         self.most_idle = most_idle
         self.pool_by_address: dict[tuple[str, int], _Pool] = {}
         self._pool_by_idle: dict[_Socket, _Pool] = {}
-        self._closed_idle_at = time.monotonic()
+        self._idle_checked_at = time.monotonic()
 
     def exchange(
         self,
@@ -355,70 +365,72 @@
         path: str,
         headers: collections.abc.Iterable[tuple[str, str]],
         body: bytes,
-        sending: Sending = Sending(),  # noqa: B008
+        options: Sending = Sending(),  # noqa: B008
     ) -> result.Result[HttpAnswer, endpoints.SendFailure]:
         """Send a request once and read the head of its answer.
 
-        :param address: IP number and port.
+        :param address: IP address and port.
         :param method: the HTTP method.
         :param path: path and query.
-        :param headers: headers beside Host and Content-Length.
+        :param headers: headers other than Host and Content-Length.
         :param body: the request's body.
-        :param sending: how this exchange differs from the usual.
+        :param options: options of this exchange.
+        :returns: the answer, its body not yet read, or why there is none.
         """
         self._close_idle()
-        pool = self._pool(address)
+        pool = self._pool_for(address)
         try:
-            sock = pool.get_fresh() if sending.fresh else pool.get_socket()
+            sock = pool.open_for_one_request() if options.fresh else pool.get_socket()
         except FAILURES as error:
             return result.Err(endpoints.SendFailure(f"connect: {error}", False))
-        if sending.valid is not None and not sending.valid():
+        if options.valid is not None and not options.valid():
             pool.return_socket(sock)
             return result.Err(endpoints.SendFailure("no longer valid", False))
-        head = _head(sending.host or address, method, path, headers, len(body))
+        head = _encode_head(options.host or address, method, path, headers, len(body))
         try:
-            sock.settimeout(self._timeout_s(sending))
+            sock.settimeout(self._timeout_s(options))
             sock.sendall(head + body)
         except OSError as error:
             pool.release_socket(sock)
             return result.Err(endpoints.SendFailure(f"send: {error}", True))
         except BaseException:
-            # The task was stopped in the middle of the request; what is left
-            # of it must not go before another one.
+            # The task was killed while sending. The connection carries part of
+            # a request, so it cannot be used for another one.
             pool.release_socket(sock)
             raise
         try:
-            response = _Response(sock, pool, method, sending.deadline)
+            response = _Response(sock, pool, method, options.deadline)
         except FAILURES as error:
             return result.Err(endpoints.SendFailure(f"answer: {error}", True))
         sock.settimeout(self.silence_s)
         return result.Ok(HttpAnswer(response))
 
-    def _timeout_s(self, sending: Sending) -> float:
-        ends = (sending.deadline, sending.head_deadline)
+    def _timeout_s(self, options: Sending) -> float:
+        deadlines = (options.deadline, options.head_deadline)
         now = time.monotonic()
-        left = [end - now for end in ends if end is not None]
-        return max(0.001, min([self.silence_s, *left]))
+        remaining_s = [end - now for end in deadlines if end is not None]
+        return max(0.001, min([self.silence_s, *remaining_s]))
 
     def _close_idle(self) -> None:
-        """Close connections that are idle for too long, or too many.
+        """Close connections that exceed their idle timeout or the maximum number.
 
-        Addresses that have none left are forgotten: endpoints come and go at ever new
-        ones. Those that stay have a bound on the connections of all callers together.
+        Pools without a connection are removed, because endpoints come and go and
+        new ones have new addresses. The number of callers' connections bounds the
+        pools that remain.
         """
         while len(self._pool_by_idle) > self.most_idle:
             oldest = next(iter(self._pool_by_idle))
             self._pool_by_idle[oldest].discard(oldest)
         now = time.monotonic()
-        if now - self._closed_idle_at < CLOSE_IDLE_S:
+        if now - self._idle_checked_at < IDLE_CHECK_INTERVAL_S:
             return
-        self._closed_idle_at = now
+        self._idle_checked_at = now
         for address, pool in list(self.pool_by_address.items()):
             pool.close_idle(now)
             if pool.unused:
                 del self.pool_by_address[address]
 
-    def _pool(self, address: tuple[str, int]) -> _Pool:
+    def _pool_for(self, address: tuple[str, int]) -> _Pool:
         pool = self.pool_by_address.get(address)
         if pool is None:
             pool = _Pool(
@@ -437,8 +449,8 @@
 def whole(answer: HttpAnswer) -> result.Result[bytes, str]:
     """Read an answer's whole body and release its connection.
 
-    :param answer: the answer, its body not read.
-    :returns: the body, or why it is not complete.
+    :param answer: the answer, its body not yet read.
+    :returns: the body, or why it could not be read completely.
     """
     pieces = []
     length = 0
@@ -446,8 +458,8 @@
         for piece in answer.chunks():
             pieces.append(piece)
             length += len(piece)
-            if length > MOST_BYTES:
-                return result.Err(f"longer than {MOST_BYTES} bytes")
+            if length > MAX_BODY_BYTES:
+                return result.Err(f"longer than {MAX_BODY_BYTES} bytes")
     except FAILURES as error:
         return result.Err(f"answer: {error}")
     finally:
@@ -455,44 +467,44 @@
     return result.Ok(b"".join(pieces))
 
 
-def _may_be_used(sock: _Socket, now: float) -> bool:
-    """Return whether an idle connection may be used for one more request."""
-    return now - sock.idle_since <= sock.keep_s
+def _is_reusable(sock: _Socket, now: float) -> bool:
+    """Return whether an idle connection is within its idle timeout."""
+    return now - sock.idle_since <= sock.idle_timeout_s
 
 
 def _set_options(sock: _Socket) -> None:
     sock.setsockopt(gevent.socket.IPPROTO_TCP, gevent.socket.TCP_NODELAY, 1)
     sock.setsockopt(gevent.socket.SOL_SOCKET, gevent.socket.SO_KEEPALIVE, 1)
     for option, value in (
-        (gevent.socket.TCP_KEEPIDLE, PROBE_IDLE_S),
-        (gevent.socket.TCP_KEEPINTVL, PROBE_INTERVAL_S),
-        (gevent.socket.TCP_KEEPCNT, PROBES),
+        (gevent.socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
+        (gevent.socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+        (gevent.socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
     ):
         sock.setsockopt(gevent.socket.IPPROTO_TCP, option, value)
 
 
-def _stated_idle_s(keep_alive: str | list[str] | None) -> float:
-    """Return how long a connection may be idle, from a Keep-Alive header."""
+def _keep_alive_timeout_s(keep_alive: str | list[str] | None) -> float:
+    """Return a connection's idle timeout from the answer's Keep-Alive header."""
     if not isinstance(keep_alive, str):
-        return IDLE_S
+        return IDLE_TIMEOUT_S
     for parameter in keep_alive.split(","):
         name, _, value = parameter.strip().partition("=")
         if name.lower() == "timeout" and value.isascii() and value.isdecimal():
             return max(0.0, int(value) - IDLE_MARGIN_S)
-    return IDLE_S
+    return IDLE_TIMEOUT_S
 
 
-def _head(
+def _encode_head(
     address: tuple[str, int] | str,
     method: str,
     path: str,
     headers: collections.abc.Iterable[tuple[str, str]],
-    length: int,
+    body_length: int,
 ) -> bytes:
     host = address if isinstance(address, str) else f"{address[0]}:{address[1]}"
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in headers]
-    if length or method not in BODILESS:
-        lines.append(f"Content-Length: {length}")
+    if body_length or method not in METHODS_WITHOUT_BODY:
+        lines.append(f"Content-Length: {body_length}")
     lines += ["", ""]
     return "\r\n".join(lines).encode("latin-1")
--- a/packages/mothworks/tests/test_transport.py
+++ b/packages/mothworks/tests/test_transport.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints."""
+"""Tests of the pooled connections to endpoints."""
 
 import gevent
 import gevent.event
@@ -12,12 +12,12 @@
 
 
 class Endpoint:
-    """Answers requests without bodies, and counts its open connections."""
+    """A server that answers requests without bodies and counts open connections."""
 
     def __init__(self):
         self.open = 0
-        self.slow = gevent.event.Event()
-        self.slow.set()
+        self.may_answer = gevent.event.Event()
+        self.may_answer.set()
         self.server = gevent.server.StreamServer(("127.0.0.1", 0), self._serve)
         self.server.start()
         self.address = ("127.0.0.1", self.server.server_port)
@@ -26,105 +26,105 @@
         self.open += 1
         with sock:
             while sock.recv(4096):
-                self.slow.wait()
+                self.may_answer.wait()
                 sock.sendall(ANSWER)
         self.open -= 1
 
 
 @pytest.fixture
 def endpoints():
-    made = [Endpoint(), Endpoint()]
-    yield made
-    for endpoint in made:
+    servers = [Endpoint(), Endpoint()]
+    yield servers
+    for endpoint in servers:
         endpoint.server.stop(timeout=0.1)
 
 
 @pytest.fixture
-def sender(monkeypatch):
-    monkeypatch.setattr(transport, "IDLE_S", 0.05)
-    monkeypatch.setattr(transport, "CLOSE_IDLE_S", 0.0)
+def client(monkeypatch):
+    monkeypatch.setattr(transport, "IDLE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(transport, "IDLE_CHECK_INTERVAL_S", 0.0)
     return transport.Transport()
 
 
-def ask(sender, endpoint):
-    answer = sender.exchange(endpoint.address, "GET", "/", (), b"")
+def exchange(client, endpoint):
+    answer = client.exchange(endpoint.address, "GET", "/", (), b"")
     assert transport.whole(answer.unwrap()).unwrap() == b"ok"
 
 
-def test_work_that_may_run_once_does_not_use_up_the_pool():
-    # Orders stopped being answered after as many as the pool holds: each was
-    # sent on a connection of its own, which was then kept in the pool, where
-    # no order looks for one. The next to be given back waited for ever, with
-    # its slot, until no slot was left.
-    fake = application.Application().start()
-    sender = transport.Transport(size=2)
-    address = ("127.0.0.1", fake.port)
+def test_new_connections_do_not_exhaust_the_pool():
+    # Each exchange that opened a new connection returned it to the pool, from
+    # which no such exchange takes one. Once the pool was full, returning the
+    # next connection blocked for ever and kept its slot, until no slot was left.
+    server = application.Application().start()
+    client = transport.Transport(size=2)
+    address = ("127.0.0.1", server.port)
     with gevent.Timeout(20):
         for _ in range(5):
-            answer = sender.exchange(
+            answer = client.exchange(
                 address, "POST", "/", (), b"", transport.Sending(fresh=True)
             )
             assert b"".join(answer.unwrap().chunks())
             answer.unwrap().close()
-    fake.stop()
+    server.stop()
 
 
-# Guards against connections to endpoints that are idle for ever: they use up the
-# descriptors of this VM, and the connections that an endpoint takes of all.
-def test_connections_that_are_idle_for_too_long_are_closed(sender, endpoints):
-    one, other = endpoints
-    ask(sender, one)
-    assert one.open == 1
+# Guards against connections that stay idle for ever: they use up the file descriptors
+# of this VM and the connections that an endpoint accepts from all VMs.
+def test_connections_are_closed_after_their_idle_timeout(client, endpoints):
+    first, second = endpoints
+    exchange(client, first)
+    assert first.open == 1
     gevent.sleep(0.1)
-    ask(sender, other)
+    exchange(client, second)
     with gevent.Timeout(5):
-        while one.open:
+        while first.open:
             gevent.sleep(0.01)
-    assert list(sender.pool_by_address) == [other.address]
+    assert list(client.pool_by_address) == [second.address]
 
 
-# Guards against a VM that asks thousands of endpoints once and is out of descriptors.
-def test_the_oldest_idle_connections_make_way_for_others(endpoints):
-    one, other = endpoints
-    sender = transport.Transport(most_idle=1)
-    ask(sender, one)
-    ask(sender, other)
-    ask(sender, other)
+# Guards against running out of file descriptors after one request to each of thousands
+# of endpoints.
+def test_the_oldest_idle_connections_are_closed_above_the_maximum(endpoints):
+    first, second = endpoints
+    client = transport.Transport(most_idle=1)
+    exchange(client, first)
+    exchange(client, second)
+    exchange(client, second)
     with gevent.Timeout(5):
-        while one.open:
+        while first.open:
             gevent.sleep(0.01)
-    assert other.open == 1
+    assert second.open == 1
 
 
-def test_a_connection_that_is_not_idle_for_long_is_used_again(sender, endpoints):
-    one, _ = endpoints
+def test_a_connection_within_its_idle_timeout_is_reused(client, endpoints):
+    first, _ = endpoints
     for _ in range(3):
-        ask(sender, one)
-    assert one.open == 1
+        exchange(client, first)
+    assert first.open == 1
 
 
-# Guards against a connection that is closed, or an address that is forgotten, while an
-# answer is under way.
-def test_a_connection_in_use_is_kept(sender, endpoints):
-    one, other = endpoints
-    one.slow.clear()
-    asking = gevent.spawn(ask, sender, one)
+# Guards against closing a connection, or removing the pool of its address, while an
+# answer is in progress.
+def test_a_connection_in_use_is_not_closed(client, endpoints):
+    first, second = endpoints
+    first.may_answer.clear()
+    running = gevent.spawn(exchange, client, first)
     gevent.sleep(0.1)
-    ask(sender, other)
-    assert set(sender.pool_by_address) == {one.address, other.address}
-    one.slow.set()
-    asking.get(timeout=5)
+    exchange(client, second)
+    assert set(client.pool_by_address) == {first.address, second.address}
+    first.may_answer.set()
+    running.get(timeout=5)
 
 
-# Guards against an order of idle connections in which the oldest is used first.
-def test_the_connection_that_was_used_last_is_used_next(sender, endpoints):
-    one, _ = endpoints
-    one.slow.clear()
-    asking = [gevent.spawn(ask, sender, one) for _ in range(3)]
+# Guards against reusing the oldest idle connection first.
+def test_the_most_recently_used_connection_is_reused_first(client, endpoints):
+    first, _ = endpoints
+    first.may_answer.clear()
+    running = [gevent.spawn(exchange, client, first) for _ in range(3)]
     gevent.sleep(0.02)
-    one.slow.set()
-    gevent.joinall(asking, raise_error=True)
-    pool = sender.pool_by_address[one.address]
+    first.may_answer.set()
+    gevent.joinall(running, raise_error=True)
+    pool = client.pool_by_address[first.address]
     before = list(pool._socket_queue.queue)
     pool.close_idle(transport.time.monotonic())
     assert list(pool._socket_queue.queue) == before
