--- a/packages/mothworks/src/mothworks/calls.py
+++ b/packages/mothworks/src/mothworks/calls.py
@@ -1,4 +1,4 @@
-"""Calls: the HTTP side of one caller's request, shared by all protocols."""
+"""HTTP requests of callers and replies to them, shared by all protocols."""
 
 import collections.abc
 import hashlib
@@ -17,8 +17,8 @@
 
 StartResponse = collections.abc.Callable[[str, list[tuple[str, str]]], typing.Any]
 
-#: Reason phrases of the statuses that nodes send themselves.
-REASONS = {
+#: Reason phrases of the statuses of replies that a node itself creates.
+REASON_PHRASES = {
     200: "OK",
     202: "Accepted",
     400: "Bad Request",
@@ -41,30 +41,30 @@
     504: "Gateway Timeout",
 }
 
-#: Hint to a caller whose body finds no room, seconds.
-UPLOADS_RETRY_S = 1.0
-#: Most digits of a timeout that a caller names.
-TIMEOUT_DIGITS = 6
+#: Retry-After of the refusal while too many bodies are arriving, seconds.
+UPLOADS_RETRY_AFTER_S = 1.0
+#: Maximum number of digits in the header Request-Timeout.
+MAX_TIMEOUT_DIGITS = 6
 JSON = ("Content-Type", "application/json")
-#: Name in the WSGI environment of the connection that carries the call.
+#: Key of the caller's connection in the WSGI environment.
 CONNECTION = "mothworks.connection"
-#: Header that carries a request's id in every reply.
+#: Header of every reply that carries the request's id.
 REQUEST_ID = "X-Request-Id"
 
 
 def new_id() -> str:
-    """Return a new request's id."""
+    """Return a new unique request id."""
     return uuid.uuid4().hex
 
 
 @attrs.frozen
 class Reply:
-    """What a handler answers.
+    """The reply to one call.
 
     :param status: the HTTP status.
     :param headers: its headers.
-    :param body: the body's pieces, which may be produced as they are sent.
-    :param refusal: the refusal that it carries, for logs and metrics.
+    :param body: the body's chunks, which may be generated while they are sent.
+    :param refusal: the refusal that the body describes, for logs and metrics.
     """
 
     status: int
@@ -78,11 +78,11 @@
     """One HTTP request to this VM.
 
     :param environ: the WSGI environment.
-    :param limits: bounds of this VM.
-    :param uploads: room for bodies that arrive.
+    :param limits: limits of this VM.
+    :param uploads: memory limit for bodies that are arriving.
     :param id: the request's id.
     :param arrived: monotonic time of arrival, seconds.
-    :param watch: notices when the caller leaves, once started.
+    :param watch: detects that the caller disconnects; None until started.
     """
 
     environ: dict[str, typing.Any]
@@ -93,12 +93,12 @@
     watch: caller_watch.Watch | None = None
 
     def start_watch(self) -> caller_watch.Watch:
-        """Watch for the caller to leave, from when its body was read."""
+        """Start to watch for a disconnect; call it once the body was read."""
         self.watch = caller_watch.Watch(self.environ[CONNECTION].socket)
         return self.watch
 
     def stop_watch(self) -> None:
-        """Stop watching, if the watch was started."""
+        """Stop the watch for a disconnect, if it was started."""
         if self.watch is not None:
             self.watch.stop()
 
@@ -118,75 +118,86 @@
         return self.environ[CONNECTION].path.partition("?")[0]
 
     def header(self, name: str) -> str:
-        """Return a header's value, or an empty text.
+        """Return a header's value, or an empty string if it is absent.
 
         :param name: the header's name.
         """
         return self.environ.get("HTTP_" + name.upper().replace("-", "_"), "")
 
     def bearer_hash(self) -> str | None:
-        """Return the SHA-256 hash of the bearer key, or None without one."""
+        """Return the SHA-256 hash of the bearer key, or None if there is no key."""
         scheme, _, key = self.header("authorization").partition(" ")
         if scheme.lower() != "bearer" or not key:
             return None
         return hashlib.sha256(key.strip().encode("latin-1")).hexdigest()
 
     def deadline(self) -> result.Result[float, outcomes.Refusal]:
-        """Return the monotonic time after which no answer is of use.
+        """Return the monotonic time after which the caller needs no answer.
 
-        Callers may name it by the header ``Request-Timeout``, in seconds.
+        The header ``Request-Timeout`` sets it, in seconds after the arrival;
+        without the header there is no deadline.
         """
         value = self.header("request-timeout")
         if not value:
             return result.Ok(math.inf)
-        number = value.isascii() and value.isdecimal() and len(value) <= TIMEOUT_DIGITS
+        number = (
+            value.isascii() and value.isdecimal() and len(value) <= MAX_TIMEOUT_DIGITS
+        )
         if not (number and int(value)):
             message = "Request-Timeout must be a whole number of seconds above 0"
             return result.Err(outcomes.invalid(message))
         return result.Ok(self.arrived + int(value))
 
     def body(self) -> result.Result[bytes, outcomes.Refusal]:
-        """Read the whole body, bounded in bytes and time."""
-        most = self.limits.body_bytes
+        """Read the whole body within the limits on bytes and time."""
+        max_bytes = self.limits.body_bytes
         length = int(self.environ.get("CONTENT_LENGTH") or 0)
-        if length > most:
-            return result.Err(_too_long(most))
-        reserved = most if self.environ["wsgi.input"].chunked_input else length
-        if not self.uploads.reserve(reserved):
-            message = "too many bodies arrive at this node"
-            return result.Err(outcomes.overloaded(message, UPLOADS_RETRY_S, "uploads"))
+        if length > max_bytes:
+            return result.Err(_body_too_long(max_bytes))
+        reserved_bytes = (
+            max_bytes if self.environ["wsgi.input"].chunked_input else length
+        )
+        if not self.uploads.reserve(reserved_bytes):
+            message = "too many request bodies are arriving at this node"
+            return result.Err(
+                outcomes.overloaded(message, UPLOADS_RETRY_AFTER_S, "uploads")
+            )
         try:
-            return self._read(most)
+            return self._read(max_bytes)
         finally:
-            self.uploads.free(reserved)
+            self.uploads.free(reserved_bytes)
 
-    def _read(self, most: int) -> result.Result[bytes, outcomes.Refusal]:
+    def _read(self, max_bytes: int) -> result.Result[bytes, outcomes.Refusal]:
         try:
             with gevent.Timeout(self.limits.upload_s):
-                body = self.environ["wsgi.input"].read(most + 1)
+                body = self.environ["wsgi.input"].read(max_bytes + 1)
         except (gevent.Timeout, TimeoutError):
             message = f"the body did not arrive within {self.limits.upload_s:g} s"
             return result.Err(outcomes.invalid(message, "upload_timeout", 408))
         except (OSError, ValueError):
-            # Also what the server raises for chunks that are no HTTP.
-            return result.Err(outcomes.invalid("the body broke off", "truncated_body"))
-        if len(body) > most:
-            return result.Err(_too_long(most))
+            # The server raises these for malformed chunks, too.
+            return result.Err(
+                outcomes.invalid(
+                    "the body is incomplete or malformed", "truncated_body"
+                )
+            )
+        if len(body) > max_bytes:
+            return result.Err(_body_too_long(max_bytes))
         return result.Ok(body)
 
 
 def authenticate(
     call: Call, index: catalogue.Index
 ) -> result.Result[catalogue.Caller, outcomes.Refusal]:
-    """Return the caller whose key a call carries.
+    """Return the caller whose API key a call carries.
 
     :param call: the call.
     :param index: the catalogue in force.
     """
     key_hash = call.bearer_hash()
     caller = index.caller_by_key_hash.get(key_hash) if key_hash else None
-    # The lookup is by the key's hash, so its timing says nothing of a key;
-    # the comparison is in constant time all the same.
+    # The lookup uses the key's hash, so its timing reveals nothing about a key;
+    # the comparison is constant-time nevertheless.
     if caller is None or not hmac.compare_digest(caller.key_sha256, key_hash):
         return result.Err(
             outcomes.invalid("a valid API key is needed", "invalid_api_key", 401)
@@ -195,22 +206,22 @@
 
 
 def refuse(refusal: outcomes.Refusal, fractions: bool = False) -> Reply:
-    """Return the reply that carries a refusal.
+    """Return the error reply for a refusal.
 
-    :param refusal: why there is no answer.
-    :param fractions: whether callers understand parts of a second in the hint
-        when to come back, which HTTP counts in whole ones.
+    :param refusal: why the request is refused.
+    :param fractions: whether callers accept fractions of a second in
+        Retry-After, for which HTTP allows whole seconds only.
     """
     headers = [JSON, ("Mothworks-Ran", refusal.ran)]
     if refusal.retry_after is not None:
         exact = f"{refusal.retry_after:g}"
-        whole = str(max(1, round(refusal.retry_after)))
-        headers.append(("Retry-After", exact if fractions else whole))
+        rounded = str(max(1, round(refusal.retry_after)))
+        headers.append(("Retry-After", exact if fractions else rounded))
     return Reply(refusal.status, headers, [refusal.body()], refusal)
 
 
-def raw(reply: Reply, request_id: str) -> bytes:
-    """Return a whole reply as bytes, after which the connection closes.
+def serialize(reply: Reply, request_id: str) -> bytes:
+    """Return the bytes of a reply, for a connection that closes after it.
 
     :param reply: the reply, its body a list.
     :param request_id: the request's id.
@@ -224,23 +235,23 @@
 
 
 def json_reply(value: typing.Any, status: int = 200) -> Reply:
-    """Return a reply of plain values as JSON.
+    """Return a reply whose body is a value as JSON.
 
-    :param value: maps, lists, texts and numbers.
+    :param value: the value, made of dicts, lists, strings and numbers.
     :param status: the HTTP status.
     """
     return Reply(status, [JSON], [orjson.dumps(value)])
 
 
 def status_line(status: int) -> str:
-    """Return a status with its reason phrase.
+    """Return the status code with its reason phrase.
 
     :param status: the HTTP status.
     """
-    return f"{status} {REASONS.get(status, 'Status')}"
+    return f"{status} {REASON_PHRASES.get(status, 'Status')}"
 
 
-def _too_long(most: int) -> outcomes.Refusal:
+def _body_too_long(max_bytes: int) -> outcomes.Refusal:
     return outcomes.invalid(
-        f"the body is longer than {most} bytes", "body_too_long", 413
+        f"the body is longer than {max_bytes} bytes", "body_too_long", 413
     )
--- a/packages/mothworks/src/mothworks/connections.py
+++ b/packages/mothworks/src/mothworks/connections.py
@@ -1,9 +1,10 @@
-"""Connections of callers: bounds, and notice when a caller leaves.
+"""Callers' connections: limits, error replies and disconnects.
 
-gevent's WSGI server reads requests and frames answers. This module adds what
-it leaves open: a bound on connections that answers instead of letting callers
-hang, bounds on the head of a request in bytes and time, error objects for
-what never reaches a protocol, and the end of answers that broke off.
+gevent's WSGI server reads requests and frames replies. This module adds a
+limit on connections that replies with an error instead of leaving callers
+waiting, limits on a request's head in bytes and time, error objects for
+requests that never reach a protocol handler, and the closing of connections
+whose reply is incomplete.
 """
 
 import collections.abc
@@ -16,18 +17,18 @@
 
 from mothworks import caller_watch, calls, outcomes, settings
 
-#: Most header lines, the empty one included. The standard library has the
-#: same bound, but answers beyond it with a traceback in the log.
-MOST_HEADERS = 100
-#: Time given to a caller to read a refusal while it still sends, seconds.
+#: Maximum number of header lines, including the empty line at the end. The
+#: standard library has the same limit, but logs a traceback when it is exceeded.
+MAX_HEADER_LINES = 100
+#: Time that a caller has to read a refusal while it is still sending, seconds.
 LINGER_S = 3.0
-#: Most refused connections that linger at a time.
-MOST_LINGERING = 256
-#: Bytes read at once from a connection that lingers.
+#: Maximum number of refused connections that linger at a time.
+MAX_LINGERING = 256
+#: Bytes per read from a lingering connection.
 LINGER_BYTES = 64 << 10
-#: Hint to a caller that found no free connection, seconds.
-FULL_RETRY_S = 1.0
-#: What the standard library notes of a line that is not a header.
+#: Retry-After of the refusal above the connection limit, seconds.
+CONNECTIONS_RETRY_AFTER_S = 1.0
+#: Defects that the standard library's parser records for malformed header lines.
 HEADER_DEFECTS = (
     email.errors.FirstHeaderLineIsContinuationDefect,
     email.errors.InvalidHeaderDefect,
@@ -37,35 +38,35 @@
 
 
 class BrokenAnswer(Exception):
-    """An answer broke off after its head was sent.
+    """An answer ended early, after its head was sent to the caller.
 
-    The connection is closed without the answer's end, so that no caller
-    takes the part that came for the whole.
+    The connection is closed without terminating the reply's body, so that the
+    caller cannot mistake the partial answer for a complete one.
     """
 
 
 class HeadTooLong(ValueError):
-    """A request's head exceeds a bound."""
+    """A request's head exceeds a limit."""
 
 
 class Connection(gevent.pywsgi.WSGIHandler):
-    """One caller's connection, serving its requests in turn."""
+    """One caller's connection; serves its requests one after the other."""
 
     server: "Listener"
 
     def __init__(self, sock, address, server, rfile=None):
         super().__init__(sock, address, server, rfile)
         self.refusal: outcomes.Refusal | None = None
-        #: Whether the connection is open without a request.
+        #: Whether the connection is open and waits for a request.
         self.idle = False
-        # Without it the kernel holds back the second of two small writes
-        # until the first is acknowledged, up to 40 ms later.
+        # With Nagle's algorithm the kernel delays the second of two small
+        # writes until the first is acknowledged, by up to 40 ms.
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        # A reader that stalls must not hold a slot at an engine.
+        # A caller that stops reading must not keep a slot at an engine.
         sock.settimeout(server.limits.write_s)
 
     def handle_one_request(self):
-        """Serve one request; see gevent's class for what is returned."""
+        """Serve one request; the base class documents the return value."""
         self.refusal = None
         outcome = super().handle_one_request()
         if not isinstance(outcome, tuple):
@@ -73,10 +74,12 @@
         refusal = self.refusal or outcomes.invalid(
             "the request line is too long", "head_too_long", 414
         )
-        return str(refusal.status), calls.raw(calls.refuse(refusal), calls.new_id())
+        return str(refusal.status), calls.serialize(
+            calls.refuse(refusal), calls.new_id()
+        )
 
     def read_requestline(self) -> str:
-        """Wait for the next request, for a bounded time."""
+        """Wait for the next request, for at most the idle timeout."""
         self.idle = True
         try:
             with gevent.Timeout(self.server.limits.idle_s, TimeoutError("idle")):
@@ -85,47 +88,51 @@
             self.idle = False
 
     def read_request(self, raw_requestline: str) -> bool:
-        """Read the head, bounded in bytes and time, and check its length."""
+        """Read a request's head within the limits on bytes and time."""
         limits = self.server.limits
         seconds = min(limits.head_s, limits.upload_s)
         with gevent.Timeout(seconds, TimeoutError("head")):
             return super().read_request(raw_requestline)
 
     def MessageClass(self, *args):  # noqa: N802
-        """Read the header lines; gevent's name for it."""
-        lines = _BoundedLines(self.rfile, self.server.limits.header_bytes)
+        """Read and check the header lines; the base class prescribes the name."""
+        lines = _BoundedLineReader(self.rfile, self.server.limits.header_bytes)
         headers = super().MessageClass(lines, *args[1:])
-        # Here, before the base class drops a length beside a transfer coding.
+        # The base class later drops a Content-Length beside a Transfer-Encoding,
+        # so the check has to run here.
         _check_framing(headers)
         return headers
 
     def get_environ(self) -> dict[str, typing.Any]:
-        """Return the WSGI environment, with this connection in it."""
+        """Return the WSGI environment, which includes this connection."""
         environ = super().get_environ()
         environ[calls.CONNECTION] = self
-        # Where an upgrade is asked for, the base class puts the bare
-        # connection here, and the body would take in the next request.
+        # For an upgrade request the base class sets the bare connection here, and
+        # the application would read the next request as part of the body.
         environ["wsgi.input"] = self.wsgi_input
-        self.wsgi_input = _Unread(self.wsgi_input, self)
+        self.wsgi_input = _UnreadBody(self.wsgi_input, self)
         return environ
 
     def log_request(self) -> None:
-        """Do nothing: the base class formats a line that nobody reads."""
+        """Do nothing: the base class would format a line that is not logged."""
 
     def process_result(self) -> None:
-        """Send the reply's pieces; gevent's base class calls this."""
+        """Send the reply; close the connection if the reply ends early.
+
+        The base class calls this.
+        """
         try:
             super().process_result()
         except BrokenAnswer:
             self.close_connection = True
-        except caller_watch.CallerGone:
+        except caller_watch.CallerDisconnected:
             self.close_connection = True
         except TimeoutError:
             self.close_connection = True
 
     def _write(self, data: bytes) -> None:
-        # Called for each piece of a body. The base class copies it into an
-        # array and sends with a timer, which takes twice as long.
+        # Called for each chunk of a body. The base class copies it into an array
+        # and sends with a timer, which takes twice as long.
         if not data:
             return
         if self.response_use_chunked:
@@ -139,7 +146,7 @@
         self.response_length += len(data)
 
     def _handle_client_error(self, ex: Exception):
-        # The base class calls this for any failure to read a head.
+        # The base class calls this for every error while it reads a head.
         match ex:
             case TimeoutError():
                 self.refusal = outcomes.invalid(
@@ -148,7 +155,9 @@
             case HeadTooLong():
                 self.refusal = outcomes.invalid(str(ex), "head_too_long", 431)
             case OSError():
-                self.refusal = outcomes.invalid("the head broke off", "truncated_head")
+                self.refusal = outcomes.invalid(
+                    "the connection closed within the request's head", "truncated_head"
+                )
             case _:
                 message = f"the request's head is not valid HTTP: {ex}"
                 self.refusal = outcomes.invalid(f"{message:.200}", "invalid_head")
@@ -156,11 +165,11 @@
 
 
 class Listener(gevent.pywsgi.WSGIServer):
-    """Accepts callers' connections, a bounded number of them.
+    """Accepts callers' connections up to a maximum number.
 
-    :param address: IP number and port.
+    :param address: IP address and port.
     :param application: the WSGI application.
-    :param limits: bounds of this VM.
+    :param limits: limits of this VM.
     """
 
     handler_class = Connection
@@ -177,7 +186,7 @@
         self.lingering = 0
 
     def handle(self, sock: socket.socket, address: tuple) -> None:
-        """Serve one connection, or refuse it where there are too many."""
+        """Serve one connection, or refuse it above the connection limit."""
         if len(self.connections) >= self.limits.connections:
             self._refuse(sock)
             return
@@ -189,10 +198,11 @@
             self.connections.discard(connection)
 
     def close_idle(self) -> None:
-        """Close the connections that carry no request now.
+        """Close the connections that wait for a request.
 
-        A caller whose next request crosses with the close sees that it was
-        not read, and may send it elsewhere.
+        A caller that sends its next request at the same moment sees a closed
+        connection without a reply, and may retry on another VM because the
+        request was not read.
         """
         for connection in list(self.connections):
             if connection.idle:
@@ -203,14 +213,14 @@
                     pass
 
     def _refuse(self, sock: socket.socket) -> None:
-        if self.lingering >= MOST_LINGERING:
+        if self.lingering >= MAX_LINGERING:
             return
         refusal = outcomes.overloaded(
-            "this node has no free connection", FULL_RETRY_S, "connections"
+            "this node has no free connection", CONNECTIONS_RETRY_AFTER_S, "connections"
         )
         self.lingering += 1
         try:
-            sock.sendall(calls.raw(calls.refuse(refusal), calls.new_id()))
+            sock.sendall(calls.serialize(calls.refuse(refusal), calls.new_id()))
             linger(sock)
         except OSError:
             pass
@@ -219,12 +229,12 @@
 
 
 def linger(sock: socket.socket) -> None:
-    """Let a caller that still sends read the reply before the close.
+    """Read and drop what a caller still sends, so that it can read the reply.
 
-    Closing with unread bytes resets the connection, and the reset can
-    overtake the reply: the caller would see a broken connection instead.
+    Closing a connection with unread bytes resets it, and the reset can reach
+    the caller before the reply does.
 
-    :param sock: the connection, its reply sent.
+    :param sock: the connection, on which the reply was sent.
     """
     with gevent.Timeout(LINGER_S, False):
         sock.shutdown(socket.SHUT_WR)
@@ -232,39 +242,44 @@
             pass
 
 
-class _BoundedLines:
-    """Reads header lines of a bounded length and total.
+class _BoundedLineReader:
+    """Reads header lines and limits their length, total length and number.
 
     :param file: the connection's reader.
-    :param most: longest line, bytes.
+    :param max_line_bytes: longest line, bytes; all lines together may have four
+        times as many.
     """
 
-    def __init__(self, file: typing.BinaryIO, most: int):
+    def __init__(self, file: typing.BinaryIO, max_line_bytes: int):
         self.file = file
-        self.most = most
-        self.left = most * 4
-        self.lines = 0
+        self.max_line_bytes = max_line_bytes
+        self.remaining_bytes = max_line_bytes * 4
+        self.line_count = 0
 
     def readline(self, _: int = -1) -> bytes:
-        line = self.file.readline(self.most + 1)
-        self.left -= len(line)
-        self.lines += 1
-        if self.lines > MOST_HEADERS:
-            raise HeadTooLong(f"there are more than {MOST_HEADERS} headers")
-        if len(line) > self.most:
-            raise HeadTooLong(f"a header line is longer than {self.most} bytes")
-        if self.left < 0:
-            raise HeadTooLong(f"the headers are longer than {self.most * 4} bytes")
+        line = self.file.readline(self.max_line_bytes + 1)
+        self.remaining_bytes -= len(line)
+        self.line_count += 1
+        if self.line_count > MAX_HEADER_LINES:
+            raise HeadTooLong(f"there are more than {MAX_HEADER_LINES} headers")
+        if len(line) > self.max_line_bytes:
+            raise HeadTooLong(
+                f"a header line is longer than {self.max_line_bytes} bytes"
+            )
+        if self.remaining_bytes < 0:
+            raise HeadTooLong(
+                f"the headers are longer than {self.max_line_bytes * 4} bytes"
+            )
         return line
 
 
-class _Unread:
-    """Stands for a request's body after the reply.
+class _UnreadBody:
+    """Replaces a request's body once the reply is sent.
 
-    The base class would read all that is left of it, however long and slow.
+    The base class would read the rest of the body, however long and slow.
 
     :param body: the body's reader.
-    :param connection: closed where something is left.
+    :param connection: the connection, which is closed if the body is unread.
     """
 
     def __init__(self, body: gevent.pywsgi.Input, connection: Connection):
@@ -283,23 +298,23 @@
 
 
 def _check_framing(headers: typing.Any) -> None:
-    """Refuse a head whose body's end another server could see elsewhere.
+    """Reject a head for which servers could disagree on the body's length.
 
-    With two lengths, or a transfer coding that is not understood, the rest
-    of one caller's body would be read as another request.
+    With two lengths or an unsupported transfer coding, the rest of a body would
+    be read as another request (request smuggling).
     """
     if any(isinstance(defect, HEADER_DEFECTS) for defect in headers.defects):
-        raise ValueError("a line is not a header")
+        raise ValueError("a header line is malformed")
     if any("\n" in value or "\r" in value for value in headers.values()):
-        raise ValueError("a header is folded over lines")
+        raise ValueError("a header is folded over several lines")
     lengths = headers.get_all("content-length", [])
     codings = headers.get_all("transfer-encoding", [])
     if len(set(lengths)) > 1 or not all(map(_is_number, lengths)):
-        raise ValueError("Content-Length is not one number")
+        raise ValueError("Content-Length is not a single number")
     if codings and [coding.lower() for coding in codings] != ["chunked"]:
-        raise ValueError("the only transfer coding understood is chunked")
+        raise ValueError("the only supported transfer coding is chunked")
     if codings and lengths:
-        raise ValueError("there is a length beside a transfer coding")
+        raise ValueError("both Content-Length and Transfer-Encoding are present")
 
 
 def _is_number(value: str) -> bool:
--- a/packages/mothworks/src/mothworks/serving.py
+++ b/packages/mothworks/src/mothworks/serving.py
@@ -1,4 +1,4 @@
-"""Serving: what the parts that answer callers' calls over WSGI share."""
+"""Base class of the parts that serve calls over WSGI."""
 
 import collections.abc
 import typing
@@ -9,60 +9,60 @@
 
 log = logbook.Logger("serving")
 
-#: Statuses whose answers have no body.
-BODILESS = (204, 304)
+#: Statuses whose replies have no body.
+STATUSES_WITHOUT_BODY = (204, 304)
 
 
 class Serving(kernel.Part):
-    """Base of a part that serves calls; :meth:`application` is its WSGI side.
+    """A part that serves calls; :meth:`application` is its WSGI application.
 
     :param node_kernel: the node's kernel.
     """
 
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
-        #: Calls that are being answered.
+        #: Number of calls in progress.
         self.open_calls = 0
         self.uploads = uploads.Uploads(node_kernel.settings.limits.uploads_bytes)
 
     @property
     def limits(self) -> settings.Limits:
-        """Return the bounds on the next call."""
+        """Return the limits that apply to the next call."""
         return self.kernel.settings.limits
 
     def reply(self, call: calls.Call) -> calls.Reply:
-        """Answer one call.
+        """Return the reply to one call.
 
         :param call: the call.
         """
         raise NotImplementedError
 
     def refuse(self, refusal: outcomes.Refusal) -> calls.Reply:
-        """Return the reply that carries a refusal.
+        """Return the error reply for a refusal.
 
-        :param refusal: why there is no answer.
+        :param refusal: why the request is refused.
         """
         return calls.refuse(refusal)
 
     def headers(self, call: calls.Call, reply: calls.Reply) -> list[tuple[str, str]]:
-        """Return the headers that a reply is sent with.
+        """Return the headers to send with a reply.
 
         :param call: the call.
         :param reply: its reply.
         """
-        if reply.status not in BODILESS:
+        if reply.status not in STATUSES_WITHOUT_BODY:
             return list(reply.headers)
-        # The WSGI server fails on a length of a body that must not be there.
+        # The WSGI server fails on a Content-Length where no body is allowed.
         return [item for item in reply.headers if item[0].lower() != "content-length"]
 
     def begun(self, call: calls.Call) -> None:
-        """Note a call before it is answered.
+        """Hook that runs before a call is answered.
 
         :param call: the call.
         """
 
     def replied(self, call: calls.Call, reply: calls.Reply) -> None:
-        """Note a reply before it is sent.
+        """Hook that runs before a reply is sent.
 
         :param call: the call.
         :param reply: its reply.
@@ -71,28 +71,28 @@
     def application(
         self, environ: dict[str, typing.Any], start_response: calls.StartResponse
     ) -> collections.abc.Iterator[bytes]:
-        """Serve one call of a listener.
+        """Serve one call that a listener received.
 
         :param environ: the WSGI environment.
-        :param start_response: takes status and headers.
+        :param start_response: WSGI's function that sets status and headers.
         """
         self.open_calls += 1
         call = reply = None
         try:
             call = calls.Call(environ, self.limits, self.uploads)
             self.begun(call)
-            reply = self._guarded(call)
+            reply = self._reply_or_internal_error(call)
             self.replied(call, reply)
             headers = self.headers(call, reply)
             if self.kernel.draining:
-                # The caller's next call goes to another VM.
+                # Makes the caller send its next call to another VM.
                 headers.append(("Connection", "close"))
             start_response(calls.status_line(reply.status), headers)
             yield from reply.body
         except OSError as error:
             raise connections.BrokenAnswer from error
         finally:
-            # A body that was never iterated holds its slot until closed.
+            # A body that was never iterated keeps its slot until it is closed.
             close = getattr(reply and reply.body, "close", None)
             if close is not None:
                 close()
@@ -100,18 +100,21 @@
                 call.stop_watch()
             self.open_calls -= 1
 
-    def _guarded(self, call: calls.Call) -> calls.Reply:
-        """Answer a call even where our own code fails on it.
+    def _reply_or_internal_error(self, call: calls.Call) -> calls.Reply:
+        """Return the reply to a call; status 500 if an exception is raised.
 
-        Stopping the process, as for other broken invariants, would let one
-        odd request that is sent again take down every VM in turn.
+        Other broken invariants stop the process. Here that would let one
+        unusual request that is retried take down every VM in turn.
         """
         try:
             return self.reply(call)
         except Exception:
-            log.exception("failed on {} {}", call.method, call.raw_path[:80])
+            log.exception("failed to answer {} {}", call.method, call.raw_path[:80])
             return self.refuse(
                 outcomes.Refusal(
-                    500, "internal", "the node failed on this", outcomes.Ran.UNKNOWN
+                    500,
+                    "internal",
+                    "the node failed to process the request",
+                    outcomes.Ran.UNKNOWN,
                 )
             )
--- a/packages/mothworks/src/mothworks/uploads.py
+++ b/packages/mothworks/src/mothworks/uploads.py
@@ -1,37 +1,38 @@
-"""Uploads: the bytes of request bodies that arrive now, bounded for the VM.
+"""A limit on the memory of all request bodies that are arriving at a VM.
 
-Each body is bounded by itself, but thousands of connections that each send a
-long one slowly would together fill a small VM's memory.
+The length of each body is limited, but thousands of connections that each send
+a long body slowly could still exhaust the memory of a small VM.
 """
 
 
 class Uploads:
-    """The room for bodies that arrive.
+    """Reservations of memory for bodies that are arriving.
 
-    :param most: bytes of all of them together.
+    :param max_bytes: limit on the sum of the reservations, bytes.
 
-    >>> room = Uploads(10)
-    >>> room.reserve(8), room.reserve(8)
+    >>> uploads = Uploads(10)
+    >>> uploads.reserve(8), uploads.reserve(8)
     (True, False)
     """
 
-    def __init__(self, most: int):
-        self.most = most
-        self.reserved = 0
+    def __init__(self, max_bytes: int):
+        self.max_bytes = max_bytes
+        self.reserved_bytes = 0
 
     def reserve(self, length: int) -> bool:
-        """Take room for a body; returns whether there was enough.
+        """Reserve memory for a body; return whether the limit allows it.
 
-        :param length: its bytes. One body always finds room.
+        :param length: the body's length, bytes. With no other reservation, any
+            length is allowed.
         """
-        if self.reserved and self.reserved + length > self.most:
+        if self.reserved_bytes and self.reserved_bytes + length > self.max_bytes:
             return False
-        self.reserved += length
+        self.reserved_bytes += length
         return True
 
     def free(self, length: int) -> None:
-        """Give back a body's room.
+        """Release a body's reservation.
 
-        :param length: what was reserved.
+        :param length: the reserved bytes.
         """
-        self.reserved -= length
+        self.reserved_bytes -= length
--- a/packages/mothworks/tests/test_callers.py
+++ b/packages/mothworks/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Callers that send what they should not, stall, or leave."""
+"""Callers that send bad requests, stall or disconnect."""
 
 import gevent
 import pytest
@@ -7,27 +7,27 @@
 from mothworks import slot_owner, slot_rows
 from mothworks_fakes import gates, processes
 
-MANY = 150
+HEADER_COUNT_ABOVE_LIMIT = 150
 
 
 @pytest.fixture(scope="module")
 def shared():
-    made = served.Served(body_bytes=10_000, header_bytes=2_000)
-    yield made
-    made.stop()
+    node = served.Served(body_bytes=10_000, header_bytes=2_000)
+    yield node
+    node.stop()
 
 
 @pytest.fixture
 def serve():
-    made = []
+    nodes = []
 
     def start(**options):
-        made.append(served.Served(**options))
-        return made[-1]
+        nodes.append(served.Served(**options))
+        return nodes[-1]
 
     yield start
-    for each in made:
-        each.stop()
+    for node in nodes:
+        node.stop()
 
 
 def chunked(*parts: bytes) -> bytes:
@@ -39,8 +39,8 @@
     "malformed JSON": (served.post(served.CHAT, b'{"model": '), 400, "invalid_json"),
     "invalid UTF-8": (served.post(served.CHAT, b'{"m": "\xff"}'), 400, "invalid_json"),
     "empty body": (served.post(served.CHAT, b""), 400, "invalid_json"),
-    "no length": (served.head("POST", served.CHAT), 400, "invalid_json"),
-    "no object": (served.post(served.CHAT, b"[1]"), 400, "invalid_request"),
+    "no Content-Length": (served.head("POST", served.CHAT), 400, "invalid_json"),
+    "not an object": (served.post(served.CHAT, b"[1]"), 400, "invalid_request"),
     "no model": (served.post(served.CHAT, b"{}"), 400, "invalid_request"),
     "unknown model": (
         served.post(served.CHAT, b'{"model": "absent"}'),
@@ -80,7 +80,7 @@
         404,
         "service_not_found",
     ),
-    "declared too long": (
+    "declared length too long": (
         served.head("POST", served.CHAT, Content_Length=10_001),
         413,
         "body_too_long",
@@ -114,7 +114,7 @@
         400,
         "invalid_head",
     ),
-    "no header line": (
+    "malformed header line": (
         served.head("GET", "/v1/models", X="1\r\nnot a header"),
         400,
         "invalid_head",
@@ -135,7 +135,11 @@
         "head_too_long",
     ),
     "many headers": (
-        served.head("GET", "/v1/models", **{f"X{n}": "x" for n in range(MANY)}),
+        served.head(
+            "GET",
+            "/v1/models",
+            **{f"X{n}": "x" for n in range(HEADER_COUNT_ABOVE_LIMIT)},
+        ),
         431,
         "head_too_long",
     ),
@@ -150,7 +154,7 @@
         "invalid_request",
     ),
     "long path": (served.head("GET", "/" + "x" * 10_000), 414, "head_too_long"),
-    "no HTTP": (b"hello\r\n\r\n", 400, "invalid_head"),
+    "not HTTP": (b"hello\r\n\r\n", 400, "invalid_head"),
     "service path not ASCII": (
         served.head("GET", "/services/orders/\xe9"),
         400,
@@ -160,84 +164,84 @@
 
 
 @pytest.mark.parametrize("name", BAD_REQUESTS)
-def test_a_bad_request_is_refused_and_harms_nothing(shared, name):
-    wire, status, code = BAD_REQUESTS[name]
+def test_a_bad_request_is_refused_without_side_effects(shared, name):
+    raw_request, status, code = BAD_REQUESTS[name]
     runs = len(shared.engines[0].runs)
-    answered = shared.send(wire)
-    assert (answered.status, answered.error["code"]) == (status, code)
-    assert answered.error["ran"] == answered.headers["mothworks-ran"] == "no"
-    assert answered.headers["x-request-id"]
+    answer = shared.send(raw_request)
+    assert (answer.status, answer.error["code"]) == (status, code)
+    assert answer.error["ran"] == answer.headers["mothworks-ran"] == "no"
+    assert answer.headers["x-request-id"]
     assert len(shared.engines[0].runs) == runs
     assert shared.send(served.head("GET", "/healthz")).status == 200
 
 
 def test_an_encoded_line_break_stays_encoded(shared):
-    # A path that is decoded on its way to the service starts a request of
-    # the caller's making there: the reply to it goes to the next caller.
+    # If the path were decoded on its way to the service, the line break would
+    # inject a second request, whose reply would go to the next caller.
     path = "/services/orders/a%0d%0aX:%20y%20b?q=%0a"
-    answered = shared.send(served.head("GET", path))
-    assert answered.status == 200
-    assert b'"/a\\r\\nX: y b"' in answered.body
+    answer = shared.send(served.head("GET", path))
+    assert answer.status == 200
+    assert b'"/a\\r\\nX: y b"' in answer.body
 
 
 def test_a_truncated_upload_is_refused(shared):
     sock = shared.connect()
     sock.sendall(served.head("POST", served.CHAT, Content_Length=500) + b"{")
     sock.shutdown(gevent.socket.SHUT_WR)
-    answered = served.read_answer(sock)
-    assert (answered.status, answered.error["code"]) == (400, "truncated_body")
+    answer = served.read_answer(sock)
+    assert (answer.status, answer.error["code"]) == (400, "truncated_body")
 
 
 @pytest.mark.parametrize(
-    ("wire", "code"),
+    ("raw_request", "code"),
     [
         (served.head("POST", served.CHAT, Content_Length=500) + b"{", "upload_timeout"),
         (b"GET /v1/models HTTP/1.1\r\nHost: te", "head_timeout"),
     ],
     ids=["body", "head"],
 )
-def test_a_stalled_upload_is_refused(serve, wire, code):
-    answered = serve(upload_s=0.2).send(wire)
-    assert (answered.status, answered.error["code"]) == (408, code)
+def test_a_stalled_upload_is_refused(serve, raw_request, code):
+    answer = serve(upload_s=0.2).send(raw_request)
+    assert (answer.status, answer.error["code"]) == (408, code)
 
 
-def test_bodies_that_arrive_are_bounded_together(serve):
-    # Many callers send long bodies slowly; each is within its own bound, and
-    # together they would fill the VM's memory.
+def test_the_memory_of_arriving_bodies_is_limited(serve):
+    # Many callers send long bodies slowly: each body is within its own limit,
+    # but together they would exhaust the VM's memory.
     node = serve(body_bytes=10_000, uploads_bytes=15_000)
     slow = node.connect()
     slow.sendall(served.head("POST", served.CHAT, Content_Length=8_000))
-    room = node.node.server.uploads
-    processes.wait_until(lambda: room.reserved == 8_000)
-    answered = node.send(served.head("POST", served.CHAT, Content_Length=8_000))
-    assert (answered.status, answered.error["code"]) == (503, "uploads")
-    assert answered.error["ran"] == "no"
+    uploads = node.node.server.uploads
+    processes.wait_until(lambda: uploads.reserved_bytes == 8_000)
+    answer = node.send(served.head("POST", served.CHAT, Content_Length=8_000))
+    assert (answer.status, answer.error["code"]) == (503, "uploads")
+    assert answer.error["ran"] == "no"
     slow.close()
-    processes.wait_until(lambda: room.reserved == 0)
+    processes.wait_until(lambda: uploads.reserved_bytes == 0)
     assert node.chat(max_tokens=1).status == 200
 
 
-def test_a_connection_too_many_is_told_so(serve):
-    # A pool that just stops accepting leaves callers in the kernel's queue:
-    # they see neither an answer nor a refusal until their own timeout.
+def test_a_connection_above_the_limit_gets_an_error_reply(serve):
+    # A server that only stops accepting leaves callers in the kernel's accept
+    # queue, without any reply until their own timeout.
     node = serve(connections=2)
-    held = [node.connect() for _ in range(2)]
+    connections = [node.connect() for _ in range(2)]
     processes.wait_until(lambda: len(node.node.server.listener.connections) == 2)
-    answered = node.send(served.head("GET", "/healthz"))
-    assert (answered.status, answered.error["code"]) == (503, "connections")
-    assert answered.headers["retry-after"] == "1"
-    held.pop().close()
+    answer = node.send(served.head("GET", "/healthz"))
+    assert (answer.status, answer.error["code"]) == (503, "connections")
+    assert answer.headers["retry-after"] == "1"
+    connections.pop().close()
     processes.wait_until(
         lambda: node.send(served.head("GET", "/healthz")).status == 200
     )
 
 
-def test_a_reader_that_stalls_loses_its_connection_and_slot(serve):
-    # A caller that stops reading fills the buffers between; without a bound
-    # its request keeps a slot at the engine for as long as it likes.
-    big = b"data: " + b"x" * 60_000 + b"\n\n"
-    pieces = (big for _ in range(10_000))
-    engine = served.ScriptedEngine(lambda _: served.stream_reply(*pieces))
+def test_a_stalled_reader_loses_its_connection_and_slot(serve):
+    # A caller that stops reading lets the buffers fill. Without a timeout its
+    # request keeps a slot at the engine indefinitely.
+    event = b"data: " + b"x" * 60_000 + b"\n\n"
+    events = (event for _ in range(10_000))
+    engine = served.ScriptedEngine(lambda _: served.stream_reply(*events))
     node = serve(engines=[engine], write_s=0.3)
     sock = node.connect()
     sock.sendall(served.chat(stream=True))
@@ -247,9 +251,9 @@
 
 
 @pytest.mark.parametrize("step", [gates.Step.SENT, gates.Step.MID_ANSWER])
-def test_a_caller_that_leaves_frees_its_slot(serve, step):
-    # The engine is busy with a request whose caller is gone; the next caller
-    # waits for a slot that nobody uses. The server notices only on write.
+def test_a_disconnect_frees_the_slot(serve, step):
+    # The server detects a disconnect only when it writes. Until then the slot of
+    # a disconnected caller would stay occupied while other callers wait.
     node = serve()
     gate = node.engines[0].gates.close(step)
     sock = node.connect()
@@ -262,7 +266,7 @@
     processes.wait_until(lambda: node.engines[0].running == 0)
 
 
-def test_a_caller_that_leaves_the_queue_gives_up_its_place(serve):
+def test_a_disconnect_removes_the_request_from_the_queue(serve):
     node = serve(slots=1)
     gate = node.engines[0].gates.close(gates.Step.SENT)
     first, second = node.connect(), node.connect()
@@ -278,9 +282,9 @@
     assert len(node.engines[0].runs) == 1
 
 
-def test_a_call_that_may_run_once_is_not_broken_off(serve):
-    # The guest closes the page while the kitchen takes the order. Breaking
-    # the call off would leave an order that may or may not have been taken.
+def test_a_disconnect_does_not_cancel_a_call_that_is_not_repeatable(serve):
+    # Cancelling the call of a disconnected caller would leave it unknown whether
+    # the service ran it.
     node = serve()
     node.orders.work_s = 0.2
     sock = node.connect()
@@ -292,17 +296,19 @@
     assert node.orders.calls_by_body == {b"two trays": 1}
 
 
-def test_each_request_of_a_connection_gets_its_own_answer(shared):
+def test_pipelined_requests_get_their_own_answers(shared):
     sock = shared.connect()
     sock.sendall(served.chat(max_tokens=2) + served.chat(max_tokens=3))
-    wire = b""
-    while wire.count(b'"usage"') < 2:
-        wire += sock.recv(65536)
-    assert wire.index(b'"completion_tokens":2') < wire.index(b'"completion_tokens":3')
+    received = b""
+    while received.count(b'"usage"') < 2:
+        received += sock.recv(65536)
+    assert received.index(b'"completion_tokens":2') < received.index(
+        b'"completion_tokens":3'
+    )
     sock.close()
 
 
-def test_an_upgrade_is_not_taken_up(shared):
+def test_an_upgrade_request_is_ignored(shared):
     sock = shared.connect()
     body = b'{"model": "menu", "max_tokens": 1}'
     sock.sendall(served.post(served.CHAT, body, Upgrade="websocket"))
@@ -310,7 +316,7 @@
     sock.close()
 
 
-def test_metrics_tell_replies_refusals_and_tokens(shared):
+def test_metrics_count_replies_refusals_and_tokens(shared):
     shared.chat(stream=True, max_tokens=4)
     shared.send(served.post(served.CHAT, b"{"))
     processes.wait_until(shared.idle)
--- a/packages/mothworks/tests/test_fuzzed_calls.py
+++ b/packages/mothworks/tests/test_fuzzed_calls.py
@@ -1,4 +1,4 @@
-"""Random bytes in bodies and heads never harm the node."""
+"""Random bytes in bodies and heads never cause a server error."""
 
 import hypothesis
 import orjson
@@ -7,15 +7,15 @@
 
 import served
 
-RUNS = hypothesis.settings(
+FUZZING = hypothesis.settings(
     max_examples=80,
     deadline=None,
     derandomize=True,
     database=None,
     suppress_health_check=[hypothesis.HealthCheck.function_scoped_fixture],
 )
-#: Statuses that say the fault is the caller's.
-CALLERS_FAULT = range(400, 432)
+#: Statuses of the client errors that a node replies with.
+CLIENT_ERRORS = range(400, 432)
 
 json_values = strategies.recursive(
     strategies.none()
@@ -23,9 +23,9 @@
     | strategies.integers(-(2**40), 2**40)
     | strategies.floats(allow_nan=False)
     | strategies.text(max_size=8),
-    lambda inner: (
-        strategies.lists(inner, max_size=3)
-        | strategies.dictionaries(strategies.text(max_size=8), inner, max_size=3)
+    lambda children: (
+        strategies.lists(children, max_size=3)
+        | strategies.dictionaries(strategies.text(max_size=8), children, max_size=3)
     ),
     max_leaves=6,
 )
@@ -44,33 +44,33 @@
 
 @pytest.fixture(scope="module")
 def node():
-    made = served.Served(body_bytes=20_000, header_bytes=2_000, upload_s=5.0)
-    yield made
-    made.stop()
+    node = served.Served(body_bytes=20_000, header_bytes=2_000, upload_s=5.0)
+    yield node
+    node.stop()
 
 
-def check(node, answered):
-    if answered.status not in (200, 404) and answered.status not in CALLERS_FAULT:
-        raise AssertionError(f"{answered.status}: {answered.body}")
-    assert answered.complete
-    assert answered.headers["x-request-id"]
-    if answered.status != 200:
-        assert answered.error["ran"] == "no"
+def check_answer(node, answer):
+    if answer.status not in (200, 404) and answer.status not in CLIENT_ERRORS:
+        raise AssertionError(f"{answer.status}: {answer.body}")
+    assert answer.complete
+    assert answer.headers["x-request-id"]
+    if answer.status != 200:
+        assert answer.error["ran"] == "no"
 
 
-@RUNS
+@FUZZING
 @hypothesis.given(body=strategies.binary(max_size=200))
 def test_bodies_of_any_bytes(node, body):
-    check(node, node.send(served.post(served.CHAT, body)))
+    check_answer(node, node.send(served.post(served.CHAT, body)))
 
 
-@RUNS
+@FUZZING
 @hypothesis.given(body=fields)
 def test_bodies_of_any_fields(node, body):
-    check(node, node.send(served.post(served.CHAT, orjson.dumps(body))))
+    check_answer(node, node.send(served.post(served.CHAT, orjson.dumps(body))))
 
 
-@RUNS
+@FUZZING
 @hypothesis.given(
     name=strategies.sampled_from(
         ["Content-Length", "Transfer-Encoding", "Connection", "Expect", "Upgrade"]
@@ -79,20 +79,20 @@
 )
 def test_headers_of_any_bytes(node, name, value):
     start = served.head("POST", served.CHAT).removesuffix(b"\r\n")
-    wire = start + name.encode() + b": " + value + b"\r\n\r\n"
+    raw_request = start + name.encode() + b": " + value + b"\r\n\r\n"
     sock = node.connect()
-    sock.sendall(wire)
+    sock.sendall(raw_request)
     sock.shutdown(served.SHUT_WR)
-    answered = served.read_answer(sock)
+    answer = served.read_answer(sock)
     sock.close()
-    check(node, answered)
+    check_answer(node, answer)
 
 
-@RUNS
-@hypothesis.given(wire=strategies.binary(min_size=1, max_size=300))
-def test_connections_of_any_bytes(node, wire):
+@FUZZING
+@hypothesis.given(raw_request=strategies.binary(min_size=1, max_size=300))
+def test_connections_of_any_bytes(node, raw_request):
     sock = node.connect()
-    sock.sendall(wire)
+    sock.sendall(raw_request)
     sock.shutdown(served.SHUT_WR)
     sock.recv(65536)
     sock.close()
