--- a/packages/mothworks/src/mothworks/endpoints.py
+++ b/packages/mothworks/src/mothworks/endpoints.py
@@ -1,8 +1,8 @@
-"""Endpoints: the interface of the plug-ins that speak to back ends.
+"""Interface of the plug-ins that communicate with endpoints.
 
-A plug-in is mounted by the endpoint's ``kind``. It sends one request and
-hands back the answer's bytes as they come, asks for health and residents,
-and passes orders to load and unload.
+The endpoint's ``kind`` selects the plug-in. The plug-in sends requests and
+streams their answers, requests reports of health and resident models, and sends
+orders to load and unload models.
 """
 
 import collections.abc
@@ -16,13 +16,13 @@
 
 @attrs.frozen
 class SendFailure:
-    """An attempt at an endpoint gave no answer.
+    """An attempt to send a request to an endpoint yielded no usable answer.
 
     :param reason: what failed.
-    :param sent: whether the first byte may have left this VM.
-    :param refused: the endpoint itself refused before running it.
-    :param answered: the endpoint answered with an error of its own, so its
-        process lives.
+    :param sent: whether the first byte may have been sent.
+    :param refused: whether the endpoint refused the request before running it.
+    :param answered: whether the endpoint answered with an error, which shows
+        that its process is alive.
     """
 
     reason: str
@@ -33,11 +33,11 @@
 
 @attrs.frozen
 class Resident:
-    """A model or adapter in an endpoint's memory.
+    """A model or adapter that is loaded at an endpoint.
 
     :param name: the model or adapter.
     :param version: the model's version.
-    :param memory_mb: accelerator memory it takes, MB.
+    :param memory_mb: accelerator memory that it occupies, MB.
     """
 
     name: str
@@ -47,13 +47,14 @@
 
 @attrs.frozen
 class Report:
-    """What an endpoint says of itself; load reports lag.
+    """An endpoint's report of its state; its load figures lag behind.
 
     :param residents: models and adapters in memory.
-    :param running: requests in its batch.
-    :param waiting: requests in its own queue.
-    :param draining: it is leaving.
-    :param loading: models and adapters that take memory but do not answer yet.
+    :param running: number of requests in its batch.
+    :param waiting: number of requests in its own queue.
+    :param draining: whether it is shutting down.
+    :param loading: models and adapters that occupy memory but cannot serve
+        requests yet.
     """
 
     residents: tuple[Resident, ...] = ()
@@ -64,7 +65,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """What an order asks of an endpoint."""
+    """Kinds of orders to an endpoint."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -73,15 +74,15 @@
 
 @attrs.frozen
 class Order:
-    """An order to an endpoint; every copy of it carries the same id.
+    """An order to an endpoint; resent copies carry the same id.
 
     :param id: unique among all orders.
-    :param kind: what is asked.
+    :param kind: the kind of order.
     :param name: the model or adapter; for a change of role, the new role.
     :param version: the model's version.
-    :param memory_mb: accelerator memory of a load, MB.
-    :param fence: the fencing number; a later order has a higher one.
-    :param base: the model that an adapter belongs to; empty for a model.
+    :param memory_mb: accelerator memory for a load, MB.
+    :param fence: the fencing number; later orders have higher ones.
+    :param base: the base model of an adapter; empty for a model.
     """
 
     id: str
@@ -95,11 +96,11 @@
 
 @attrs.frozen
 class OrderRefused:
-    """The endpoint did not carry out an order and says so.
+    """The endpoint refused an order and did not execute it.
 
     :param reason: why.
-    :param highest_fence: the endpoint's fencing number, where the order's
-        own was too old; otherwise 0.
+    :param highest_fence: the endpoint's fencing number if the order's was too
+        old; otherwise 0.
     """
 
     reason: str
@@ -108,9 +109,9 @@
 
 @attrs.frozen
 class OrderUnknown:
-    """It is not known yet whether an order was, or will be, carried out.
+    """It is unknown whether an order was, or will be, executed.
 
-    :param reason: what failed, or that the endpoint is still at it.
+    :param reason: what failed, or that the endpoint is still executing it.
     """
 
     reason: str
@@ -120,10 +121,10 @@
 
 
 class Answer:
-    """An endpoint's answer while it arrives.
+    """An endpoint's answer, which is streamed as it arrives.
 
     :param status: the HTTP status.
-    :param headers: the headers to pass on.
+    :param headers: the headers to forward.
     """
 
     def __init__(self, status: int, headers: list[tuple[str, str]]):
@@ -131,19 +132,19 @@
         self.headers = headers
 
     def chunks(self) -> collections.abc.Iterator[bytes]:
-        """Yield the body as it arrives; raises OSError where it breaks."""
+        """Yield the body as it arrives; raise OSError if it ends early."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Release the connection; cancels an answer that is not complete."""
+        """Release the connection; cancel the answer if it is incomplete."""
 
 
 class Adapter:
     """Interface of the plug-ins of kind :data:`plugins.ENDPOINT`."""
 
-    #: Whether endpoints of this kind can continue a stream at an offset.
+    #: Whether endpoints of this kind can resume a stream at an offset.
     resumes = False
-    #: Whether urgent work takes the place of bulk work in a full batch.
+    #: Whether urgent requests preempt bulk requests in a full batch.
     preempts = False
 
     def send(
@@ -151,17 +152,17 @@
     ) -> result.Result[Answer, SendFailure]:
         """Send a request and wait for the answer's head.
 
-        :param endpoint: where to.
-        :param request: what to send, once.
-        :param offset: events of the stream that the caller has already; above
-            0 only where :attr:`resumes` is set.
+        :param endpoint: the endpoint to send to.
+        :param request: the request, which is sent at most once.
+        :param offset: number of the stream's events that the caller already
+            has; above 0 only if :attr:`resumes` is set.
         """
         raise NotImplementedError
 
     def report(self, endpoint: catalogue.Endpoint) -> result.Result[Report, str]:
-        """Ask an endpoint for its health, residents and load.
+        """Request an endpoint's report of health, residents and load.
 
-        :param endpoint: the endpoint to ask.
+        :param endpoint: the endpoint.
         """
         raise NotImplementedError
 
@@ -170,8 +171,8 @@
     ) -> result.Result[None, OrderFailure]:
         """Send one copy of an order.
 
-        :param endpoint: where to.
-        :param order: the order; sending it again does no harm.
-        :returns: Ok once the endpoint has carried it out.
+        :param endpoint: the endpoint to send to.
+        :param order: the order; resending it is safe.
+        :returns: Ok once the endpoint has executed it.
         """
-        return result.Err(OrderRefused("this kind of endpoint takes no orders"))
+        return result.Err(OrderRefused("this kind of endpoint accepts no orders"))
--- a/packages/mothworks/src/mothworks/outcomes.py
+++ b/packages/mothworks/src/mothworks/outcomes.py
@@ -1,7 +1,7 @@
-"""Outcomes of requests: typed refusals that say whether anything ran.
+"""Refusals of requests, which state whether the request may have run.
 
-Functions return :class:`result.Result`; an exception leaves a function only
-where an invariant is broken. A :class:`Refusal` is what a caller sees.
+Functions return :class:`result.Result` and raise exceptions only for broken
+invariants. A :class:`Refusal` describes the error that a caller receives.
 """
 
 import enum
@@ -15,20 +15,20 @@
 
     #: Nothing was sent, or the endpoint refused before running it.
     NO = "no"
-    #: It was sent and its answer is not known.
+    #: It was sent, and its outcome is not known.
     UNKNOWN = "unknown"
 
 
 @attrs.frozen
 class Refusal:
-    """The reason that a caller gets no answer to a request.
+    """Why a request gets no answer.
 
     :param status: the HTTP status.
-    :param code: a short, stable word for programs.
+    :param code: a short, stable identifier for programs.
     :param message: one sentence for people.
     :param ran: whether the request may have run.
-    :param retry_after: seconds until a retry makes sense; None where a
-        retry of the same request is not safe or is pointless.
+    :param retry_after: seconds until a retry may succeed; None if retrying the
+        same request is unsafe or cannot succeed.
     """
 
     status: int
@@ -38,16 +38,16 @@
     retry_after: float | None = None
 
     def body(self) -> bytes:
-        """Return OpenAI's error object, with ``ran`` beside its fields."""
+        """Return OpenAI's error object as JSON, with the additional field ``ran``."""
         kind = "invalid_request_error" if self.status < 500 else "server_error"
         error = {"message": self.message, "type": kind, "code": self.code}
         return orjson.dumps({"error": {**error, "param": None, "ran": self.ran}})
 
 
 def invalid(message: str, code: str = "invalid_request", status: int = 400) -> Refusal:
-    """Return the refusal of a request that can never succeed as it is.
+    """Return the refusal of a request that cannot succeed unless it is changed.
 
-    :param message: what is wrong with it.
+    :param message: what is wrong with the request.
     :param code: the error's code.
     :param status: the HTTP status, 400 to 499.
     """
@@ -55,9 +55,9 @@
 
 
 def overloaded(message: str, retry_after: float, code: str = "overloaded") -> Refusal:
-    """Return the refusal of a request for which there is no capacity now.
+    """Return the refusal of a request for which there is currently no capacity.
 
-    :param message: which limit was met.
+    :param message: which limit was reached.
     :param retry_after: seconds until a retry may succeed.
     :param code: the error's code.
     """
@@ -67,7 +67,7 @@
 def unknown(message: str, code: str = "outcome_unknown") -> Refusal:
     """Return the refusal of a request that may have run.
 
-    :param message: how its answer was lost.
+    :param message: why its outcome is unknown.
     :param code: the error's code.
     """
     return Refusal(502, code, message, Ran.UNKNOWN)
--- a/packages/mothworks/src/mothworks/requests.py
+++ b/packages/mothworks/src/mothworks/requests.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through the system."""
+"""The internal form of a caller's request."""
 
 import math
 
@@ -9,25 +9,26 @@
 
 @attrs.frozen
 class Request:
-    """One request, read and checked.
+    """One parsed and validated request.
 
-    :param id: unique; in the answer's header, in logs and for ``why``.
-    :param caller: who asks.
-    :param target: the model, adapter or service that was asked for.
+    :param id: unique id; sent in the reply's header, logged, and used in the
+        statement ``why``.
+    :param caller: the caller that sent it.
+    :param target: the requested model, adapter or service.
     :param model: the model that must be resident; empty for a service.
-    :param method: HTTP method towards the endpoint.
-    :param path: path and query towards the endpoint.
-    :param headers: further headers towards the endpoint.
-    :param body: the caller's bytes, passed on unchanged.
+    :param method: HTTP method of the request to the endpoint.
+    :param path: path and query of the request to the endpoint.
+    :param headers: further headers of the request to the endpoint.
+    :param body: the caller's body, forwarded unchanged.
     :param stream: whether the answer is a stream of server-sent events.
     :param repeatable: whether it may run twice.
     :param arrived: monotonic time of arrival, seconds.
-    :param first_token_deadline: monotonic time of the first token's target.
-    :param tokens: most tokens it may generate.
-    :param idempotency_key: the caller's key for resends, or empty.
-    :param deadline: monotonic time after which no answer is of use.
-    :param resumable: whether another run gives the same tokens, so that a
-        broken stream can be continued.
+    :param first_token_deadline: monotonic time by which the first token is due.
+    :param tokens: maximum number of tokens to generate.
+    :param idempotency_key: the caller's key that identifies resends, or empty.
+    :param deadline: monotonic time after which the caller needs no answer.
+    :param resumable: whether another run generates the same tokens, so that an
+        interrupted stream can be resumed.
     """
 
     id: str
--- a/packages/mothworks/src/mothworks/retries.py
+++ b/packages/mothworks/src/mothworks/retries.py
@@ -1,23 +1,23 @@
-"""Retry budget: bounds the work that retries add when endpoints fail.
+"""Retry budget: limits the load that retries add when endpoints fail.
 
-Where an endpoint or a whole data centre fails, each caller's request would
-be sent twice or more just when capacity is short, and the retries alone keep
-the rest overloaded. The budget lets a tenth of the recent requests be
-retried, and a few a second where there is little traffic.
+If an endpoint or a whole data centre fails, each request would be sent twice or
+more just when capacity is short, and the retries alone would keep the remaining
+endpoints overloaded. The budget allows retries for a tenth of the requests,
+plus one per second so that a node with little traffic can retry too.
 """
 
 import time
 
 #: Retries that each request adds to the budget.
 SHARE = 0.1
-#: Retries that each second adds, so that a quiet node can retry too.
-LEAST_PER_S = 1.0
-#: Most retries that can be saved up.
-MOST_SAVED = 20.0
+#: Retries that each second adds, so that a node with little traffic can retry.
+RETRIES_PER_S = 1.0
+#: Maximum number of retries that the budget accumulates.
+MAX_SAVED = 20.0
 
 
 class Budget:
-    """Retries that may still be made.
+    """A budget of retries; :meth:`take` spends one.
 
     >>> budget = Budget()
     >>> budget.take()
@@ -25,19 +25,19 @@
     """
 
     def __init__(self):
-        self.saved = MOST_SAVED
-        self.filled = time.monotonic()
+        self.saved = MAX_SAVED
+        self.updated_at = time.monotonic()
 
     def add_request(self) -> None:
-        """Note a new request, which pays for a share of a retry."""
-        self.saved = min(MOST_SAVED, self.saved + SHARE)
+        """Add a new request's share of a retry to the budget."""
+        self.saved = min(MAX_SAVED, self.saved + SHARE)
 
     def take(self) -> bool:
-        """Spend one retry; returns whether there was one."""
+        """Spend one retry; return whether the budget allowed it."""
         now = time.monotonic()
-        earned = (now - self.filled) * LEAST_PER_S
-        self.filled = now
-        self.saved = min(MOST_SAVED, self.saved + earned)
+        gained = (now - self.updated_at) * RETRIES_PER_S
+        self.updated_at = now
+        self.saved = min(MAX_SAVED, self.saved + gained)
         if self.saved < 1:
             return False
         self.saved -= 1
