--- a/packages/mothworks/src/mothworks/circuit.py
+++ b/packages/mothworks/src/mothworks/circuit.py
@@ -1,55 +1,57 @@
-"""A circuit breaker: stops calls to a service that does not answer.
+"""A circuit breaker, which stops calls to a service that does not answer.
 
-During an outage every call would wait for its timeout and hammer the
-service as it comes back. After a few failures in a row the circuit opens:
-calls fail at once, but for one probe now and then.
+During an outage every call would wait for its timeout, and the calls together
+would overload the service as it recovers. After a few consecutive failures the
+circuit opens: calls fail immediately, except for an occasional probe.
 """
 
 import random
 import time
 
-#: Failures in a row that open the circuit.
-FAILURES_UNTIL_OPEN = 4
-#: Mean time between probes while open, seconds.
-PROBE_S = 0.5
-#: Share by which that time varies, so that VMs do not probe in step.
-JITTER = 0.3
+#: Consecutive failures that open the circuit.
+FAILURE_THRESHOLD = 4
+#: Mean time between probes while the circuit is open, seconds.
+PROBE_INTERVAL_S = 0.5
+#: Share by which that time varies at random, so that VMs do not probe in step.
+PROBE_JITTER = 0.3
 
 
 class Circuit:
-    """Counts failures and admits calls.
+    """Counts consecutive failures and admits or rejects calls.
 
-    :param now: the monotonic clock, seconds; tests give their own.
+    :param now: the monotonic clock, seconds; tests pass their own.
     """
 
     def __init__(self, now=time.monotonic):
         self.now = now
         self.failures = 0
-        self.next_probe = 0.0
+        self.next_probe_at = 0.0
 
     @property
     def open(self) -> bool:
-        """Return whether calls are held back."""
-        return self.failures >= FAILURES_UNTIL_OPEN
+        """Return whether calls are rejected, except for probes."""
+        return self.failures >= FAILURE_THRESHOLD
 
     def admit(self) -> bool:
-        """Return whether a call may be made now; while open, as a probe."""
+        """Return whether a call may be made now; while open, only a probe may."""
         if not self.open:
             return True
-        if self.now() < self.next_probe:
+        if self.now() < self.next_probe_at:
             return False
-        self._plan_probe()
+        self._schedule_probe()
         return True
 
     def succeed(self) -> None:
-        """Note a call that was answered."""
+        """Record a call that was answered."""
         self.failures = 0
 
     def fail(self) -> None:
-        """Note a call that was not answered."""
+        """Record a call that was not answered."""
         self.failures += 1
         if self.open:
-            self._plan_probe()
+            self._schedule_probe()
 
-    def _plan_probe(self) -> None:
-        self.next_probe = self.now() + PROBE_S * random.uniform(1 - JITTER, 1 + JITTER)
+    def _schedule_probe(self) -> None:
+        self.next_probe_at = self.now() + PROBE_INTERVAL_S * random.uniform(
+            1 - PROBE_JITTER, 1 + PROBE_JITTER
+        )
--- a/packages/mothworks/src/mothworks/objects.py
+++ b/packages/mothworks/src/mothworks/objects.py
@@ -1,8 +1,11 @@
 """The platform's object API, the only durable store.
 
-This module holds the interface and its outcomes; a plug-in speaks the
+This module defines the interface and its outcomes; a plug-in implements the
 platform's protocol. A write whose reply was lost has the outcome
-:class:`Unknown`: the writer reads back and looks for its own nonce.
+:class:`Unknown`: the writer reads the object back and searches it for the nonce
+of its own write.
+
+The names of the error classes are values of a metric's label.
 """
 
 import random
@@ -14,22 +17,22 @@
 
 from mothworks import guard, kernel, metrics, plugins
 
-#: Longest value that the platform takes, bytes.
+#: Longest value that the platform accepts, bytes.
 MOST_BYTES = 1_000_000
-#: Time for which :func:`put_known` tries to learn a write's outcome, seconds.
+#: Time for which :func:`put_known` tries to find out a write's outcome, seconds.
 PATIENCE_S = 3.0
-#: First longest pause between its attempts, seconds; it doubles each time.
+#: Upper bound of its first random backoff, seconds; it doubles each time.
 PAUSE_S = 0.05
-#: The longest such pause, seconds.
-MOST_PAUSE_S = 0.5
+#: Highest upper bound of its backoff, seconds.
+MAX_BACKOFF_S = 0.5
 
 
 @attrs.frozen
 class Stored:
-    """An object as the platform holds it.
+    """An object as it is stored by the platform.
 
     :param key: its name.
-    :param version: opaque; changes with every write.
+    :param version: an opaque version, which changes with every write.
     :param body: its content, at most 1 MB.
     """
 
@@ -42,7 +45,7 @@
 class Missing:
     """No object has the key.
 
-    :param key: the key asked for.
+    :param key: the requested key.
     """
 
     key: str
@@ -50,7 +53,7 @@
 
 @attrs.frozen
 class Conflict:
-    """A conditional write found another version; nothing changed.
+    """A conditional write failed on another version; nothing changed.
 
     :param key: the object's key.
     """
@@ -60,7 +63,7 @@
 
 @attrs.frozen
 class Unavailable:
-    """The object API did not take the call; nothing changed.
+    """The object API did not accept the call; nothing changed.
 
     :param reason: what failed.
     """
@@ -70,7 +73,7 @@
 
 @attrs.frozen
 class Unknown:
-    """A write was sent and its reply was lost; it may have taken effect.
+    """A write was sent but its reply was lost; it may have taken effect.
 
     :param reason: what failed.
     """
@@ -80,10 +83,10 @@
 
 @attrs.frozen
 class Changes:
-    """What a watch saw.
+    """Changes that a watch returned.
 
-    :param cursor: where the next watch continues.
-    :param keys: keys that changed since the last cursor.
+    :param cursor: the position from which the next watch continues.
+    :param keys: keys that changed since the previous cursor.
     """
 
     cursor: str
@@ -92,7 +95,7 @@
 
 @attrs.frozen
 class TooLarge:
-    """A value is longer than the platform takes; nothing changed.
+    """A value is longer than the platform accepts; nothing changed.
 
     :param key: the object's key.
     :param bytes: the value's length.
@@ -119,7 +122,7 @@
     def put(
         self, key: str, body: bytes, version: str | None
     ) -> result.Result[str, WriteError]:
-        """Write one object if it still has a version.
+        """Write one object on condition of its current version.
 
         :param key: its name.
         :param body: the new content.
@@ -129,7 +132,7 @@
         raise NotImplementedError
 
     def delete(self, key: str, version: str) -> result.Result[None, WriteError]:
-        """Delete one object if it still has a version.
+        """Delete one object on condition of its current version.
 
         :param key: its name.
         :param version: the version it must have.
@@ -139,77 +142,79 @@
     def list(self, prefix: str) -> result.Result[dict[str, str], Unavailable]:
         """List the versions of objects by key.
 
-        :param prefix: how the keys start.
+        :param prefix: the prefix of the keys.
         """
         raise NotImplementedError
 
     def watch(
         self, prefix: str, cursor: str, wait_s: float
     ) -> result.Result[Changes, Unavailable]:
-        """Wait for a change, by one long poll.
+        """Wait for a change by one long poll.
 
-        :param prefix: how the keys start.
-        :param cursor: the last cursor; empty for the present.
+        :param prefix: the prefix of the keys.
+        :param cursor: the previous cursor; empty to start at the current state.
         :param wait_s: longest wait, seconds.
         """
         raise NotImplementedError
 
 
 class Client(Api):
-    """Guards a plug-in: retries reads, sends writes once, heeds outages.
+    """Calls a plug-in: retries reads, sends each write once, backs off in outages.
 
-    :param plugin: speaks the platform's protocol.
-    :param node_metrics: counts the calls.
+    :param plugin: the plug-in that implements the platform's protocol.
+    :param node_metrics: the metrics that count the calls.
     """
 
     def __init__(self, plugin: Api, node_metrics: metrics.Metrics):
         self.plugin = plugin
-        down = Unavailable("the object API is down")
-        self.guard = guard.Guard(_unanswered, down, "object_api", node_metrics)
+        circuit_open_error = Unavailable("the object API is down")
+        self.guard = guard.Guard(
+            _is_unanswered, circuit_open_error, "object_api", node_metrics
+        )
 
     def get(self, key: str) -> result.Result[Stored, ReadError]:
         """Read one object; see :meth:`Api.get`."""
-        return self.guard.retried("get", self.plugin.get, key)
+        return self.guard.call_with_retries("get", self.plugin.get, key)
 
     def list(self, prefix: str) -> result.Result[dict[str, str], Unavailable]:
         """List versions by key; see :meth:`Api.list`."""
-        return self.guard.retried("list", self.plugin.list, prefix)
+        return self.guard.call_with_retries("list", self.plugin.list, prefix)
 
     def put(
         self, key: str, body: bytes, version: str | None
     ) -> result.Result[str, WriteError]:
-        """Write one object, once; see :meth:`Api.put`."""
+        """Write one object without retries; see :meth:`Api.put`."""
         if len(body) > MOST_BYTES:
             return result.Err(TooLarge(key, len(body)))
-        return self.guard.once("put", self.plugin.put, key, body, version)
+        return self.guard.call_once("put", self.plugin.put, key, body, version)
 
     def delete(self, key: str, version: str) -> result.Result[None, WriteError]:
-        """Delete one object, once; see :meth:`Api.delete`."""
-        return self.guard.once("delete", self.plugin.delete, key, version)
+        """Delete one object without retries; see :meth:`Api.delete`."""
+        return self.guard.call_once("delete", self.plugin.delete, key, version)
 
     def watch(
         self, prefix: str, cursor: str, wait_s: float
     ) -> result.Result[Changes, Unavailable]:
         """Wait for a change; see :meth:`Api.watch`.
 
-        A long poll is no probe of an open circuit: it would hide the
-        recovery for as long as it waits.
+        While the circuit is open, a long poll fails at once. As a probe it would
+        delay the detection of the recovery for as long as it waits.
         """
         if wait_s and self.guard.circuit.open:
-            return result.Err(self.guard.closed)
-        return self.guard.once("watch", self.plugin.watch, prefix, cursor, wait_s)
+            return result.Err(self.guard.circuit_open_error)
+        return self.guard.call_once("watch", self.plugin.watch, prefix, cursor, wait_s)
 
 
 class Objects(kernel.Part):
-    """The part that holds the object API's client.
+    """The part that creates the object API's client.
 
     :param node_kernel: the node's kernel.
     """
 
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
-        chosen = node_kernel.settings.object_api
-        plugin = plugins.find(plugins.OBJECT_API, chosen.kind)(chosen)
+        api_settings = node_kernel.settings.object_api
+        plugin = plugins.find(plugins.OBJECT_API, api_settings.kind)(api_settings)
         self.api: Api = Client(plugin, node_kernel.metrics)
 
 
@@ -221,23 +226,23 @@
     nonce: bytes,
     patience_s: float = PATIENCE_S,
 ) -> result.Result[str, WriteError]:
-    """Write one object and learn the outcome, also where replies are lost.
+    """Write one object and find out the outcome, even if replies are lost.
 
-    A reply lost after the write took effect would otherwise look like a
-    failure, and a second attempt like a conflict with somebody else. The
-    write is repeated unchanged, which its condition makes harmless, until an
-    answer comes; after a conflict the nonce tells the writer's own value.
+    Without this, a reply that is lost after the write took effect would look
+    like a failure, and a retry like a conflict with another writer. The write
+    is repeated unchanged until it is answered, which is safe because it is
+    conditional. After a conflict the nonce identifies the writer's own value.
 
     :param api: the object API.
     :param key: the object's name.
     :param body: the new content, which contains the nonce.
     :param version: the version it must have; None if it must not exist.
     :param nonce: bytes that no other write contains.
-    :param patience_s: longest time to learn the outcome, seconds.
-    :returns: the new version. ``Conflict`` and ``Unavailable`` say that
-        nothing changed. ``Unknown`` says that the value may have been
-        written, and perhaps overwritten since: the writer has to look for
-        its own trace in what is stored.
+    :param patience_s: longest time to find out the outcome, seconds.
+    :returns: the new version. ``Conflict`` and ``Unavailable`` mean that nothing
+        changed. ``Unknown`` means that the value may have been written, and may
+        have been overwritten since: the writer has to search the stored data
+        for signs of its own write.
     """
     deadline = time.monotonic() + patience_s
     pause_s = PAUSE_S
@@ -245,38 +250,38 @@
     while True:
         match api.put(key, body, version):
             case result.Err(Conflict()) if maybe_written:
-                return _recognise(api, key, version, nonce, deadline)
-            case result.Err(Unknown() as problem):
+                return _find_own_write(api, key, version, nonce, deadline)
+            case result.Err(Unknown() as error):
                 maybe_written = True
-            case result.Err(Unavailable() as problem):
+            case result.Err(Unavailable() as error):
                 pass
             case outcome:
                 return outcome
         if time.monotonic() + pause_s > deadline:
             break
         gevent.sleep(random.uniform(0, pause_s))
-        pause_s = min(2 * pause_s, MOST_PAUSE_S)
+        pause_s = min(2 * pause_s, MAX_BACKOFF_S)
     if maybe_written:
-        return result.Err(Unknown(problem.reason))
-    return result.Err(problem)
+        return result.Err(Unknown(error.reason))
+    return result.Err(error)
 
 
-def _unanswered(error: ReadError | WriteError) -> bool:
+def _is_unanswered(error: ReadError | WriteError) -> bool:
     return isinstance(error, Unavailable | Unknown)
 
 
-def _recognise(
+def _find_own_write(
     api: Api, key: str, version: str | None, nonce: bytes, deadline: float
 ) -> result.Result[str, WriteError]:
-    """Tell whether the value that is stored now is the writer's own."""
+    """Read the object back; return its version if it contains the nonce."""
     while True:
-        found = api.get(key)
-        match found:
+        read = api.get(key)
+        match read:
             case result.Ok(stored) if nonce in stored.body:
                 return result.Ok(stored.version)
             case result.Ok(stored) if stored.version != version:
                 return result.Err(Unknown("another write followed"))
-        # The read failed, or is older than the conflict that was answered.
+        # The read failed, or returned a state from before the conflict.
         if time.monotonic() > deadline:
             return result.Err(Unknown("the value could not be read back"))
         gevent.sleep(random.uniform(0, PAUSE_S))
