--- a/packages/mothworks/src/mothworks/catalogue.py
+++ b/packages/mothworks/src/mothworks/catalogue.py
@@ -1,8 +1,8 @@
-"""The catalogue: what operators declare, the same for every VM.
+"""The catalogue: configuration by operators that is common to all VMs.
 
-Models, adapters, versions, services, callers, endpoints, and how this
-deployment weighs attainment against moves. The file is JSON with comments;
-it is checked whole, and nothing of a wrong catalogue is taken.
+It declares models, adapters, versions, services, callers and endpoints, and the
+weights of attainment and moves in placement. The file is JSON with comments. It
+is validated as a whole; an invalid catalogue is rejected entirely.
 """
 
 import collections
@@ -14,13 +14,13 @@
 
 from mothworks import settings
 
-#: Least longest delay of an order, seconds: an owner's pause between its last
-#: look at a ledger and its order is part of it.
-LEAST_LATE_ORDER_S = 5.0
+#: Lower bound of the setting ``late_order_s``, seconds. That delay includes the
+#: time an owner may be paused between its last read of a ledger and its order.
+MIN_LATE_ORDER_S = 5.0
 
 
 class Urgency(enum.StrEnum):
-    """Class of a caller's work; a lower rank goes first."""
+    """Priority class of a caller's requests; a lower rank is served first."""
 
     URGENT = "urgent"
     STANDARD = "standard"
@@ -28,15 +28,15 @@
 
     @property
     def rank(self) -> int:
-        """Return the order among classes, 0 first."""
+        """Return the position among the classes; 0 is the most urgent."""
         return list(Urgency).index(self)
 
 
 @attrs.frozen
 class DataCentre:
-    """A data centre and the region it stands in.
+    """A data centre and its region.
 
-    :param name: its name, which settings and endpoints use.
+    :param name: its name, to which settings and endpoints refer.
     :param region: the region's name.
     """
 
@@ -46,13 +46,14 @@
 
 @attrs.frozen
 class Model:
-    """A model that must always answer its callers.
-
-    :param name: as callers name it.
-    :param memory_mb: weights in accelerator memory, MB.
-    :param working_mb: least room for KV cache beside the weights, MB.
-    :param version: a new value rolls the model over to new weights.
-    :param replicas: fewest resident replicas.
+    """A model that must always be available to its callers.
+
+    :param name: the name that callers use.
+    :param memory_mb: accelerator memory for the weights, MB.
+    :param working_mb: minimum memory for KV cache beside the weights, MB.
+    :param version: the version of the weights; a new value starts a rolling
+        update.
+    :param replicas: minimum number of resident replicas.
     """
 
     name: str
@@ -64,11 +65,11 @@
 
 @attrs.frozen
 class Adapter:
-    """An adapter (LoRA) of a model; callers name it like a model.
+    """An adapter (LoRA) of a model; callers request it like a model.
 
-    :param name: as callers name it.
-    :param model: the model it adapts.
-    :param memory_mb: its accelerator memory, MB.
+    :param name: the name that callers use.
+    :param model: its base model.
+    :param memory_mb: accelerator memory that it occupies, MB.
     """
 
     name: str
@@ -78,9 +79,9 @@
 
 @attrs.frozen
 class Service:
-    """A plain service beside the engines.
+    """A plain HTTP service, served beside the models.
 
-    :param name: as in the path ``/services/<name>/``.
+    :param name: its name in the path ``/services/<name>/``.
     :param repeatable: whether a call may run twice.
     """
 
@@ -90,15 +91,15 @@
 
 @attrs.frozen
 class Caller:
-    """Someone who may call, and how urgent their work is.
+    """A client with an API key, and the urgency of its requests.
 
     :param name: the caller's name.
-    :param key_sha256: hash of the caller's key.
-    :param urgency: class of all the caller's work.
-    :param first_token_ms: target for the first token, milliseconds.
-    :param between_tokens_ms: target between tokens, milliseconds.
-    :param models: models, adapters and services allowed; empty allows all.
-    :param share: largest share of any queue the caller may fill, 0 to 1.
+    :param key_sha256: SHA-256 hash of the caller's API key.
+    :param urgency: priority class of all the caller's requests.
+    :param first_token_ms: target time to the first token, milliseconds.
+    :param between_tokens_ms: target time between tokens, milliseconds.
+    :param models: allowed models, adapters and services; empty allows all.
+    :param share: largest share of a queue that the caller may occupy, 0 to 1.
     """
 
     name: str
@@ -115,18 +116,19 @@
     """A back end: a model engine, or an instance of a plain service.
 
     :param name: its name, and that of its VM in the platform's list.
-    :param kind: the plug-in that speaks its protocol.
-    :param address: its IP number.
+    :param kind: the plug-in that implements its protocol.
+    :param address: its IP address.
     :param port: its TCP port.
-    :param data_centre: where it runs.
+    :param data_centre: the data centre in which it runs.
     :param memory_mb: accelerator memory for models, MB; 0 for services.
-    :param accelerators: how many accelerators it uses.
-    :param fencing: whether it refuses orders with an old fencing number.
-    :param service: the plain service it is an instance of.
-    :param slots: most requests at a time, before the limit adapts.
-    :param drain: it gets no new work, so that it can be taken away.
-    :param priorities: whether it lets urgent requests go first, and pauses less
-        urgent ones for them.
+    :param accelerators: number of its accelerators.
+    :param fencing: whether it refuses orders with an outdated fencing number.
+    :param service: the plain service of which it is an instance; None for a model
+        engine.
+    :param slots: initial limit on concurrent requests, which then adapts.
+    :param drain: whether it gets no new requests, so that it can be removed.
+    :param priorities: whether it schedules urgent requests first and preempts
+        less urgent ones for them.
     """
 
     name: str
@@ -145,15 +147,16 @@
 
 @attrs.frozen
 class Weights:
-    """How the deployment weighs its two measures, and its weight store.
+    """Weights of the placement's objectives, and limits of the weight store.
 
-    :param attainment: worth of one more request per second in target.
+    :param attainment: value of one more request per second within its targets.
     :param moves: cost of one load, unload or relocation.
-    :param loads_per_s: loads that the store starts each second.
-    :param parallel_loads: loads that the store runs at full speed.
-    :param late_order_s: longest delay of a copy of an order on its way to an
-        endpoint, seconds; memory is kept for it that long. It bounds the
-        pause of a VM between its last look at a ledger and its order too.
+    :param loads_per_s: loads that the weight store can start per second.
+    :param parallel_loads: concurrent loads that the weight store serves at full
+        speed.
+    :param late_order_s: longest delay of a copy of an order in transit to an
+        endpoint, seconds; memory stays reserved for it that long. It also bounds
+        a VM's pause between its last read of a ledger and its order.
     """
 
     attainment: float = 1.0
@@ -163,21 +166,21 @@
     late_order_s: float = attrs.field(default=30.0)
 
     @late_order_s.validator
-    def _covers_a_pause(self, attribute: attrs.Attribute, value: float) -> None:
-        if value < LEAST_LATE_ORDER_S:
+    def _check_late_order_s(self, attribute: attrs.Attribute, value: float) -> None:
+        if value < MIN_LATE_ORDER_S:
             raise ValueError(
-                f"late_order_s: expected at least {LEAST_LATE_ORDER_S:g}, found {value}"
+                f"late_order_s: expected at least {MIN_LATE_ORDER_S:g}, found {value}"
             )
 
 
 @attrs.frozen
 class Retention:
-    """How long what the system keeps for callers is kept.
+    """Retention periods of stored data.
 
-    :param claims_s: time for which a resend with the same Idempotency-Key
-        is recognised, seconds.
-    :param deferred_s: time for which the answer of deferred work can be
-        fetched, seconds.
+    :param claims_s: time for which a resend with the same Idempotency-Key is
+        recognised, seconds.
+    :param deferred_s: time for which the answer to deferred work can be fetched,
+        seconds.
     :param quarantine_s: time for which a request that crashed endpoints is
         refused, seconds.
     :param audit_s: time for which the audit trail is kept, seconds.
@@ -195,16 +198,16 @@
 
 @attrs.frozen
 class Catalogue:
-    """Everything that operators declare.
+    """All configuration that operators declare.
 
     :param data_centres: data centres and their regions.
-    :param models: models by declaration.
+    :param models: declared models.
     :param adapters: adapters of those models.
     :param services: plain services.
-    :param callers: who may call.
-    :param endpoints: all back ends.
-    :param weights: how measures are weighed.
-    :param retention: how long what is kept for callers is kept.
+    :param callers: clients that may send requests.
+    :param endpoints: model engines and instances of services.
+    :param weights: weights of the placement's objectives.
+    :param retention: retention periods of stored data.
     """
 
     data_centres: tuple[DataCentre, ...] = ()
@@ -220,7 +223,7 @@
 class Index:
     """A catalogue's items by name, built once per revision.
 
-    :param catalogue: a checked catalogue.
+    :param catalogue: a valid catalogue.
     """
 
     def __init__(self, catalogue: Catalogue):
@@ -236,14 +239,14 @@
 
     @functools.cached_property
     def caller_by_key_hash(self) -> dict[str, Caller]:
-        """Return callers by the hash of their key."""
+        """Return callers by the hash of their API key."""
         return {item.key_sha256: item for item in self.catalogue.callers}
 
     @functools.cached_property
     def endpoints_by_service(self) -> dict[str, list[Endpoint]]:
-        """Return each service's instances."""
-        by_service = collections.defaultdict(list)
+        """Return the instances of each service by its name."""
+        instances_by_service = collections.defaultdict(list)
         for endpoint in self.catalogue.endpoints:
             if endpoint.service is not None:
-                by_service[endpoint.service].append(endpoint)
-        return by_service
+                instances_by_service[endpoint.service].append(endpoint)
+        return instances_by_service
--- a/packages/mothworks/src/mothworks/documents.py
+++ b/packages/mothworks/src/mothworks/documents.py
@@ -1,8 +1,8 @@
-"""Reading JSON with comments into checked classes.
+"""Parses JSON with comments and validates it against attrs classes.
 
-Settings and catalogue are written by people, so an error names the path
-inside the document and what was expected there, and every error of a
-document is reported at once.
+Settings and catalogue are written by people, so an error names the path within
+the document and what was expected there, and all errors of a document are
+reported together.
 """
 
 import enum
@@ -21,10 +21,10 @@
 
 @attrs.frozen
 class DocumentError:
-    """What is wrong with a document.
+    """All problems of a document.
 
     :param source: the file or object that was read.
-    :param problems: one line each, with the path and what was expected.
+    :param problems: one line per problem, with the path and what was expected.
     """
 
     source: str
@@ -35,7 +35,7 @@
 
 
 def load(path: pathlib.Path) -> result.Result[str, DocumentError]:
-    """Return a file's text.
+    """Return the text of a file in UTF-8.
 
     :param path: the file.
     """
@@ -50,7 +50,7 @@
 
     :param text: the document.
     :param source: its name in errors.
-    :returns: the plain value, or where the syntax is wrong.
+    :returns: dicts, lists and scalars, or where the syntax is wrong.
 
     >>> parse('{"a": 1, /* why */ }', "example").unwrap()
     {'a': 1}
@@ -64,29 +64,34 @@
 def structure(
     value: typing.Any, shape: type[Shape], source: str
 ) -> result.Result[Shape, DocumentError]:
-    """Turn a plain value into an attrs class, checking all of it.
+    """Convert a parsed value to an instance of an attrs class, and validate it.
 
-    :param value: what :func:`parse` returned.
+    :param value: the result of :func:`parse`.
     :param shape: the attrs class.
     :param source: the document's name in errors.
     """
     try:
         return result.Ok(converter().structure(value, shape))
     except Exception as error:
-        known = (cattrs.BaseValidationError, ValueError, TypeError, AttributeError)
-        if not isinstance(error, known):
+        validation_errors = (
+            cattrs.BaseValidationError,
+            ValueError,
+            TypeError,
+            AttributeError,
+        )
+        if not isinstance(error, validation_errors):
             raise
-        problems = cattrs.transform_error(error, format_exception=_describe)
+        problems = cattrs.transform_error(error, format_exception=_describe_error)
         return result.Err(DocumentError(source, tuple(problems)))
 
 
 def read(
     text: str, shape: type[Shape], source: str
 ) -> result.Result[Shape, DocumentError]:
-    """Parse and check a document in one step.
+    """Parse and validate a document.
 
     :param text: the document, JSON with comments.
-    :param shape: the attrs class it describes.
+    :param shape: the attrs class of the document.
     :param source: the document's name in errors.
     """
     match parse(text, source):
@@ -97,7 +102,7 @@
 
 
 def plain(value: typing.Any) -> typing.Any:
-    """Return an attrs object as plain maps and lists, ready for JSON.
+    """Convert an attrs object to dicts and lists that JSON can represent.
 
     :param value: an instance of an attrs class.
     """
@@ -106,45 +111,45 @@
 
 @functools.cache
 def converter() -> cattrs.Converter:
-    """Return the converter, which takes only the exact types of JSON."""
-    made = cattrs.Converter(forbid_extra_keys=True)
-    # Hooks by class: the library looks at its own, which convert "80" to 80,
-    # before it looks at hooks by predicate.
+    """Return the converter, which accepts exact JSON types only."""
+    json_converter = cattrs.Converter(forbid_extra_keys=True)
+    # Hooks are registered by class: the library applies its own class hooks,
+    # which convert "80" to 80, before any hook that is registered by predicate.
     for kind in (str, int, bool):
-        made.register_structure_hook(kind, _exactly(kind))
-    made.register_structure_hook(float, _number)
-    made.register_structure_hook(enum.StrEnum, _member)
-    return made
+        json_converter.register_structure_hook(kind, _exact_type_hook(kind))
+    json_converter.register_structure_hook(float, _structure_number)
+    json_converter.register_structure_hook(enum.StrEnum, _structure_enum)
+    return json_converter
 
 
-def _exactly(kind: type) -> typing.Callable:
+def _exact_type_hook(kind: type) -> typing.Callable:
     def check(value: typing.Any, _: type) -> typing.Any:
         if type(value) is not kind:
-            raise ValueError(_expected(kind.__name__, value))
+            raise ValueError(_mismatch(kind.__name__, value))
         return value
 
     return check
 
 
-def _number(value: typing.Any, _: type) -> float:
+def _structure_number(value: typing.Any, _: type) -> float:
     if type(value) not in (int, float):
-        raise ValueError(_expected("number", value))
+        raise ValueError(_mismatch("number", value))
     return float(value)
 
 
-def _member(value: typing.Any, kind: type[enum.StrEnum]) -> enum.StrEnum:
+def _structure_enum(value: typing.Any, kind: type[enum.StrEnum]) -> enum.StrEnum:
     try:
         return kind(value)
     except ValueError:
-        names = ", ".join(str(item.value) for item in kind)
-        raise ValueError(f"expected one of {names}, found {value!r:.60}")
+        values = ", ".join(str(item.value) for item in kind)
+        raise ValueError(f"expected one of {values}, found {value!r:.60}")
 
 
-def _expected(name: str, value: typing.Any) -> str:
+def _mismatch(name: str, value: typing.Any) -> str:
     return f"expected {name}, found {type(value).__name__} {value!r:.60}"
 
 
-def _describe(error: BaseException, kind: type | None) -> str:
+def _describe_error(error: BaseException, kind: type | None) -> str:
     match error:
         case cattrs.ForbiddenExtraKeysError():
             return "unknown field " + ", ".join(sorted(error.extra_fields))
@@ -153,12 +158,12 @@
         case ValueError():
             return str(error)
         case TypeError() | AttributeError():
-            return f"expected {_shape(kind)}"
+            return f"expected {_expected_shape(kind)}"
         case _:
             return cattrs.v.format_exception(error, kind)
 
 
-def _shape(kind: typing.Any) -> str:
+def _expected_shape(kind: typing.Any) -> str:
     if kind is None or attrs.has(kind):
         return "an object"
     if typing.get_origin(kind) is tuple:
--- a/packages/mothworks/src/mothworks/settings.py
+++ b/packages/mothworks/src/mothworks/settings.py
@@ -1,7 +1,7 @@
 """Settings of one VM, read once at start from JSON with comments.
 
-Every VM runs the same program; what differs is its name, its addresses and
-its place. What all VMs share belongs to the catalogue instead.
+Every VM runs the same program; VMs differ in name, addresses and location.
+Settings that are common to all VMs belong in the catalogue instead.
 """
 
 import enum
@@ -13,32 +13,35 @@
 
 from mothworks import documents
 
-#: Cuts of text in errors.
+#: Length of a SHA-256 hash, hex digits.
 KEY_HASH_LENGTH = 64
 
 
 def check_positive(_: object, attribute: attrs.Attribute, value: float) -> None:
-    """Check, for attrs, that a number is above zero."""
+    """Validate, as an attrs validator, that a number is above zero."""
     if value <= 0:
         raise ValueError(f"{attribute.name}: expected a number above 0, found {value}")
 
 
 def check_port(_: object, attribute: attrs.Attribute, value: int) -> None:
-    """Check, for attrs, that a number is a TCP port; 0 lets the kernel choose."""
+    """Validate, as an attrs validator, that a number is a TCP port.
+
+    Port 0 lets the operating system choose one.
+    """
     if not 0 <= value <= 65535:
         raise ValueError(f"{attribute.name}: expected a port, 0 to 65535")
 
 
 def check_ip_address(_: object, attribute: attrs.Attribute, value: str) -> None:
-    """Check, for attrs, that a text is an IP number."""
+    """Validate, as an attrs validator, that a string is an IP address."""
     try:
         ipaddress.ip_address(value)
     except ValueError:
-        raise ValueError(f"{attribute.name}: expected an IP number, found {value!r}")
+        raise ValueError(f"{attribute.name}: expected an IP address, found {value!r}")
 
 
 def check_key_hash(_: object, attribute: attrs.Attribute, value: str) -> None:
-    """Check, for attrs, that a text is a SHA-256 hash in lower-case hex."""
+    """Validate, as an attrs validator, that a string is a hex SHA-256 hash."""
     if len(value) != KEY_HASH_LENGTH or set(value) - set("0123456789abcdef"):
         raise ValueError(
             f"{attribute.name}: expected a SHA-256 hash, 64 lower-case hex digits"
@@ -46,7 +49,7 @@
 
 
 class Role(enum.StrEnum):
-    """What an operator may do."""
+    """Permissions of an operator: a viewer may only query."""
 
     VIEWER = "viewer"
     OPERATOR = "operator"
@@ -56,8 +59,8 @@
 class Operator:
     """A person or program that queries or commands the system.
 
-    :param name: who, in the audit trail.
-    :param role: what they may do.
+    :param name: the operator's name in the audit trail.
+    :param role: the operator's permissions.
     :param key_sha256: hash of the operator's key.
     """
 
@@ -68,17 +71,17 @@
 
 @attrs.frozen
 class Logs:
-    """How the node logs, to standard error.
+    """Logging to standard error.
 
-    :param level: ``debug``, ``info``, ``warning`` or ``error``.
-    :param json: one JSON object a line, for log collectors.
+    :param level: the lowest level: ``debug``, ``info``, ``warning`` or ``error``.
+    :param json: whether to log one JSON object per line, for log collectors.
     """
 
     level: str = attrs.field(default="info")
     json: bool = False
 
     @level.validator
-    def _known(self, _: attrs.Attribute, value: str) -> None:
+    def _check_level(self, _: attrs.Attribute, value: str) -> None:
         if value not in ("debug", "info", "warning", "error"):
             raise ValueError(
                 f"level: expected debug, info, warning or error, found {value!r}"
@@ -87,18 +90,18 @@
 
 @attrs.frozen
 class Limits:
-    """Bounds that protect one VM.
+    """Limits that protect one VM from overload.
 
-    :param body_bytes: longest request body.
-    :param header_bytes: longest request line or header line.
-    :param connections: most connections of callers at a time.
+    :param body_bytes: longest request body, bytes.
+    :param header_bytes: longest request line or header line, bytes.
+    :param connections: maximum number of callers' connections.
     :param upload_s: longest time for a request body to arrive, seconds.
-    :param write_s: longest time a reader may stall an answer, seconds.
+    :param write_s: longest time a caller may stop reading a reply, seconds.
     :param drain_s: longest graceful shutdown, seconds.
-    :param unready_s: time that a VM which shuts down goes on accepting calls,
-        until the balancer has noticed that it is not ready, seconds.
-    :param uploads_bytes: most bytes of bodies that arrive at a time; a body
-        without a declared length counts as the longest one.
+    :param unready_s: time for which a VM that shuts down still accepts calls,
+        seconds, so that the load balancer can detect that it is not ready.
+    :param uploads_bytes: memory limit for all bodies that are arriving, bytes; a
+        body without a declared length counts as ``body_bytes``.
     :param head_s: longest time for a request's head to arrive, seconds.
     :param idle_s: longest wait for the next request on an open connection,
         seconds.
@@ -118,11 +121,11 @@
 
 @attrs.frozen
 class ObjectApi:
-    """Where the platform's object API answers.
+    """Access to the platform's object API.
 
-    :param url: its base URL, with an IP number.
-    :param kind: the plug-in that speaks its protocol.
-    :param timeout_s: longest wait for a reply, seconds.
+    :param url: its base URL, with an IP address.
+    :param kind: the plug-in that implements its protocol.
+    :param timeout_s: timeout of a call, seconds.
     """
 
     url: str
@@ -132,11 +135,11 @@
 
 @attrs.frozen
 class VmList:
-    """Where the platform's list of live and leaving VMs answers.
+    """Access to the platform's list of live and leaving VMs.
 
-    :param url: its URL, with an IP number.
-    :param kind: the plug-in that speaks its protocol.
-    :param poll_s: seconds between reads.
+    :param url: its URL, with an IP address.
+    :param kind: the plug-in that implements its protocol.
+    :param poll_s: polling interval, seconds.
     """
 
     url: str
@@ -149,20 +152,22 @@
     """The settings of one VM.
 
     :param name: the VM's name, unique among all VMs.
-    :param address: its IP number, as peers reach it.
-    :param port: port for callers; 0 lets the kernel choose.
-    :param peer_port: port for peers, TCP and UDP alike; 0 lets the kernel choose.
-    :param data_centre: where the VM runs.
+    :param address: its IP address, at which peers reach it.
+    :param port: TCP port for callers; 0 lets the operating system choose.
+    :param peer_port: port for peers, TCP and UDP; 0 lets the operating system
+        choose.
+    :param data_centre: the data centre in which the VM runs.
     :param region: the region of that data centre.
     :param object_api: the platform's object API.
     :param vm_list: the platform's list of VMs.
-    :param deployment: the name of the whole system. VMs of another one are
-        ignored, also where they have got each other's addresses.
-    :param operators: who may query and command.
-    :param routing: the routing policy's name.
-    :param placement: the placement policy's name, used while the VM plans.
-    :param limits: bounds that protect the VM.
-    :param logs: how it logs.
+    :param deployment: the name of the whole system. VMs of another deployment
+        are ignored, even if one took over an address of this deployment.
+    :param operators: who may query and command the system.
+    :param routing: the name of the routing policy.
+    :param placement: the name of the placement policy, used while this VM is the
+        planner.
+    :param limits: limits that protect the VM from overload.
+    :param logs: logging to standard error.
     """
 
     name: str
@@ -182,10 +187,10 @@
 
 
 def load(path: pathlib.Path) -> result.Result[Settings, documents.DocumentError]:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
     :param path: the file, JSON with comments.
-    :returns: the settings, or every problem found.
+    :returns: the settings, or all problems found.
     """
     return documents.load(path).and_then(
         lambda text: documents.read(text, Settings, str(path))
--- a/packages/mothworks/tests/stored.py
+++ b/packages/mothworks/tests/stored.py
@@ -1,4 +1,4 @@
-"""An object API in memory whose faults a test plans call by call."""
+"""An in-memory object API that injects planned faults, call by call."""
 
 import collections
 import enum
@@ -9,27 +9,31 @@
 
 
 class Fault(enum.Enum):
-    """What befalls the next call of its kind."""
+    """A fault to inject into a call."""
 
-    #: Reply lost after the write took effect.
+    #: The reply is lost after the write took effect.
     LOST = "lost"
-    #: Connection lost before the write took effect.
+    #: The connection is lost before the write takes effect.
     DROPPED = "dropped"
-    #: Refused: the object API is down.
+    #: The call is refused because the object API is down.
     DOWN = "down"
     #: The read returns what was stored before the last write.
     STALE = "stale"
 
 
 class MemoryApi(objects.Api):
-    """Keeps every value ever stored, so that a test can look back."""
+    """Keeps all versions of every object, so that a test can inspect them.
+
+    Puts and gets take their faults from ``put_faults`` and ``get_faults``.
+    """
 
     def __init__(self):
         self.bodies_by_key = collections.defaultdict(list)
         self.put_faults = collections.deque()
         self.get_faults = collections.deque()
         self.down = False
-        #: Called before a write takes effect, as where another VM is faster.
+        #: Called before a write takes effect, to simulate a faster write by
+        #: another VM.
         self.before_put = lambda key: None
         self.puts = 0
 
@@ -37,13 +41,13 @@
         fault = self.get_faults.popleft() if self.get_faults else None
         if self.down or fault is Fault.DOWN:
             return result.Err(objects.Unavailable("down"))
-        stored = len(self.bodies_by_key[key])
+        version = len(self.bodies_by_key[key])
         if fault is Fault.STALE:
-            stored -= 1
-        if stored <= 0:
+            version -= 1
+        if version <= 0:
             return result.Err(objects.Missing(key))
         return result.Ok(
-            objects.Stored(key, str(stored), self.bodies_by_key[key][stored - 1])
+            objects.Stored(key, str(version), self.bodies_by_key[key][version - 1])
         )
 
     def put(self, key, body, version):
--- a/packages/mothworks/tests/test_bad_documents.py
+++ b/packages/mothworks/tests/test_bad_documents.py
@@ -1,4 +1,4 @@
-"""Settings and catalogues with mistakes: each error names path and expectation."""
+"""Settings and catalogues with mistakes: errors name the path and what is expected."""
 
 import pathlib
 import sys
@@ -27,21 +27,21 @@
     return {**plain, **changes}
 
 
-BAD_SETTINGS = {
+INVALID_SETTINGS = {
     "unknown field": ({"colour": "red"}, "$", "unknown field colour"),
     "text for a number": ({"port": "80"}, "$.port", "expected int, found str '80'"),
     "port too high": ({"port": 70_000}, "$", "port: expected a port, 0 to 65535"),
     "host name": (
         {"address": "localhost"},
         "$",
-        "address: expected an IP number, found 'localhost'",
+        "address: expected an IP address, found 'localhost'",
     ),
-    "unknown field below": (
+    "unknown nested field": (
         {"limits": {"bodies": 1}},
         "$.limits",
         "unknown field bodies",
     ),
-    "no time": (
+    "timeout of zero": (
         {"limits": {"write_s": 0}},
         "$.limits",
         "write_s: expected a number above 0, found 0",
@@ -58,7 +58,7 @@
     ),
 }
 
-BAD_CATALOGUES = {
+INVALID_CATALOGUES = {
     "unknown field": (
         {"models": [item("model", color=1)]},
         "$.models[0]",
@@ -69,8 +69,8 @@
         "$.models[0]",
         "required field 'memory_mb' is missing",
     ),
-    "no object": ({"models": [3]}, "$.models[0]", "expected an object"),
-    "no list": ({"endpoints": 5}, "$.endpoints", "expected a list"),
+    "not an object": ({"models": [3]}, "$.models[0]", "expected an object"),
+    "not a list": ({"endpoints": 5}, "$.endpoints", "expected a list"),
     "model twice": (
         {"models": [item("model"), item("model")]},
         "$.models, $.adapters",
@@ -91,7 +91,7 @@
         "$.callers",
         "two callers have the key hash",
     ),
-    "adapter of no model": (
+    "adapter of an unknown model": (
         {"adapters": [{"name": "spanish", "model": "absent", "memory_mb": 1}]},
         "$.adapters[0].model",
         "no model is named 'absent'",
@@ -119,33 +119,33 @@
 }
 
 
-def check(tmp_path, capsys, text, **options):
+def check_file(tmp_path, capsys, text, **options):
     path = tmp_path / "file.json"
     path.write_text(text)
-    code = cli.check(path, **options)
-    return code, capsys.readouterr().err
+    exit_code = cli.check(path, **options)
+    return exit_code, capsys.readouterr().err
 
 
-@pytest.mark.parametrize("name", BAD_SETTINGS)
-def test_wrong_settings(tmp_path, capsys, name):
-    changes, path, expected = BAD_SETTINGS[name]
-    code, printed = check(tmp_path, capsys, settings_text(**changes))
-    assert code == cli.EXIT_USAGE == 2
-    assert expected in printed
-    assert f"{path}:" in printed or f"@ {path}" in printed
+@pytest.mark.parametrize("name", INVALID_SETTINGS)
+def test_invalid_settings(tmp_path, capsys, name):
+    changes, path, expected = INVALID_SETTINGS[name]
+    exit_code, error_output = check_file(tmp_path, capsys, settings_text(**changes))
+    assert exit_code == cli.EXIT_USAGE == 2
+    assert expected in error_output
+    assert f"{path}:" in error_output or f"@ {path}" in error_output
 
 
-@pytest.mark.parametrize("name", BAD_CATALOGUES)
-def test_wrong_catalogues(tmp_path, capsys, name):
-    changes, path, expected = BAD_CATALOGUES[name]
+@pytest.mark.parametrize("name", INVALID_CATALOGUES)
+def test_invalid_catalogues(tmp_path, capsys, name):
+    changes, path, expected = INVALID_CATALOGUES[name]
     text = catalogue_text(**changes)
-    code, printed = check(tmp_path, capsys, text, catalogue=True)
-    assert code == cli.EXIT_USAGE
-    assert expected in printed
-    assert f"{path}:" in printed or f"@ {path}" in printed
+    exit_code, error_output = check_file(tmp_path, capsys, text, catalogue=True)
+    assert exit_code == cli.EXIT_USAGE
+    assert expected in error_output
+    assert f"{path}:" in error_output or f"@ {path}" in error_output
 
 
-def test_every_mistake_is_told_at_once():
+def test_all_mistakes_are_reported_together():
     text = catalogue_text(
         models=[item("model", memory_mb=100_000), item("model", name="late")],
         endpoints=[item("endpoint", kind="abacus", data_centre="dc-9")],
@@ -155,26 +155,26 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", '{"a": \x00}', "[]", "null", "{'a' 1}"])
-def test_what_is_no_document(tmp_path, capsys, text):
-    code, printed = check(tmp_path, capsys, text)
-    assert code == cli.EXIT_USAGE
-    assert "file.json: " in printed
+def test_text_that_is_not_a_document(tmp_path, capsys, text):
+    exit_code, error_output = check_file(tmp_path, capsys, text)
+    assert exit_code == cli.EXIT_USAGE
+    assert "file.json: " in error_output
 
 
-def test_a_file_that_cannot_be_read(tmp_path, capsys):
+def test_an_unreadable_file(tmp_path, capsys):
     (tmp_path / "binary.json").write_bytes(b"\xff\xfe")
     for name in ("binary.json", "absent.json"):
         assert cli.check(tmp_path / name) == cli.EXIT_USAGE
         assert name in capsys.readouterr().err
 
 
-def test_correct_files(tmp_path, capsys):
-    assert check(tmp_path, capsys, settings_text())[0] == 0
+def test_valid_files(tmp_path, capsys):
+    assert check_file(tmp_path, capsys, settings_text())[0] == 0
     text = "// a comment\n" + catalogue_text()
-    assert check(tmp_path, capsys, text, catalogue=True)[0] == 0
+    assert check_file(tmp_path, capsys, text, catalogue=True)[0] == 0
 
 
-def test_the_command_lines(tmp_path, monkeypatch):
+def test_invalid_command_lines(tmp_path, monkeypatch):
     path = tmp_path / "file.json"
     path.write_text("{}")
     for arguments in (
@@ -185,6 +185,6 @@
         ["fly"],
     ):
         monkeypatch.setattr(sys, "argv", ["mothworks", *arguments])
-        with pytest.raises(SystemExit) as ended:
+        with pytest.raises(SystemExit) as exited:
             cli.main()
-        assert ended.value.code == cli.EXIT_USAGE
+        assert exited.value.code == cli.EXIT_USAGE
--- a/packages/mothworks/tests/test_objects.py
+++ b/packages/mothworks/tests/test_objects.py
@@ -66,8 +66,8 @@
 
 
 def test_put_known_is_correct_despite_stale_reads(fake):
-    # The write took effect, its reply was lost, and the reads-back shows the
-    # value of before: "nothing changed" would be a wrong report.
+    # The write took effect, its reply was lost, and the read-back returns the
+    # previous value. Reporting that nothing changed would be wrong.
     api = client(fake)
     version = api.put("a", b"before", None).unwrap()
     fake.faults.lost_reply = 0.7
