--- a/packages/mothworks/src/mothworks/calls.py
+++ b/packages/mothworks/src/mothworks/calls.py
@@ -140,10 +140,10 @@
         value = self.header("request-timeout")
         if not value:
             return result.Ok(math.inf)
-        number = (
+        is_number = (
             value.isascii() and value.isdecimal() and len(value) <= MAX_TIMEOUT_DIGITS
         )
-        if not (number and int(value)):
+        if not (is_number and int(value)):
             message = "Request-Timeout must be a whole number of seconds above 0"
             return result.Err(outcomes.invalid(message))
         return result.Ok(self.arrived + int(value))
--- a/packages/mothworks/src/mothworks/catalogue.py
+++ b/packages/mothworks/src/mothworks/catalogue.py
@@ -127,7 +127,7 @@
         engine.
     :param slots: initial limit on concurrent requests, which then adapts.
     :param drain: whether it gets no new requests, so that it can be removed.
-    :param priorities: whether it schedules urgent requests first and preempts
+    :param priorities: whether it schedules urgent requests first and pauses
         less urgent ones for them.
     """
 
--- a/packages/mothworks/src/mothworks/connections.py
+++ b/packages/mothworks/src/mothworks/connections.py
@@ -90,8 +90,8 @@
     def read_request(self, raw_requestline: str) -> bool:
         """Read a request's head within the limits on bytes and time."""
         limits = self.server.limits
-        seconds = min(limits.head_s, limits.upload_s)
-        with gevent.Timeout(seconds, TimeoutError("head")):
+        timeout_s = min(limits.head_s, limits.upload_s)
+        with gevent.Timeout(timeout_s, TimeoutError("head")):
             return super().read_request(raw_requestline)
 
     def MessageClass(self, *args):  # noqa: N802
@@ -156,7 +156,8 @@
                 self.refusal = outcomes.invalid(str(ex), "head_too_long", 431)
             case OSError():
                 self.refusal = outcomes.invalid(
-                    "the connection closed within the request's head", "truncated_head"
+                    "the connection closed before the request's head ended",
+                    "truncated_head",
                 )
             case _:
                 message = f"the request's head is not valid HTTP: {ex}"
--- a/packages/mothworks/src/mothworks/documents.py
+++ b/packages/mothworks/src/mothworks/documents.py
@@ -125,7 +125,7 @@
 def _exact_type_hook(kind: type) -> typing.Callable:
     def check(value: typing.Any, _: type) -> typing.Any:
         if type(value) is not kind:
-            raise ValueError(_mismatch(kind.__name__, value))
+            raise ValueError(_type_mismatch(kind.__name__, value))
         return value
 
     return check
@@ -133,7 +133,7 @@
 
 def _structure_number(value: typing.Any, _: type) -> float:
     if type(value) not in (int, float):
-        raise ValueError(_mismatch("number", value))
+        raise ValueError(_type_mismatch("number", value))
     return float(value)
 
 
@@ -145,7 +145,7 @@
         raise ValueError(f"expected one of {values}, found {value!r:.60}")
 
 
-def _mismatch(name: str, value: typing.Any) -> str:
+def _type_mismatch(name: str, value: typing.Any) -> str:
     return f"expected {name}, found {type(value).__name__} {value!r:.60}"
 
 
--- a/packages/mothworks/src/mothworks/objects.py
+++ b/packages/mothworks/src/mothworks/objects.py
@@ -159,7 +159,7 @@
 
 
 class Client(Api):
-    """Calls a plug-in: retries reads, sends each write once, backs off in outages.
+    """Calls a plug-in: retries reads, sends writes once, stops calls in outages.
 
     :param plugin: the plug-in that implements the platform's protocol.
     :param node_metrics: the metrics that count the calls.
@@ -245,7 +245,7 @@
         for signs of its own write.
     """
     deadline = time.monotonic() + patience_s
-    pause_s = PAUSE_S
+    backoff_s = PAUSE_S
     maybe_written = False
     while True:
         match api.put(key, body, version):
@@ -257,10 +257,10 @@
                 pass
             case outcome:
                 return outcome
-        if time.monotonic() + pause_s > deadline:
+        if time.monotonic() + backoff_s > deadline:
             break
-        gevent.sleep(random.uniform(0, pause_s))
-        pause_s = min(2 * pause_s, MAX_BACKOFF_S)
+        gevent.sleep(random.uniform(0, backoff_s))
+        backoff_s = min(2 * backoff_s, MAX_BACKOFF_S)
     if maybe_written:
         return result.Err(Unknown(error.reason))
     return result.Err(error)
--- a/packages/mothworks/src/mothworks/transport.py
+++ b/packages/mothworks/src/mothworks/transport.py
@@ -185,7 +185,7 @@
         if self.timed_out:
             raise TimeoutError("the answer did not arrive in time")
         if not (self.unframed and self.pool_takes_unframed):
-            raise ConnectionResetError("the connection closed within the answer")
+            raise ConnectionResetError("the connection closed before the answer ended")
         # The peer closed in good order; a reset makes recv() raise instead.
         self.message_complete = True
 
@@ -452,19 +452,19 @@
     :param answer: the answer, its body not yet read.
     :returns: the body, or why it could not be read completely.
     """
-    pieces = []
+    chunks = []
     length = 0
     try:
-        for piece in answer.chunks():
-            pieces.append(piece)
-            length += len(piece)
+        for chunk in answer.chunks():
+            chunks.append(chunk)
+            length += len(chunk)
             if length > MAX_BODY_BYTES:
                 return result.Err(f"longer than {MAX_BODY_BYTES} bytes")
     except FAILURES as error:
         return result.Err(f"answer: {error}")
     finally:
         answer.close()
-    return result.Ok(b"".join(pieces))
+    return result.Ok(b"".join(chunks))
 
 
 def _is_reusable(sock: _Socket, now: float) -> bool:
