--- a/packages/mothworks/src/mothworks/alone.py
+++ b/packages/mothworks/src/mothworks/alone.py
@@ -1,58 +1,58 @@
-"""Requests that run alone at an endpoint, because they may crash it.
+"""Queues requests that run exclusively at an endpoint, as they may crash it.
 
-While such a request waits, its endpoint's owner grants nothing else, so that
-what runs comes to an end; while it runs, nothing else is sent there.
+While such a request waits, the endpoint's owner grants no other slots, so that
+the endpoint drains. While it runs, nothing else is sent there.
 """
 
 from mothworks import queues
 
-#: Longest wait for an endpoint to be empty, seconds.
-PATIENCE_S = 10.0
+#: Maximum wait for an endpoint to become idle, seconds.
+IDLE_TIMEOUT_S = 10.0
 
 
-class Alone:
-    """The requests of one endpoint that wait to run alone, in order."""
+class ExclusiveQueue:
+    """The requests that wait to run exclusively at one endpoint, in order."""
 
     def __init__(self):
-        self.waiting_by_key: dict[queues.Key, queues.Waiting] = {}
-        #: Names the request that runs alone now.
+        self.queued_by_key: dict[queues.Key, queues.QueuedRequest] = {}
+        #: Key of the request that runs exclusively now.
         self.running: queues.Key | None = None
 
-    def blocks(self) -> bool:
-        """Return whether nothing else may be granted."""
-        return self.running is not None or bool(self.waiting_by_key)
+    def blocks_others(self) -> bool:
+        """Return whether no other request may be granted a slot."""
+        return self.running is not None or bool(self.queued_by_key)
 
-    def add(self, waiting: queues.Waiting) -> None:
-        """Let a request wait.
+    def add(self, queued: queues.QueuedRequest) -> None:
+        """Queue a request until the endpoint is idle.
 
-        :param waiting: the request.
+        :param queued: the request.
         """
-        waiting.deadline = waiting.since + PATIENCE_S
-        self.waiting_by_key[waiting.key] = waiting
+        queued.deadline = queued.since + IDLE_TIMEOUT_S
+        self.queued_by_key[queued.key] = queued
 
-    def next(self) -> queues.Waiting | None:
-        """Return the request that is to run once the endpoint is empty."""
-        return next(iter(self.waiting_by_key.values()), None)
+    def peek(self) -> queues.QueuedRequest | None:
+        """Return the request that runs once the endpoint is idle, if any."""
+        return next(iter(self.queued_by_key.values()), None)
 
-    def start(self, waiting: queues.Waiting) -> None:
-        """Note that a request runs alone now.
+    def start(self, queued: queues.QueuedRequest) -> None:
+        """Record that a request runs exclusively now.
 
-        :param waiting: the request.
+        :param queued: the request.
         """
-        self.waiting_by_key.pop(waiting.key, None)
-        self.running = waiting.key
+        self.queued_by_key.pop(queued.key, None)
+        self.running = queued.key
 
     def remove(self, key: queues.Key) -> None:
-        """Forget a request.
+        """Remove a request, queued or running.
 
-        :param key: names it.
+        :param key: the request's key.
         """
-        self.waiting_by_key.pop(key, None)
+        self.queued_by_key.pop(key, None)
         if self.running == key:
             self.running = None
 
-    def take_all(self) -> list[queues.Waiting]:
-        """Return all that wait and forget them."""
-        waiting = list(self.waiting_by_key.values())
-        self.waiting_by_key.clear()
-        return waiting
+    def drain(self) -> list[queues.QueuedRequest]:
+        """Remove and return all queued requests."""
+        queued_requests = list(self.queued_by_key.values())
+        self.queued_by_key.clear()
+        return queued_requests
--- a/packages/mothworks/src/mothworks/batches.py
+++ b/packages/mothworks/src/mothworks/batches.py
@@ -1,8 +1,8 @@
-"""One endpoint's requests, as its owner counts them.
+"""Tracks the running and queued requests of one endpoint at its owner.
 
-The batch grants a slot where the limit allows, else queues the ask, else
-refuses it at once: an ask that would not get its slot in time learns so when
-it comes, and when it is worth asking again.
+The batch grants a slot if the concurrency limit allows, otherwise queues the
+slot request, otherwise refuses it. A slot request that would miss its deadline
+is refused on arrival, with the time after which a retry makes sense.
 """
 
 import collections.abc
@@ -13,27 +13,27 @@
 
 from mothworks import alone, limits, queues, slot_messages, usage
 
-#: Least time after which a refused request is worth repeating, milliseconds.
-LEAST_RETRY_MS = 200
-#: Time without new grants after the endpoint refused a request, seconds.
-PAUSE_S = 0.5
-#: Mean time to the next free slot above which slots are kept free of bulk
-#: work, seconds; a quarter of the first token's target.
-TOLERATED_WAIT_S = 0.4
-#: Time for which a new owner believes the engine's own count, seconds.
+#: Minimum time after which a refused request may be retried, milliseconds.
+MIN_RETRY_AFTER_MS = 200
+#: Time without grants after the endpoint refused a request, seconds.
+REFUSAL_PAUSE_S = 0.5
+#: Mean time until the next free slot above which slots are reserved for urgent
+#: work, seconds; a quarter of the default target for the first token.
+MAX_URGENT_WAIT_S = 0.4
+#: Time for which a new owner relies on the engine's own count, seconds.
 TAKEOVER_S = 5.0
 
 
 @attrs.define
-class Held:
+class OccupiedSlot:
     """A slot in use.
 
-    :param ask: the entry's message.
+    :param request: the slot request that it was granted to.
     :param entry: the entry's name.
-    :param since: when it was granted, monotonic seconds.
+    :param since: when the slot was granted, monotonic seconds.
     """
 
-    ask: slot_messages.AskSlot
+    request: slot_messages.SlotRequest
     entry: str
     since: float
 
@@ -42,282 +42,302 @@
     """The slots and the queue of one endpoint.
 
     :param slots: the engine's slots.
-    :param why_closed: returns why an ask gets no slot; empty where it may.
-    :param share: returns the largest share of the queue for a caller.
-    :param reported: returns the requests that the engine itself reports; None
-        before its first report.
-    :param preempts: whether the engine lets urgent work take the place of bulk.
+    :param why_closed: returns why a slot request must be refused; empty if it need
+        not be.
+    :param share: returns the maximum share of the queue for a caller.
+    :param reported_running: returns the number of running requests that the engine
+        itself reports; None before its first report.
+    :param preempts: whether the engine preempts less urgent work for urgent work.
     """
 
     def __init__(
         self,
         slots: int,
-        why_closed: collections.abc.Callable[[slot_messages.AskSlot], str],
+        why_closed: collections.abc.Callable[[slot_messages.SlotRequest], str],
         share: collections.abc.Callable[[str], float] = lambda caller: 1.0,
-        reported: collections.abc.Callable[[], int | None] = lambda: None,
+        reported_running: collections.abc.Callable[[], int | None] = lambda: None,
         preempts: bool = False,
     ):
-        self.limit = limits.Limit(slots)
+        self.limit = limits.ConcurrencyLimit(slots)
         self.why_closed = why_closed
         self.share = share
-        self.reported = reported
+        self.reported_running = reported_running
         self.preempts = preempts
         self.queue = queues.Queue()
-        self.alone = alone.Alone()
-        self.held_by_key: dict[queues.Key, Held] = {}
+        self.exclusive_queue = alone.ExclusiveQueue()
+        self.slot_by_key: dict[queues.Key, OccupiedSlot] = {}
         self.usage = usage.Usage()
         self.preempted_at = 0.0
         self.paused_until = 0.0
         self.created = time.monotonic()
-        #: Requests that ran when this VM became the owner; None if unknown.
+        #: Requests that were running when this VM became the owner; None if unknown.
         self.inherited: int | None = None
-        #: How many of them entries have reported.
-        self.adopted = 0
+        #: How many of them the entries have reported.
+        self.inherited_reported = 0
 
-    def ask(
+    def request(
         self,
-        ask: slot_messages.AskSlot,
+        request: slot_messages.SlotRequest,
         entry: str,
-        answer: collections.abc.Callable[[slot_messages.SlotAnswer], None],
+        send_reply: collections.abc.Callable[[slot_messages.SlotReply], None],
     ) -> None:
-        """Answer an ask; one that is sent again is answered again.
+        """Grant, queue or refuse a slot request.
 
-        :param ask: the entry's message.
+        A slot request that is sent again gets another reply and is counted once.
+
+        :param request: the entry's slot request.
         :param entry: the entry's name.
-        :param answer: sends the answer, at once and again when a slot is free.
+        :param send_reply: sends a reply, at once and again when a slot is free.
         """
         now = time.monotonic()
-        key = (entry, ask.number)
-        if ask.held or key in self.held_by_key:
-            self._hold(ask, entry, now)
-            answer(_answer(ask, slot_messages.Verdict.GRANTED))
+        key = (entry, request.number)
+        if request.already_running or key in self.slot_by_key:
+            self._occupy(request, entry, now)
+            send_reply(_reply(request, slot_messages.SlotStatus.GRANTED))
             return
-        waiting = self.queue.waiting_by_key.get(key)
-        waiting = waiting or self.alone.waiting_by_key.get(key)
-        if waiting is None:
-            waiting = queues.Waiting(ask, entry, now, self._deadline(ask, now), answer)
-            if not self._admit(waiting, now):
+        queued = self.queue.queued_by_key.get(key)
+        queued = queued or self.exclusive_queue.queued_by_key.get(key)
+        if queued is None:
+            queued = queues.QueuedRequest(
+                request, entry, now, self._deadline(request, now), send_reply
+            )
+            if not self._admit(queued, now):
                 return
-        others = self.queue.ahead(ask.rank) - 1
-        wait_ms = math.ceil(self._wait_s(ask.rank, others) * 1000)
-        answer(_answer(ask, slot_messages.Verdict.QUEUED, wait_ms))
+        ahead = self.queue.count_ahead(request.rank) - 1
+        wait_ms = math.ceil(self._expected_wait_s(request.rank, ahead) * 1000)
+        send_reply(_reply(request, slot_messages.SlotStatus.QUEUED, wait_ms))
 
-    def done(self, key: queues.Key, first_token_ms: float = 0.0) -> None:
-        """End an ask, granted or waiting, and give its slot to the next.
+    def release(self, key: queues.Key, first_token_ms: float = 0.0) -> None:
+        """Release a slot or cancel a queued slot request, then grant free slots.
 
-        :param key: what names the ask.
-        :param first_token_ms: from sending to the first token; 0 for unknown.
+        :param key: identifies the slot request.
+        :param first_token_ms: time from sending to the first token, milliseconds;
+            0 if unknown.
         """
         self.queue.remove(key)
-        self.alone.remove(key)
-        held = self.held_by_key.pop(key, None)
+        self.exclusive_queue.remove(key)
+        slot = self.slot_by_key.pop(key, None)
         now = time.monotonic()
-        if held is not None and first_token_ms:
-            self.usage.note(held.ask.rank, now - held.since, first_token_ms / 1000)
-        self.pump(now)
+        if slot is not None and first_token_ms:
+            self.usage.note(slot.request.rank, now - slot.since, first_token_ms / 1000)
+        self.grant_waiting(now)
 
-    def observe(self, held: Held, between_ms: float, target_ms: float) -> None:
-        """Adapt the limit to how fast a request's tokens came.
+    def observe(self, slot: OccupiedSlot, between_ms: float, target_ms: float) -> None:
+        """Adapt the limit to the token rate of a request.
 
-        A request that may have lost its place for a while says nothing of
-        the batch; taken as a sample it would shrink the limit for nothing.
+        A request that the engine may have preempted is not a sample: its slow
+        tokens say nothing about the batch size and would shrink the limit.
 
-        :param held: the request.
-        :param between_ms: mean time between its tokens, milliseconds.
-        :param target_ms: its caller's target, milliseconds.
+        :param slot: the request's slot.
+        :param between_ms: mean time between the request's tokens, milliseconds.
+        :param target_ms: the caller's target for that time, milliseconds.
         """
-        if not held.ask.rank or held.since > self.preempted_at:
+        if not slot.request.rank or slot.since > self.preempted_at:
             ratio = between_ms / target_ms
-            running = len(self.held_by_key)
-            self.limit.observe(ratio, running, held.since, time.monotonic())
+            running = len(self.slot_by_key)
+            self.limit.observe(ratio, running, slot.since, time.monotonic())
 
     def pause(self) -> None:
-        """Grant nothing for a moment, since the endpoint refused a request."""
-        self.paused_until = time.monotonic() + PAUSE_S
+        """Stop granting for :data:`REFUSAL_PAUSE_S` after the endpoint refused."""
+        self.paused_until = time.monotonic() + REFUSAL_PAUSE_S
 
-    def pump(self, now: float) -> None:
-        """Grant free slots to what waits.
+    def grant_waiting(self, now: float) -> None:
+        """Grant free slots to queued requests.
 
         :param now: monotonic seconds.
         """
-        lone = self.alone.next()
-        if lone is not None and self._empty(now):
-            self._grant_alone(lone, now)
-        while len(self.queue) and self._free(0, now):
-            waiting = self.queue.pop(self._free(queues.BULK, now), now)
-            if waiting is None:
+        exclusive = self.exclusive_queue.peek()
+        if exclusive is not None and self._is_idle(now):
+            self._grant_exclusive(exclusive, now)
+        while len(self.queue) and self._has_free_slot(0, now):
+            queued = self.queue.pop(self._has_free_slot(queues.BULK, now), now)
+            if queued is None:
                 return
-            reason = self.why_closed(waiting.ask)
+            reason = self.why_closed(queued.request)
             if reason:
-                self._refuse(waiting, reason)
+                self._refuse(queued, reason)
             else:
-                self._grant(waiting, now)
+                self._grant(queued, now)
 
     def sweep(self, now: float) -> None:
-        """Refuse what waited too long or may not run here any more.
+        """Refuse queued requests that expired or may not run here any more.
 
         :param now: monotonic seconds.
         """
-        waits = (*self.queue.waiting_by_key.values(), *self.alone.take_all())
-        for waiting in waits:
-            reason = self.why_closed(waiting.ask)
-            if not reason and waiting.deadline <= now:
+        queued_requests = (
+            *self.queue.queued_by_key.values(),
+            *self.exclusive_queue.drain(),
+        )
+        for queued in queued_requests:
+            reason = self.why_closed(queued.request)
+            if not reason and queued.deadline <= now:
                 reason = "waited_too_long"
             if reason:
-                self.queue.remove(waiting.key)
-                self._refuse(waiting, reason)
-            elif waiting.ask.alone:
-                self.alone.waiting_by_key[waiting.key] = waiting
-        self.pump(now)
+                self.queue.remove(queued.key)
+                self._refuse(queued, reason)
+            elif queued.request.exclusive:
+                self.exclusive_queue.queued_by_key[queued.key] = queued
+        self.grant_waiting(now)
 
     def hand_over(self) -> None:
-        """Send all that waits to the endpoint's new owner."""
-        for waiting in (*self.queue.ordered(), *self.alone.take_all()):
-            self.queue.remove(waiting.key)
-            waiting.answer(_answer(waiting.ask, slot_messages.Verdict.MOVED))
+        """Redirect all queued requests to the endpoint's new owner."""
+        for queued in (*self.queue.ordered(), *self.exclusive_queue.drain()):
+            self.queue.remove(queued.key)
+            queued.send_reply(_reply(queued.request, slot_messages.SlotStatus.MOVED))
 
-    def asks(self) -> list[queues.Key]:
-        """Return what names the asks that are granted or wait."""
-        waiting = (*self.queue.waiting_by_key, *self.alone.waiting_by_key)
-        return [*self.held_by_key, *waiting]
+    def request_keys(self) -> list[queues.Key]:
+        """Return the keys of all granted and queued slot requests."""
+        queued_keys = (*self.queue.queued_by_key, *self.exclusive_queue.queued_by_key)
+        return [*self.slot_by_key, *queued_keys]
 
     def running(self, rank: int = queues.BULK) -> int:
         """Return how many requests the endpoint runs, as far as is known.
 
-        A new owner has not yet heard from all entries what they have running;
-        granting all slots would fill the endpoint's batch twice over.
+        The count includes running requests that entries have not yet reported to
+        a new owner. Without them the owner would fill the batch a second time.
 
-        :param rank: only requests of this rank or a more urgent one.
+        :param rank: count only requests of this rank or a more urgent one, besides
+            the unreported ones.
         """
-        held = self.held_by_key.values()
-        return sum(item.ask.rank <= rank for item in held) + self._unheard()
-
-    def reserve(self) -> int:
-        """Return how many slots are kept free of bulk work.
-
-        An engine with priorities takes places back where its own slots are
-        full; below them, urgent work beside a batch full of bulk would make
-        every token late. Without priorities an urgent request waits for the
-        next free slot, which is short while these become free often.
+        slots_in_use = self.slot_by_key.values()
+        return (
+            sum(slot.request.rank <= rank for slot in slots_in_use) + self._unreported()
+        )
+
+    def reserved_slots(self) -> int:
+        """Return how many slots are reserved for work more urgent than bulk.
+
+        An engine with priorities preempts bulk work once its own slots are full,
+        so slots are reserved only while the limit is below them: urgent work on
+        top of a batch full of bulk would make every token late. Without
+        priorities an urgent request waits for the next free slot, so slots are
+        reserved only if they become free too rarely.
         """
         now = time.monotonic()
-        peak = self.usage.peak(self._urgent(), now)
+        peak = self.usage.peak(self._urgent_running(), now)
         if self.preempts:
-            needed = self.limit.value < self.limit.most
+            needed = self.limit.value < self.limit.maximum
         else:
-            needed = self._next_free_s(0) > TOLERATED_WAIT_S
+            needed = self._next_free_s(0) > MAX_URGENT_WAIT_S
         if not needed or not peak:
             return 0
-        kept = math.ceil(peak) + 1 - self.running(queues.BULK - 1)
-        return max(0, min(kept, self.limit.value - 1))
+        reserved = math.ceil(peak) + 1 - self.running(queues.BULK - 1)
+        return max(0, min(reserved, self.limit.value - 1))
 
-    def _unheard(self) -> int:
+    def _unreported(self) -> int:
         if time.monotonic() - self.created > TAKEOVER_S:
             return 0
         if self.inherited is None:
-            self.inherited = self.reported()
-        return max(0, (self.inherited or 0) - self.adopted)
+            self.inherited = self.reported_running()
+        return max(0, (self.inherited or 0) - self.inherited_reported)
 
-    def _admit(self, waiting: queues.Waiting, now: float) -> bool:
-        """Grant, queue or refuse; returns whether it is queued."""
-        ask = waiting.ask
-        reason = self.why_closed(ask)
+    def _admit(self, queued: queues.QueuedRequest, now: float) -> bool:
+        """Grant, queue or refuse a slot request; return whether it is queued."""
+        request = queued.request
+        reason = self.why_closed(request)
         if reason:
-            self._refuse(waiting, reason)
+            self._refuse(queued, reason)
             return False
-        if ask.alone:
-            return self._admit_alone(waiting, now)
-        if self._free(ask.rank, now) and not self.queue.ahead(ask.rank):
-            self._grant(waiting, now)
+        if request.exclusive:
+            return self._admit_exclusive(queued, now)
+        if self._has_free_slot(request.rank, now) and not self.queue.count_ahead(
+            request.rank
+        ):
+            self._grant(queued, now)
             return False
-        self.limit.note_full()
-        reason = self.queue.why_not(ask, self.share(ask.caller))
+        self.limit.mark_full()
+        reason = self.queue.refusal_reason(request, self.share(request.caller))
         if (
             not reason
-            and now + self._wait_s(ask.rank, self.queue.ahead(ask.rank))
-            > waiting.deadline
+            and now
+            + self._expected_wait_s(request.rank, self.queue.count_ahead(request.rank))
+            > queued.deadline
         ):
             reason = "deadline"
         if reason:
-            self._refuse(waiting, reason)
+            self._refuse(queued, reason)
             return False
-        evicted = self.queue.add(waiting)
+        evicted = self.queue.add(queued)
         if evicted is not None:
             self._refuse(evicted, "queue_full")
         return True
 
-    def _admit_alone(self, waiting: queues.Waiting, now: float) -> bool:
-        if self._empty(now) and not self.alone.waiting_by_key:
-            self._grant_alone(waiting, now)
+    def _admit_exclusive(self, queued: queues.QueuedRequest, now: float) -> bool:
+        if self._is_idle(now) and not self.exclusive_queue.queued_by_key:
+            self._grant_exclusive(queued, now)
             return False
-        self.alone.add(waiting)
+        self.exclusive_queue.add(queued)
         return True
 
-    def _grant_alone(self, waiting: queues.Waiting, now: float) -> None:
-        self.alone.start(waiting)
-        self._grant(waiting, now)
+    def _grant_exclusive(self, queued: queues.QueuedRequest, now: float) -> None:
+        self.exclusive_queue.start(queued)
+        self._grant(queued, now)
 
-    def _empty(self, now: float) -> bool:
+    def _is_idle(self, now: float) -> bool:
         return now >= self.paused_until and not self.running()
 
-    def _free(self, rank: int, now: float) -> bool:
-        if now < self.paused_until or self.alone.blocks():
+    def _has_free_slot(self, rank: int, now: float) -> bool:
+        if now < self.paused_until or self.exclusive_queue.blocks_others():
             return False
         limit = self.limit.value_for(rank < queues.BULK)
         if rank == queues.BULK:
-            limit -= self.reserve()
-        # An engine with priorities takes back places of less urgent work, so
-        # that only work as urgent stands in the way.
+            limit -= self.reserved_slots()
+        # An engine with priorities preempts less urgent work, so only work of the
+        # same or a higher urgency occupies its slots.
         return self.running(rank if self.preempts else queues.BULK) < limit
 
-    def _grant(self, waiting: queues.Waiting, now: float) -> None:
-        self._hold(waiting.ask, waiting.entry, now)
-        waiting.answer(_answer(waiting.ask, slot_messages.Verdict.GRANTED))
+    def _grant(self, queued: queues.QueuedRequest, now: float) -> None:
+        self._occupy(queued.request, queued.entry, now)
+        queued.send_reply(_reply(queued.request, slot_messages.SlotStatus.GRANTED))
 
-    def _hold(self, ask: slot_messages.AskSlot, entry: str, now: float) -> None:
-        key = (entry, ask.number)
+    def _occupy(
+        self, request: slot_messages.SlotRequest, entry: str, now: float
+    ) -> None:
+        key = (entry, request.number)
         self.queue.remove(key)
-        if key not in self.held_by_key:
-            self.held_by_key[key] = Held(ask, entry, now)
-            self.adopted += ask.held
-        if len(self.held_by_key) > self.limit.most:
+        if key not in self.slot_by_key:
+            self.slot_by_key[key] = OccupiedSlot(request, entry, now)
+            self.inherited_reported += request.already_running
+        if len(self.slot_by_key) > self.limit.maximum:
             self.preempted_at = now
-        if ask.rank < queues.BULK:
-            self.usage.peak(self._urgent(), now)
-
-    def _refuse(self, waiting: queues.Waiting, reason: str) -> None:
-        # Asked again when the queue is short enough, the request would get
-        # its slot in time; earlier it would only be refused again.
-        rank = waiting.ask.rank
-        wait_s = self._wait_s(rank, self.queue.ahead(rank))
-        late_s = time.monotonic() + wait_s - waiting.deadline
-        wait_ms = max(LEAST_RETRY_MS, math.ceil(late_s * 1000))
-        refused = slot_messages.Verdict.REFUSED
-        waiting.answer(_answer(waiting.ask, refused, wait_ms, reason))
-
-    def _deadline(self, ask: slot_messages.AskSlot, now: float) -> float:
-        if ask.rank == queues.BULK:
-            return now + ask.wait_ms / 1000
-        return now + ask.target_ms / 1000 - self.usage.first_token_s
-
-    def _wait_s(self, rank: int, ahead: int) -> float:
+        if request.rank < queues.BULK:
+            self.usage.peak(self._urgent_running(), now)
+
+    def _refuse(self, queued: queues.QueuedRequest, reason: str) -> None:
+        # The retry delay is the time by which the expected wait exceeds the
+        # deadline; a retry before then would be refused again.
+        rank = queued.request.rank
+        wait_s = self._expected_wait_s(rank, self.queue.count_ahead(rank))
+        excess_s = time.monotonic() + wait_s - queued.deadline
+        wait_ms = max(MIN_RETRY_AFTER_MS, math.ceil(excess_s * 1000))
+        refused = slot_messages.SlotStatus.REFUSED
+        queued.send_reply(_reply(queued.request, refused, wait_ms, reason))
+
+    def _deadline(self, request: slot_messages.SlotRequest, now: float) -> float:
+        if request.rank == queues.BULK:
+            return now + request.wait_ms / 1000
+        return now + request.target_ms / 1000 - self.usage.first_token_s
+
+    def _expected_wait_s(self, rank: int, ahead: int) -> float:
         return (ahead + 1) * self._next_free_s(rank)
 
-    def _urgent(self) -> int:
-        return sum(item.ask.rank < queues.BULK for item in self.held_by_key.values())
+    def _urgent_running(self) -> int:
+        return sum(
+            slot.request.rank < queues.BULK for slot in self.slot_by_key.values()
+        )
 
     def _next_free_s(self, rank: int) -> float:
         """Return the mean time until a slot for a rank becomes free, seconds."""
         highest = rank if self.preempts else queues.BULK
-        held = [item.ask.rank for item in self.held_by_key.values()]
-        ranks = [item for item in held if item <= highest]
+        running_ranks = [slot.request.rank for slot in self.slot_by_key.values()]
+        ranks = [item for item in running_ranks if item <= highest]
         return self.usage.hold_s(ranks) / self.limit.value_for(rank < queues.BULK)
 
 
-def _answer(
-    ask: slot_messages.AskSlot,
-    verdict: slot_messages.Verdict,
+def _reply(
+    request: slot_messages.SlotRequest,
+    status: slot_messages.SlotStatus,
     wait_ms: int = 0,
     reason: str = "",
-) -> slot_messages.SlotAnswer:
-    return slot_messages.SlotAnswer(ask.number, int(verdict), wait_ms, reason)
+) -> slot_messages.SlotReply:
+    return slot_messages.SlotReply(request.number, int(status), wait_ms, reason)
--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -237,7 +237,7 @@
         claim: claiming.Claim | None,
     ) -> result.Result[running.Running, attempts.Failed]:
         acquired = self.suspects.check(request).and_then(
-            lambda lone: self.acquire(request, choice, lone)
+            lambda exclusive: self.acquire(request, choice, exclusive)
         )
         match acquired:
             case result.Ok(grant):
@@ -260,16 +260,19 @@
         return sent.map_err(lambda failed: attrs.evolve(failed, endpoint=name))
 
     def acquire(
-        self, request: requests.Request, choice: list[catalogue.Endpoint], lone: bool
+        self,
+        request: requests.Request,
+        choice: list[catalogue.Endpoint],
+        exclusive: bool,
     ) -> result.Result[slots.Grant, outcomes.Refusal]:
         """Get a slot, to be given back by :meth:`release`.
 
         :param request: the request.
         :param choice: where it may run, the best first.
-        :param lone: whether it has to run with no other beside it.
+        :param exclusive: whether it has to run with no other beside it.
         """
         if self.policy.asks_owner:
-            acquired = self.slots.acquire(request, *choice, lone=lone)
+            acquired = self.slots.acquire(request, *choice, exclusive=exclusive)
         else:
             acquired = result.Ok(slots.Grant(request.id, choice[0], ""))
         if acquired.is_ok():
--- a/packages/mothworks/src/mothworks/queues.py
+++ b/packages/mothworks/src/mothworks/queues.py
@@ -1,9 +1,9 @@
-"""The queue of one endpoint at its owner.
+"""The priority queue of one endpoint at its owner.
 
-Urgent goes before standard before bulk, the earliest deadline first inside a
-class. Bulk that has waited long gets every few slots all the same, so that
-it finishes however much urgent work arrives. The queue is bounded as a whole
-and for each caller.
+Urgent requests go before standard ones and these before bulk; within a class
+the earliest deadline goes first. Bulk work ages: after a long wait it gets one
+in every few slots, so that a stream of urgent work cannot starve it. The queue
+is bounded in total and per caller.
 """
 
 import collections
@@ -15,153 +15,156 @@
 
 from mothworks import slot_messages
 
-#: Most requests that wait for one endpoint.
-LENGTH = 1024
-#: Share of the queue above which no caller may have more than half of it.
-CROWDED = 0.5
-#: Rank of bulk work; lower ranks go first.
+#: Maximum number of requests queued for one endpoint.
+MAX_LENGTH = 1024
+#: Fill level from which the queue is crowded, as a share of its maximum length; then
+#: no caller may occupy more than this share.
+CROWDED_SHARE = 0.5
+#: Rank of bulk work; lower ranks are served first.
 BULK = 2
 #: Wait after which bulk work counts as aged, seconds.
-AGED_S = 20.0
-#: Slots that go to other work before one goes to aged bulk work.
-TURNS = 7
+AGING_S = 20.0
+#: Slots granted to other work before one is granted to aged bulk work.
+GRANTS_PER_AGED_BULK = 7
 
-#: Names an ask at an owner: the entry's name and its number there.
+#: Identifies a slot request at an owner: the entry's name and its number there.
 Key = tuple[str, int]
 
 
 @attrs.define(eq=False)
-class Waiting:
-    """A request that waits.
+class QueuedRequest:
+    """A queued slot request.
 
-    :param ask: the entry's message.
+    :param request: the entry's slot request.
     :param entry: the entry's name.
-    :param since: when it came, monotonic seconds.
-    :param deadline: when it is given up, monotonic seconds.
-    :param answer: sends the owner's answer.
-    :param gone: it was granted, refused or cancelled.
+    :param since: when it arrived, monotonic seconds.
+    :param deadline: when it expires, monotonic seconds.
+    :param send_reply: sends the owner's reply.
+    :param removed: whether it was granted, refused or cancelled.
     """
 
-    ask: slot_messages.AskSlot
+    request: slot_messages.SlotRequest
     entry: str
     since: float
     deadline: float
-    answer: collections.abc.Callable[[slot_messages.SlotAnswer], None]
-    gone: bool = False
+    send_reply: collections.abc.Callable[[slot_messages.SlotReply], None]
+    removed: bool = False
 
     @property
     def key(self) -> Key:
-        """Return what names the ask."""
-        return (self.entry, self.ask.number)
+        """Return the key of the slot request."""
+        return (self.entry, self.request.number)
 
 
 class Queue:
-    """The requests that wait for one endpoint."""
+    """The queued requests of one endpoint, by urgency and deadline."""
 
     def __init__(self):
-        self.waiting_by_key: dict[Key, Waiting] = {}
+        self.queued_by_key: dict[Key, QueuedRequest] = {}
         self.count_by_caller: collections.Counter[str] = collections.Counter()
         self.count_by_rank = [0] * (BULK + 1)
-        # A request that leaves out of turn stays in its heap, marked as gone,
-        # until it comes up.
+        # A request that is removed stays in its heap, marked as removed, until it
+        # reaches the top.
         self.heaps: tuple[list, ...] = tuple([] for _ in self.count_by_rank)
         self.numbers = itertools.count()
-        self.turns = 0
+        self.grants_since_bulk = 0
 
     def __len__(self) -> int:
-        return len(self.waiting_by_key)
+        return len(self.queued_by_key)
 
-    def ahead(self, rank: int) -> int:
-        """Return how many would go before a new request.
+    def count_ahead(self, rank: int) -> int:
+        """Return how many queued requests go before a new one, deadlines aside.
 
-        :param rank: the request's rank.
+        :param rank: the new request's rank.
         """
         return sum(self.count_by_rank[: rank + 1])
 
-    def why_not(self, ask: slot_messages.AskSlot, share: float) -> str:
-        """Return why a request may not wait; empty where it may.
+    def refusal_reason(self, request: slot_messages.SlotRequest, share: float) -> str:
+        """Return why a request may not be queued; empty if it may.
 
-        :param ask: the request.
-        :param share: largest share of the queue for its caller, 0 to 1.
+        :param request: the slot request.
+        :param share: maximum share of the queue for its caller, 0 to 1.
         """
-        if len(self) >= LENGTH * CROWDED:
-            share = min(share, CROWDED)
-        if self.count_by_caller[ask.caller] >= share * LENGTH:
+        if len(self) >= MAX_LENGTH * CROWDED_SHARE:
+            share = min(share, CROWDED_SHARE)
+        if self.count_by_caller[request.caller] >= share * MAX_LENGTH:
             return "caller_share"
-        if len(self) >= LENGTH and not self._worse(ask.rank):
+        if len(self) >= MAX_LENGTH and not self._find_evictable(request.rank):
             return "queue_full"
         return ""
 
-    def add(self, waiting: Waiting) -> Waiting | None:
-        """Let a request wait.
+    def add(self, queued: QueuedRequest) -> QueuedRequest | None:
+        """Queue a request.
 
-        :param waiting: the request; :meth:`why_not` had nothing against it.
-        :returns: a less urgent request that had to make room.
+        :param queued: the request, for which :meth:`refusal_reason` is empty.
+        :returns: the less urgent request that was evicted from a full queue.
         """
         evicted = None
-        if len(self) >= LENGTH:
-            evicted = self._worse(waiting.ask.rank)
+        if len(self) >= MAX_LENGTH:
+            evicted = self._find_evictable(queued.request.rank)
             self.remove(evicted.key)
-        rank = waiting.ask.rank
-        self.waiting_by_key[waiting.key] = waiting
-        self.count_by_caller[waiting.ask.caller] += 1
+        rank = queued.request.rank
+        self.queued_by_key[queued.key] = queued
+        self.count_by_caller[queued.request.caller] += 1
         self.count_by_rank[rank] += 1
-        item = (waiting.deadline, next(self.numbers), waiting)
+        item = (queued.deadline, next(self.numbers), queued)
         heapq.heappush(self.heaps[rank], item)
         return evicted
 
-    def pop(self, bulk: bool, now: float) -> Waiting | None:
-        """Take the request that goes next.
+    def pop(self, bulk_allowed: bool, now: float) -> QueuedRequest | None:
+        """Remove and return the request to serve next.
 
-        :param bulk: whether bulk work may go.
+        :param bulk_allowed: whether it may be bulk work.
         :param now: monotonic seconds.
-        :returns: None where no request may go.
+        :returns: the request; None if none may be served.
         """
         heads = [self._head(rank) for rank in range(len(self.heaps))]
-        last = heads[BULK] if bulk else None
-        chosen = next((item for item in heads[:BULK] if item is not None), last)
-        aged = last is not None and now - last.since > AGED_S
-        if aged and self.turns >= TURNS:
-            chosen = last
+        bulk_head = heads[BULK] if bulk_allowed else None
+        chosen = next((item for item in heads[:BULK] if item is not None), bulk_head)
+        aged = bulk_head is not None and now - bulk_head.since > AGING_S
+        if aged and self.grants_since_bulk >= GRANTS_PER_AGED_BULK:
+            chosen = bulk_head
         if chosen is None:
             return None
-        self.turns = 0 if chosen is last else self.turns + 1
+        self.grants_since_bulk = (
+            0 if chosen is bulk_head else self.grants_since_bulk + 1
+        )
         return self.remove(chosen.key)
 
-    def remove(self, key: Key) -> Waiting | None:
-        """Take a request out of turn.
+    def remove(self, key: Key) -> QueuedRequest | None:
+        """Remove a request from any position.
 
-        :param key: what names it.
-        :returns: the request, if it was there.
+        :param key: the request's key.
+        :returns: the request; None if it is not queued.
         """
-        waiting = self.waiting_by_key.pop(key, None)
-        if waiting is not None:
-            waiting.gone = True
-            self.count_by_rank[waiting.ask.rank] -= 1
-            self.count_by_caller[waiting.ask.caller] -= 1
-            if not self.count_by_caller[waiting.ask.caller]:
-                del self.count_by_caller[waiting.ask.caller]
-        return waiting
-
-    def ordered(self) -> list[Waiting]:
-        """Return all that wait, in the order of service without ageing."""
+        queued = self.queued_by_key.pop(key, None)
+        if queued is not None:
+            queued.removed = True
+            self.count_by_rank[queued.request.rank] -= 1
+            self.count_by_caller[queued.request.caller] -= 1
+            if not self.count_by_caller[queued.request.caller]:
+                del self.count_by_caller[queued.request.caller]
+        return queued
+
+    def ordered(self) -> list[QueuedRequest]:
+        """Return all queued requests in order of service, without ageing."""
         return [
-            waiting
+            queued
             for heap in self.heaps
-            for _, _, waiting in sorted(heap)
-            if not waiting.gone
+            for _, _, queued in sorted(heap)
+            if not queued.removed
         ]
 
-    def _head(self, rank: int) -> Waiting | None:
+    def _head(self, rank: int) -> QueuedRequest | None:
         heap = self.heaps[rank]
-        while heap and heap[0][2].gone:
+        while heap and heap[0][2].removed:
             heapq.heappop(heap)
         return heap[0][2] if heap else None
 
-    def _worse(self, rank: int) -> Waiting | None:
-        """Return the last request of the least urgent class below a rank."""
+    def _find_evictable(self, rank: int) -> QueuedRequest | None:
+        """Return the last request of the least urgent class below a rank, if any."""
         for lower in range(BULK, rank, -1):
             if self.count_by_rank[lower]:
-                items = [item for item in self.heaps[lower] if not item[2].gone]
+                items = [item for item in self.heaps[lower] if not item[2].removed]
                 return max(items)[2]
         return None
--- a/packages/mothworks/src/mothworks/resumption.py
+++ b/packages/mothworks/src/mothworks/resumption.py
@@ -47,7 +47,7 @@
         # endpoint too.
         self.dispatch.suspects.broke(request, stopped.grant.endpoint)
         acquired = self.dispatch.suspects.check(request).and_then(
-            lambda lone: self.dispatch.acquire(request, choice, lone)
+            lambda exclusive: self.dispatch.acquire(request, choice, exclusive)
         )
         match acquired:
             case result.Ok(grant):
--- a/packages/mothworks/src/mothworks/slot_messages.py
+++ b/packages/mothworks/src/mothworks/slot_messages.py
@@ -1,8 +1,9 @@
 """Messages between entries and owners about slots.
 
-An entry gives each of its asks a number of its own; the pair of the entry's
-name and that number names the ask at the owner. All messages go one way, so
-that one ask may get two answers: queued, and later granted.
+An entry is the VM that received a caller's request. It numbers its slot
+requests; the entry's name and that number identify a slot request at the
+owner. Messages are one-way, because a slot request may get two replies: queued,
+and later granted.
 """
 
 import enum
@@ -12,48 +13,49 @@
 from mothworks import messages
 
 
-class Verdict(enum.IntEnum):
-    """What an owner says to an ask."""
+class SlotStatus(enum.IntEnum):
+    """The status of a slot request, as its owner reports it."""
 
     #: The request may be sent now.
     GRANTED = 0
-    #: It waits in the owner's queue.
+    #: The request waits in the owner's queue.
     QUEUED = 1
-    #: It gets no slot here.
+    #: The request gets no slot from this owner.
     REFUSED = 2
-    #: The endpoint has another owner now, which is to be asked.
+    #: The endpoint has another owner now; the entry sends its request there.
     MOVED = 3
 
 
 class Outcome(enum.IntEnum):
     """How a request that had a slot ended."""
 
-    #: The endpoint's answer is complete.
+    #: The endpoint's response is complete.
     OK = 0
-    #: The endpoint refused, or answered with an error of its own.
+    #: The endpoint refused the request or responded with an error.
     FAILED = 1
-    #: The connection to the endpoint broke off.
+    #: The connection to the endpoint broke.
     CRASHED = 2
-    #: The caller went away.
+    #: The caller disconnected.
     CANCELLED = 3
 
 
 @messages.message(10)
 @attrs.frozen
-class AskSlot:
-    """An entry asks an endpoint's owner for a slot.
+class SlotRequest:
+    """An entry requests a slot from an endpoint's owner.
 
     :param request_id: the request's id.
     :param endpoint: the endpoint's name.
-    :param rank: rank of the request's urgency, 0 first.
-    :param wait_ms: longest wait, milliseconds.
-    :param target_ms: time left to the first token's target, milliseconds.
-    :param target: the model, adapter or service that was asked for.
+    :param rank: rank of the request's urgency class; 0 is the most urgent.
+    :param wait_ms: maximum wait, milliseconds.
+    :param target_ms: time left until the first token is due, milliseconds.
+    :param target: the requested model, adapter or service.
     :param caller: the caller's name.
-    :param tokens: most tokens the request may generate.
-    :param number: the entry's number for this ask.
-    :param held: the request runs already; the owner only counts it.
-    :param alone: it may crash the endpoint and must not share it.
+    :param tokens: maximum number of tokens that the request may generate.
+    :param number: the entry's number for this slot request.
+    :param already_running: the request runs already; the owner only counts it.
+    :param exclusive: the request may crash the endpoint, so nothing else runs there
+        with it.
     """
 
     request_id: str
@@ -65,34 +67,34 @@
     caller: str = ""
     tokens: int = 0
     number: int = 0
-    held: bool = False
-    alone: bool = False
+    already_running: bool = False
+    exclusive: bool = False
 
 
 @messages.message(11)
 @attrs.frozen
-class SlotAnswer:
-    """The owner's answer to :class:`AskSlot`.
-
-    :param number: the ask's number.
-    :param verdict: a :class:`Verdict`.
-    :param wait_ms: expected wait of a queued ask; time after which a refused
-        one is worth repeating; milliseconds.
-    :param reason: why it was refused.
+class SlotReply:
+    """The owner's reply to a :class:`SlotRequest`.
+
+    :param number: the slot request's number.
+    :param status: a :class:`SlotStatus`.
+    :param wait_ms: expected wait of a queued slot request, or time after which a
+        refused one may be retried, milliseconds.
+    :param reason: why the slot request was refused.
     """
 
     number: int
-    verdict: int
+    status: int
     wait_ms: int = 0
     reason: str = ""
 
 
 @messages.message(12)
 @attrs.frozen
-class SlotDone:
-    """An entry reports the end of an ask, granted or not.
+class SlotRelease:
+    """An entry releases a slot, or cancels a slot request that was not granted.
 
-    :param number: the ask's number.
+    :param number: the slot request's number.
     :param outcome: an :class:`Outcome`.
     :param first_token_ms: see ``slots.End``, whole milliseconds.
     :param between_tokens_us: see ``slots.End``, whole microseconds.
@@ -109,9 +111,9 @@
 @messages.message(13)
 @attrs.frozen
 class CheckSlots:
-    """An owner names long-lived asks of an entry, which answers for the lost.
+    """An owner checks with an entry that long-held slots are still in use.
 
-    :param numbers: the asks' numbers.
+    :param numbers: the numbers of the slot requests.
     """
 
     numbers: tuple[int, ...] = attrs.field(converter=tuple)
@@ -119,10 +121,10 @@
 
 @messages.message(14)
 @attrs.frozen
-class LostSlots:
-    """An entry names asks of a :class:`CheckSlots` that it does not have.
+class UnknownSlots:
+    """An entry reports which numbers of a :class:`CheckSlots` it does not know.
 
-    :param numbers: the asks' numbers.
+    :param numbers: the numbers of the slot requests.
     """
 
     numbers: tuple[int, ...] = attrs.field(converter=tuple)
--- a/packages/mothworks/src/mothworks/slot_owner.py
+++ b/packages/mothworks/src/mothworks/slot_owner.py
@@ -1,8 +1,9 @@
-"""Owners of slots: they grant each request its place in an endpoint's batch.
+"""Grants the batch slots of the endpoints that this VM owns.
 
-The owner of an endpoint has the exact count in flight and one priority queue
-(:mod:`mothworks.batches`). It learns of ends that were lost, of entries that
-died, and hands its queue over when the endpoint gets another owner.
+The owner of an endpoint counts its requests in flight and queues further ones
+by priority (:mod:`mothworks.batches`). It releases slots whose release message
+was lost or whose entry died, and hands its queue over when the endpoint gets
+another owner.
 """
 
 import collections.abc
@@ -27,15 +28,15 @@
     slot_messages,
 )
 
-#: Seconds between sweeps of queues in which something waits.
-SWEEP_S = 0.1
-#: Seconds between checks with entries of the slots in use.
-CHECK_S = 5.0
-#: Time for which a former owner sends asks on, seconds.
-FORMER_S = 10.0
+#: Seconds between sweeps of queues that are not empty.
+SWEEP_INTERVAL_S = 0.1
+#: Seconds between checks with entries that their slots are still in use.
+CHECK_INTERVAL_S = 5.0
+#: Time for which a former owner redirects slot requests, seconds.
+REDIRECT_S = 10.0
 
-#: Takes an owner's answer.
-Answer = collections.abc.Callable[[slot_messages.SlotAnswer], None]
+#: Sends or delivers an owner's reply.
+ReplyCallback = collections.abc.Callable[[slot_messages.SlotReply], None]
 
 
 @plugins.register(plugins.PART, "slot owner")
@@ -53,86 +54,94 @@
         self.health = node_kernel.get(health.Health)
         self.peers = node_kernel.get(peers.Peers)
         self.batch_by_endpoint: dict[str, batches.Batch] = {}
-        #: Batches by which this entry bounds what it sends without an owner.
-        self.guard_by_endpoint: dict[str, batches.Batch] = {}
+        #: Batches that limit what this VM sends to endpoints without an owner.
+        self.fallback_by_endpoint: dict[str, batches.Batch] = {}
         self.endpoint_by_key: dict[queues.Key, str] = {}
-        #: Until when this VM is the former owner of endpoints, monotonic time.
-        self.former_until_by_endpoint: dict[str, float] = {}
+        #: End of the time for which this former owner redirects, monotonic seconds.
+        self.redirect_until_by_endpoint: dict[str, float] = {}
         self.has_queue = gevent.event.Event()
-        self.peers.handle(slot_messages.AskSlot, self._serve_ask)
-        self.peers.handle(slot_messages.SlotDone, self._serve_done)
-        self.peers.handle(slot_messages.LostSlots, self._serve_lost)
+        self.peers.handle(slot_messages.SlotRequest, self._serve_request)
+        self.peers.handle(slot_messages.SlotRelease, self._serve_release)
+        self.peers.handle(slot_messages.UnknownSlots, self._serve_unknown)
         self.health.on_owned.append(self._hand_over)
-        self.membership.on_change.append(self._reclaim)
+        self.membership.on_change.append(self._release_dead_entries)
 
     def start(self) -> None:
-        """Start to look after the queues."""
-        self.tasks.spawn(self._sweep_on)
-        self.tasks.every(CHECK_S, self.check)
+        """Start to sweep the queues and to check the slots in use."""
+        self.tasks.spawn(self._sweep_loop)
+        self.tasks.every(CHECK_INTERVAL_S, self.check_slots)
 
     @property
     def name(self) -> str:
         """Return this VM's name."""
         return self.kernel.settings.name
 
-    def ask(self, entry: str, ask: slot_messages.AskSlot, answer: Answer) -> None:
-        """Answer an ask for a slot of an endpoint, at once or later.
+    def request(
+        self,
+        entry: str,
+        request: slot_messages.SlotRequest,
+        send_reply: ReplyCallback,
+    ) -> None:
+        """Grant, queue or refuse a slot request.
 
         :param entry: the entry's name.
-        :param ask: its message.
-        :param answer: takes each answer.
+        :param request: the entry's slot request.
+        :param send_reply: called with each reply, at once and when a slot is free.
         """
-        # An entry that has not heard of the new owner yet asks the former
-        # one, which has forgotten what runs and would fill the batch again.
-        until = self.former_until_by_endpoint.get(ask.endpoint, 0.0)
+        # An entry that does not know the new owner yet sends its slot request to
+        # the former one, which has dropped its count and would fill the batch again.
+        until = self.redirect_until_by_endpoint.get(request.endpoint, 0.0)
         if time.monotonic() < until:
-            moved = int(slot_messages.Verdict.MOVED)
-            answer(slot_messages.SlotAnswer(ask.number, moved))
+            moved = int(slot_messages.SlotStatus.MOVED)
+            send_reply(slot_messages.SlotReply(request.number, moved))
             return
-        self.endpoint_by_key[(entry, ask.number)] = ask.endpoint
-
-        def keep_known(reply: slot_messages.SlotAnswer) -> None:
-            if reply.verdict >= slot_messages.Verdict.REFUSED:
-                self.endpoint_by_key.pop((entry, ask.number), None)
-            answer(reply)
-
-        batch = self.batch(ask.endpoint)
-        batch.ask(ask, entry, keep_known)
-        self._note_queue(batch)
-
-    def ask_guard(
-        self, endpoint: catalogue.Endpoint, ask: slot_messages.AskSlot, answer: Answer
+        self.endpoint_by_key[(entry, request.number)] = request.endpoint
+
+        def forget_refused(reply: slot_messages.SlotReply) -> None:
+            if reply.status >= slot_messages.SlotStatus.REFUSED:
+                self.endpoint_by_key.pop((entry, request.number), None)
+            send_reply(reply)
+
+        batch = self.batch(request.endpoint)
+        batch.request(request, entry, forget_refused)
+        self._wake_sweep(batch)
+
+    def request_fallback(
+        self,
+        endpoint: catalogue.Endpoint,
+        request: slot_messages.SlotRequest,
+        send_reply: ReplyCallback,
     ) -> None:
-        """Answer an ask of this VM's own, where no owner can be reached.
+        """Serve this VM's own slot request when no owner can be reached.
 
         :param endpoint: the endpoint.
-        :param ask: the message that the owner would have got.
-        :param answer: takes each answer.
+        :param request: the slot request that the owner would have received.
+        :param send_reply: called with each reply.
         """
-        guard = self.guard(endpoint)
-        guard.ask(ask, self.name, answer)
-        self._note_queue(guard)
+        fallback = self.fallback_batch(endpoint)
+        fallback.request(request, self.name, send_reply)
+        self._wake_sweep(fallback)
 
-    def done(self, entry: str, done: slot_messages.SlotDone) -> None:
-        """End an ask, granted or waiting.
+    def release(self, entry: str, message: slot_messages.SlotRelease) -> None:
+        """Release a slot, or cancel a queued slot request.
 
         :param entry: the entry's name.
-        :param done: its message.
+        :param message: the entry's message.
         """
-        key = (entry, done.number)
+        key = (entry, message.number)
         endpoint = self.endpoint_by_key.pop(key, None)
         if endpoint is None:
             return
         batch = self.batch(endpoint)
-        held = batch.held_by_key.get(key)
-        if held is not None and done.tokens > 1:
-            target_ms = self._between_target_ms(held.ask.caller)
-            batch.observe(held, done.between_tokens_us / 1000, target_ms)
-        elif held is not None:
-            batch.limit.miss()
-        if done.outcome == slot_messages.Outcome.FAILED:
+        slot = batch.slot_by_key.get(key)
+        if slot is not None and message.tokens > 1:
+            target_ms = self._between_target_ms(slot.request.caller)
+            batch.observe(slot, message.between_tokens_us / 1000, target_ms)
+        elif slot is not None:
+            batch.limit.count_unmeasured()
+        if message.outcome == slot_messages.Outcome.FAILED:
             batch.pause()
-        batch.done(key, done.first_token_ms)
+        batch.release(key, message.first_token_ms)
 
     def running(self, endpoint: str, target: str) -> frozenset[str]:
         """Return the requests in flight for a target at an owned endpoint.
@@ -140,17 +149,19 @@
         :param endpoint: the endpoint's name.
         :param target: a model or adapter.
         """
-        held = self.batch(endpoint).held_by_key.values()
+        slots_in_use = self.batch(endpoint).slot_by_key.values()
         return frozenset(
-            item.ask.request_id for item in held if item.ask.target == target
+            slot.request.request_id
+            for slot in slots_in_use
+            if slot.request.target == target
         )
 
     def withhold(self, endpoint: str, models: frozenset[str]) -> None:
-        """Give no further slots for some residents of an owned endpoint.
+        """Grant no further slots for some resident models of an owned endpoint.
 
-        An entry may not have heard yet that the models are not offered any
-        more; the owner's own check keeps its requests from running into the
-        unload. Requests that wait are turned away and go elsewhere.
+        An entry may not know yet that the models are no longer available; the
+        owner's check prevents its requests from running during the unload. Queued
+        requests are refused, and their entries try other endpoints.
 
         :param endpoint: the endpoint's name.
         :param models: models and adapters that are about to be unloaded.
@@ -159,28 +170,31 @@
         self.batch(endpoint).sweep(time.monotonic())
 
     def sweep(self) -> bool:
-        """Refuse what waited too long or may not run any more.
+        """Refuse queued requests that expired or may not run any more.
 
-        :returns: whether anything still waits.
+        :returns: whether any request is still queued.
         """
         now = time.monotonic()
-        held = (*self.batch_by_endpoint.values(), *self.guard_by_endpoint.values())
-        queued = [batch for batch in held if len(batch.queue)]
-        for batch in queued:
+        all_batches = (
+            *self.batch_by_endpoint.values(),
+            *self.fallback_by_endpoint.values(),
+        )
+        waiting_batches = [batch for batch in all_batches if len(batch.queue)]
+        for batch in waiting_batches:
             batch.sweep(now)
-        return any(len(batch.queue) for batch in queued)
+        return any(len(batch.queue) for batch in waiting_batches)
 
-    def check(self) -> None:
-        """Ask entries for slots that they do not know any more.
+    def check_slots(self) -> None:
+        """Check with entries that slots in use for long are still needed.
 
-        The report of an end is lost with its connection; without the check
-        its slot would stay taken for good.
+        A release message is lost if its connection breaks; without the check its
+        slot would leak.
         """
         numbers_by_entry: dict[str, list[int]] = {}
-        old = time.monotonic() - CHECK_S
+        granted_before = time.monotonic() - CHECK_INTERVAL_S
         for batch in self.batch_by_endpoint.values():
-            for (entry, number), held in batch.held_by_key.items():
-                if held.since < old and entry != self.name:
+            for (entry, number), slot in batch.slot_by_key.items():
+                if slot.since < granted_before and entry != self.name:
                     numbers_by_entry.setdefault(entry, []).append(number)
         for entry, numbers in numbers_by_entry.items():
             self.peers.send(entry, slot_messages.CheckSlots(numbers))
@@ -197,36 +211,36 @@
             batch = batches.Batch(
                 slots,
                 self._why_closed,
-                self._share,
-                lambda: self._reported(name),
+                self._caller_share,
+                lambda: self._reported_running(name),
                 endpoint is not None and self._preempts(endpoint),
             )
             self.batch_by_endpoint[name] = batch
         return batch
 
-    def guard(self, endpoint: catalogue.Endpoint) -> batches.Batch:
-        """Return what bounds this VM's requests to an endpoint without an owner.
+    def fallback_batch(self, endpoint: catalogue.Endpoint) -> batches.Batch:
+        """Return the batch that limits this VM's requests to an unowned endpoint.
 
         :param endpoint: the endpoint.
         """
-        guard = self.guard_by_endpoint.get(endpoint.name)
-        if guard is None:
-            # Every entry may be without the owner at the same time; together
-            # they then send about what the endpoint's batch holds.
+        fallback = self.fallback_by_endpoint.get(endpoint.name)
+        if fallback is None:
+            # All VMs may lose the owner at the same time. Each gets an equal part of
+            # the slots, so that together they about fill the endpoint's batch.
             vms = len(self.membership.near()) + 1
             slots = max(1, math.ceil(endpoint.slots / vms))
-            guard = batches.Batch(slots, self._why_closed, self._share)
-            self.guard_by_endpoint[endpoint.name] = guard
-        return guard
+            fallback = batches.Batch(slots, self._why_closed, self._caller_share)
+            self.fallback_by_endpoint[endpoint.name] = fallback
+        return fallback
 
-    def _note_queue(self, batch: batches.Batch) -> None:
+    def _wake_sweep(self, batch: batches.Batch) -> None:
         if len(batch.queue):
             self.has_queue.set()
 
-    def _sweep_on(self) -> None:
+    def _sweep_loop(self) -> None:
         while True:
             self.has_queue.wait()
-            gevent.sleep(SWEEP_S)
+            gevent.sleep(SWEEP_INTERVAL_S)
             self.has_queue.clear()
             if self.sweep():
                 self.has_queue.set()
@@ -235,17 +249,17 @@
         kind = self.health.adapters.get(endpoint.kind)
         return kind.preempts and endpoint.priorities
 
-    def _reported(self, name: str) -> int | None:
+    def _reported_running(self, name: str) -> int | None:
         report = self.health.report_by_endpoint.get(name)
         return report.running if report else None
 
-    def _why_closed(self, ask: slot_messages.AskSlot) -> str:
-        withheld = self.health.withheld_by_endpoint.get(ask.endpoint, frozenset())
-        if ask.target in withheld:
+    def _why_closed(self, request: slot_messages.SlotRequest) -> str:
+        withheld = self.health.withheld_by_endpoint.get(request.endpoint, frozenset())
+        if request.target in withheld:
             return "not_offered"
-        return self.placement.why_closed(ask.endpoint, ask.target)
+        return self.placement.why_closed(request.endpoint, request.target)
 
-    def _share(self, name: str) -> float:
+    def _caller_share(self, name: str) -> float:
         caller = self.configuration.index.caller_by_name.get(name)
         return caller.share if caller else 1.0
 
@@ -255,39 +269,45 @@
         return caller.between_tokens_ms if caller else default
 
     def _hand_over(self) -> None:
-        """Send what waits for endpoints that are no longer owned to new owners."""
+        """Redirect the queued requests of endpoints that are no longer owned."""
         owned = self.health.owned()
         now = time.monotonic()
-        self.former_until_by_endpoint = {
+        self.redirect_until_by_endpoint = {
             name: until
-            for name, until in self.former_until_by_endpoint.items()
+            for name, until in self.redirect_until_by_endpoint.items()
             if until > now and name not in owned
         }
         for name in self.batch_by_endpoint.keys() - owned:
-            self.former_until_by_endpoint[name] = now + FORMER_S
+            self.redirect_until_by_endpoint[name] = now + REDIRECT_S
             batch = self.batch_by_endpoint.pop(name)
             batch.hand_over()
-            for key in batch.held_by_key:
+            for key in batch.slot_by_key:
                 self.endpoint_by_key.pop(key, None)
 
-    def _reclaim(self) -> None:
-        """Free the slots of entries that died."""
+    def _release_dead_entries(self) -> None:
+        """Release the slots and queued requests of entries that died."""
         for batch in list(self.batch_by_endpoint.values()):
-            for key in batch.asks():
-                if not self._lives(key[0]):
+            for key in batch.request_keys():
+                if not self._is_alive(key[0]):
                     self.endpoint_by_key.pop(key, None)
-                    batch.done(key)
+                    batch.release(key)
 
-    def _lives(self, entry: str) -> bool:
+    def _is_alive(self, entry: str) -> bool:
         record = self.membership.table.find(entry)
         return entry == self.name or (record is not None and record.live)
 
-    def _serve_ask(self, sender: str, ask: slot_messages.AskSlot, _) -> None:
-        self.ask(sender, ask, lambda reply: self.peers.send(sender, reply))
+    def _serve_request(
+        self, sender: str, request: slot_messages.SlotRequest, _
+    ) -> None:
+        self.request(sender, request, lambda reply: self.peers.send(sender, reply))
 
-    def _serve_done(self, sender: str, done: slot_messages.SlotDone, _) -> None:
-        self.done(sender, done)
+    def _serve_release(
+        self, sender: str, message: slot_messages.SlotRelease, _
+    ) -> None:
+        self.release(sender, message)
 
-    def _serve_lost(self, sender: str, lost: slot_messages.LostSlots, _) -> None:
-        for number in lost.numbers:
-            self.done(sender, slot_messages.SlotDone(number))
+    def _serve_unknown(
+        self, sender: str, message: slot_messages.UnknownSlots, _
+    ) -> None:
+        for number in message.numbers:
+            self.release(sender, slot_messages.SlotRelease(number))
--- a/packages/mothworks/src/mothworks/slot_rows.py
+++ b/packages/mothworks/src/mothworks/slot_rows.py
@@ -1,4 +1,4 @@
-"""Rows about the queues and batches of the endpoints that this VM owns."""
+"""Builds the rows of the queues and batches of endpoints that this VM owns."""
 
 import time
 
@@ -6,9 +6,9 @@
 
 
 def waiting(owner: slot_owner.SlotOwner) -> list[row_classes.WaitingRow]:
-    """Return the requests in a VM's queues, in their order of service.
+    """Return the queued requests of a VM's endpoints, in order of service.
 
-    :param owner: the VM's slots.
+    :param owner: the VM's slot owner.
     """
     return [
         _waiting(owner.name, endpoint, batch, position, item)
@@ -18,9 +18,9 @@
 
 
 def running(owner: slot_owner.SlotOwner) -> list[row_classes.BatchRow]:
-    """Return the batch and queue of each endpoint that a VM was asked for.
+    """Return one row for each endpoint whose slots a VM tracks.
 
-    :param owner: the VM's slots.
+    :param owner: the VM's slot owner.
     """
     return [
         row_classes.BatchRow(
@@ -43,21 +43,21 @@
     endpoint: str,
     batch: batches.Batch,
     position: int,
-    item: queues.Waiting,
+    item: queues.QueuedRequest,
 ) -> row_classes.WaitingRow:
     now = time.monotonic()
-    ask = item.ask
+    request = item.request
     return row_classes.WaitingRow(
-        request=ask.request_id,
+        request=request.request_id,
         endpoint=endpoint,
         owner=owner,
         position=position,
         queued=len(batch.queue),
         running=batch.running(),
         slots=batch.limit.value,
-        urgency=list(catalogue.Urgency)[ask.rank],
-        caller=ask.caller,
-        model=ask.target,
+        urgency=list(catalogue.Urgency)[request.rank],
+        caller=request.caller,
+        model=request.target,
         waited_ms=round((now - item.since) * 1000),
         deadline_ms=round((item.deadline - now) * 1000),
     )
--- a/packages/mothworks/src/mothworks/slot_search.py
+++ b/packages/mothworks/src/mothworks/slot_search.py
@@ -1,8 +1,8 @@
-"""The search of one request for a slot, at the entry.
+"""Searches the candidate endpoints of one request for a free slot.
 
-The search asks one owner after another, waits at two of them at most, takes
-the first slot that is granted and gives the others back. It ends as soon as
-no owner is left that could still grant one.
+The search sends slot requests to one owner after another and queues at two of
+them at most. It accepts the first grant and cancels the other slot requests.
+It ends as soon as no owner is left that could still grant a slot.
 """
 
 import collections.abc
@@ -26,64 +26,65 @@
 
 log = logbook.Logger("slots")
 
-#: Longest wait for a slot of bulk work, seconds.
-PATIENCE_S = 600.0
-#: Time for an owner's first answer before it counts as unreachable, seconds.
-ANSWER_S = 0.3
-#: Endpoints at which one request waits at the same time.
-MOST_WAITING = 2
-#: Endpoints that are asked for one request.
-MOST_ASKED = 4
-#: Times that one request follows moving owners.
-MOST_MOVES = 40
-#: Pause before an owner that has moved is asked again, while this VM has not
-#: heard of its successor, seconds.
-MOVE_S = 0.05
-#: Hint to a caller whose request got no answer from an owner, seconds.
-RETRY_S = 1.0
+#: Maximum wait of bulk work for a slot, seconds.
+BULK_TIMEOUT_S = 600.0
+#: Time without a first reply after which an owner counts as unreachable, seconds.
+FIRST_REPLY_TIMEOUT_S = 0.3
+#: Endpoints at which one request may be queued at the same time.
+MAX_QUEUES = 2
+#: Endpoints whose owners one request may try.
+MAX_ENDPOINTS = 4
+#: Number of ownership changes that one request follows.
+MAX_OWNER_CHANGES = 40
+#: Delay before a slot request is repeated to an owner that replied MOVED, while
+#: this VM does not know the new owner yet, seconds.
+OWNER_CHANGE_RETRY_S = 0.05
+#: Retry-After sent when no owner refused but none granted a slot, seconds.
+RETRY_AFTER_S = 1.0
 
 
 @attrs.define(eq=False)
-class Place:
-    """One ask of this entry, from the ask until the request's end.
+class Reservation:
+    """A slot request and the slot granted for it, until the request ends.
 
-    :param ask: the message to the owner.
+    :param slot_request: the message to the owner.
     :param endpoint: the endpoint.
-    :param owner: the VM that was asked; empty for this VM's own guard.
-    :param inbox: where answers go while the request waits.
-    :param queued: whether the owner has answered that it waits.
-    :param held: whether the slot was granted.
+    :param owner: the VM that received the slot request; empty for this VM's own
+        fallback batch.
+    :param inbox: receives the replies until a slot is granted.
+    :param queued: whether the owner replied that the slot request is queued.
+    :param granted: whether the slot was granted.
     """
 
-    ask: slot_messages.AskSlot
+    slot_request: slot_messages.SlotRequest
     endpoint: catalogue.Endpoint
     owner: str
     inbox: gevent.queue.SimpleQueue
     queued: bool = False
-    held: bool = False
+    granted: bool = False
 
 
 @attrs.frozen
-class Lost:
-    """The owner of a place cannot be reached."""
+class OwnerUnreachable:
+    """The owner of a reservation cannot be reached."""
 
 
 @attrs.frozen
-class News:
-    """Something happened to a place.
+class SearchEvent:
+    """A change of a reservation.
 
-    :param place: the place.
-    :param what: the owner's answer, or that the owner was lost.
+    :param reservation: the reservation.
+    :param change: the owner's reply, or that the owner is unreachable.
     """
 
-    place: Place
-    what: slot_messages.SlotAnswer | Lost
+    reservation: Reservation
+    change: slot_messages.SlotReply | OwnerUnreachable
 
 
 class Entry:
-    """What a search needs of the VM that it runs on."""
+    """Interface of the VM that a search runs on."""
 
-    #: Numbers of the entry's asks.
+    #: Numbers for the entry's slot requests.
     numbers: collections.abc.Iterator[int]
 
     def owner_of(self, endpoint: catalogue.Endpoint) -> members.Member | None:
@@ -93,17 +94,17 @@
         """
         raise NotImplementedError
 
-    def ask(self, place: Place) -> None:
-        """Send a place's ask to its owner, or count it here without one.
+    def send_request(self, reservation: Reservation) -> None:
+        """Send a slot request to its owner, or to the fallback batch without one.
 
-        :param place: the place; answers come to its inbox.
+        :param reservation: the reservation; its inbox receives the replies.
         """
         raise NotImplementedError
 
-    def give_up(self, place: Place) -> None:
-        """Take back an ask, or give back its slot.
+    def cancel(self, reservation: Reservation) -> None:
+        """Cancel a slot request, or release its slot.
 
-        :param place: the place.
+        :param reservation: the reservation.
         """
         raise NotImplementedError
 
@@ -111,10 +112,10 @@
 class Search:
     """The search of one request for a slot.
 
-    :param entry: what sends its asks.
+    :param entry: sends the slot requests.
     :param request: the request.
-    :param endpoints: where it may run, the best first.
-    :param lone: whether it must not share the endpoint.
+    :param endpoints: where the request may run, the best first.
+    :param exclusive: whether nothing else may run at the endpoint meanwhile.
     """
 
     def __init__(
@@ -122,151 +123,168 @@
         entry: Entry,
         request: requests.Request,
         endpoints: list[catalogue.Endpoint],
-        lone: bool,
+        exclusive: bool,
     ):
         self.entry = entry
         self.request = request
-        self.endpoints = endpoints[:MOST_ASKED]
-        self.lone = lone
+        self.endpoints = endpoints[:MAX_ENDPOINTS]
+        self.exclusive = exclusive
         self.inbox: gevent.queue.SimpleQueue = gevent.queue.SimpleQueue()
-        self.open: list[Place] = []
+        self.pending: list[Reservation] = []
         self.unreachable: list[catalogue.Endpoint] = []
-        self.refusals: list[slot_messages.SlotAnswer] = []
-        self.moves = 0
-        self.until = self._deadline()
-
-    def run(self) -> result.Result[Place, outcomes.Refusal]:
-        """Ask owners until one grants or all have refused."""
-        self._ask_next()
-        while self.open:
-            match self._next_news():
-                case None if time.monotonic() >= self.until:
+        self.refusals: list[slot_messages.SlotReply] = []
+        self.owner_changes = 0
+        self.deadline = self._search_deadline()
+
+    def run(self) -> result.Result[Reservation, outcomes.Refusal]:
+        """Request slots until one is granted, all are refused or time is up."""
+        self._request_next()
+        while self.pending:
+            match self._next_event():
+                case None if time.monotonic() >= self.deadline:
                     break
                 case None:
-                    self._lose_silent()
-                case News(place) if place not in self.open:
+                    self._drop_unresponsive()
+                case SearchEvent(reservation) if reservation not in self.pending:
                     continue
-                case News(place, slot_messages.SlotAnswer(verdict=verdict)) if (
-                    verdict == slot_messages.Verdict.GRANTED
-                ):
-                    return result.Ok(self._take(place))
-                case News(place, what):
-                    self._hear(place, what)
-            if not self.open:
-                self._ask_next()
+                case SearchEvent(
+                    reservation, slot_messages.SlotReply(status=status)
+                ) if status == slot_messages.SlotStatus.GRANTED:
+                    return result.Ok(self._accept_grant(reservation))
+                case SearchEvent(reservation, change):
+                    self._handle(reservation, change)
+            if not self.pending:
+                self._request_next()
         return result.Err(self._refusal())
 
     def close(self) -> None:
-        """Take back every ask that was not granted."""
-        for place in self.open:
-            self.entry.give_up(place)
-        self.open = []
-
-    def _hear(self, place: Place, what: slot_messages.SlotAnswer | Lost) -> None:
-        match what:
-            case Lost():
-                self._lose(place)
-            case slot_messages.SlotAnswer(verdict=slot_messages.Verdict.QUEUED):
-                self._wait(place)
-            case slot_messages.SlotAnswer(verdict=slot_messages.Verdict.MOVED):
-                self._follow(place)
-            case slot_messages.SlotAnswer():
-                self.refusals.append(what)
-                self._drop(place)
-
-    def _deadline(self) -> float:
+        """Cancel every slot request that was not granted."""
+        for reservation in self.pending:
+            self.entry.cancel(reservation)
+        self.pending = []
+
+    def _handle(
+        self,
+        reservation: Reservation,
+        change: slot_messages.SlotReply | OwnerUnreachable,
+    ) -> None:
+        match change:
+            case OwnerUnreachable():
+                self._mark_unreachable(reservation)
+            case slot_messages.SlotReply(status=slot_messages.SlotStatus.QUEUED):
+                self._mark_queued(reservation)
+            case slot_messages.SlotReply(status=slot_messages.SlotStatus.MOVED):
+                self._follow_owner(reservation)
+            case slot_messages.SlotReply():
+                self.refusals.append(change)
+                self._cancel(reservation)
+
+    def _search_deadline(self) -> float:
         if self.request.caller.urgency.rank == queues.BULK:
-            patience = time.monotonic() + PATIENCE_S
-            return min(patience, self.request.deadline)
-        if self.lone:
-            return time.monotonic() + alone.PATIENCE_S + ANSWER_S
-        # The owner refuses by its own clock; this is for the case that it
-        # falls silent.
-        return max(self.request.first_token_deadline, time.monotonic()) + ANSWER_S
-
-    def _next_news(self) -> News | None:
-        timeout = self.until - time.monotonic()
-        if not all(place.queued for place in self.open):
-            timeout = min(timeout, ANSWER_S)
+            timeout = time.monotonic() + BULK_TIMEOUT_S
+            return min(timeout, self.request.deadline)
+        if self.exclusive:
+            return time.monotonic() + alone.IDLE_TIMEOUT_S + FIRST_REPLY_TIMEOUT_S
+        # The owner refuses requests that miss the deadline by its own clock; this
+        # timeout covers an owner that stops responding.
+        return (
+            max(self.request.first_token_deadline, time.monotonic())
+            + FIRST_REPLY_TIMEOUT_S
+        )
+
+    def _next_event(self) -> SearchEvent | None:
+        timeout = self.deadline - time.monotonic()
+        if not all(reservation.queued for reservation in self.pending):
+            timeout = min(timeout, FIRST_REPLY_TIMEOUT_S)
         try:
             return self.inbox.get(timeout=max(0.0, timeout))
         except gevent.queue.Empty:
             return None
 
-    def _ask_next(self) -> None:
-        """Ask for the next endpoint; without owners, where one was silent."""
+    def _request_next(self) -> None:
+        """Request a slot at the next endpoint.
+
+        Endpoints without a reachable owner come last; this VM's own fallback batch
+        limits what it sends there.
+        """
         if self.endpoints:
             endpoint = self.endpoints.pop(0)
             owner = self.entry.owner_of(endpoint)
             if owner is None:
                 self.unreachable.append(endpoint)
-                self._ask_next()
+                self._request_next()
             else:
-                self._ask(endpoint, owner.name)
-        elif self.unreachable and not self.open:
-            self._ask(self.unreachable.pop(0), "")
+                self._request_slot(endpoint, owner.name)
+        elif self.unreachable and not self.pending:
+            self._request_slot(self.unreachable.pop(0), "")
 
-    def _ask(self, endpoint: catalogue.Endpoint, owner: str) -> None:
+    def _request_slot(self, endpoint: catalogue.Endpoint, owner: str) -> None:
         now = time.monotonic()
-        ask = slot_messages.AskSlot(
+        slot_request = slot_messages.SlotRequest(
             self.request.id,
             endpoint.name,
             self.request.caller.urgency.rank,
-            round((self.until - now) * 1000),
+            round((self.deadline - now) * 1000),
             round((self.request.first_token_deadline - now) * 1000),
             self.request.target,
             self.request.caller.name,
             self.request.tokens,
             next(self.entry.numbers),
-            alone=self.lone,
+            exclusive=self.exclusive,
+        )
+        reservation = Reservation(slot_request, endpoint, owner, self.inbox)
+        self.pending.append(reservation)
+        self.entry.send_request(reservation)
+
+    def _accept_grant(self, reservation: Reservation) -> Reservation:
+        self.pending.remove(reservation)
+        reservation.granted = True
+        # Sent again, the slot request only informs an owner of a running request.
+        reservation.slot_request = attrs.evolve(
+            reservation.slot_request, already_running=True
         )
-        place = Place(ask, endpoint, owner, self.inbox)
-        self.open.append(place)
-        self.entry.ask(place)
-
-    def _take(self, place: Place) -> Place:
-        self.open.remove(place)
-        place.held = True
-        # From here on a repeated ask only tells an owner what runs.
-        place.ask = attrs.evolve(place.ask, held=True)
-        return place
-
-    def _wait(self, place: Place) -> None:
-        place.queued = True
-        # A request that waits to run alone keeps all others waiting, which is
-        # enough at one endpoint.
-        if len(self.open) < MOST_WAITING and not self.lone:
-            self._ask_next()
-
-    def _drop(self, place: Place) -> None:
-        self.open.remove(place)
-        self.entry.give_up(place)
-
-    def _lose(self, place: Place) -> None:
-        self._drop(place)
-        self.unreachable.append(place.endpoint)
-
-    def _lose_silent(self) -> None:
-        for place in [item for item in self.open if not item.queued]:
-            log.info("{} does not answer for {}", place.owner, place.endpoint.name)
-            self._lose(place)
-
-    def _follow(self, place: Place) -> None:
-        self._drop(place)
-        self.moves += 1
-        owner = self.entry.owner_of(place.endpoint)
-        if owner is None or self.moves > MOST_MOVES:
-            self.unreachable.append(place.endpoint)
+        return reservation
+
+    def _mark_queued(self, reservation: Reservation) -> None:
+        reservation.queued = True
+        # An exclusive request blocks all others while it waits; one endpoint
+        # blocked is enough.
+        if len(self.pending) < MAX_QUEUES and not self.exclusive:
+            self._request_next()
+
+    def _cancel(self, reservation: Reservation) -> None:
+        self.pending.remove(reservation)
+        self.entry.cancel(reservation)
+
+    def _mark_unreachable(self, reservation: Reservation) -> None:
+        self._cancel(reservation)
+        self.unreachable.append(reservation.endpoint)
+
+    def _drop_unresponsive(self) -> None:
+        for reservation in [item for item in self.pending if not item.queued]:
+            log.info(
+                "{} did not reply to a slot request for {}",
+                reservation.owner,
+                reservation.endpoint.name,
+            )
+            self._mark_unreachable(reservation)
+
+    def _follow_owner(self, reservation: Reservation) -> None:
+        self._cancel(reservation)
+        self.owner_changes += 1
+        owner = self.entry.owner_of(reservation.endpoint)
+        if owner is None or self.owner_changes > MAX_OWNER_CHANGES:
+            self.unreachable.append(reservation.endpoint)
         else:
-            if owner.name == place.owner:
-                gevent.sleep(MOVE_S)
-            self._ask(place.endpoint, owner.name)
+            if owner.name == reservation.owner:
+                gevent.sleep(OWNER_CHANGE_RETRY_S)
+            self._request_slot(reservation.endpoint, owner.name)
 
     def _refusal(self) -> outcomes.Refusal:
         target = self.request.target
         if not self.refusals:
             message = f"no capacity for {target!r} in time: waited_too_long"
-            return outcomes.overloaded(message, RETRY_S)
-        best = min(self.refusals, key=lambda answer: answer.wait_ms)
-        message = f"no capacity for {target!r} in time: {best.reason}"
-        return outcomes.overloaded(message, best.wait_ms / 1000)
+            return outcomes.overloaded(message, RETRY_AFTER_S)
+        soonest = min(self.refusals, key=lambda reply: reply.wait_ms)
+        message = f"no capacity for {target!r} in time: {soonest.reason}"
+        return outcomes.overloaded(message, soonest.wait_ms / 1000)
--- a/packages/mothworks/src/mothworks/slots.py
+++ b/packages/mothworks/src/mothworks/slots.py
@@ -1,9 +1,11 @@
-"""Slots, at the entry: a request gets its place in an endpoint's batch.
-
-An entry asks an endpoint's owner (:mod:`mothworks.slot_owner`) before it
-sends a request, and reports the end. Where the first owner would let the
-request wait, :mod:`mothworks.slot_search` asks a second one too. The entry
-follows endpoints that get another owner and tells it what runs already.
+"""Acquires and releases batch slots for the requests of this VM.
+
+The VM that received a request, its entry, acquires a slot from the endpoint's
+owner (:mod:`mothworks.slot_owner`) before it sends the request, and releases
+the slot afterwards. If the first owner queues the request,
+:mod:`mothworks.slot_search` queues it at a second endpoint too. When an
+endpoint changes its owner, the entry reports its running requests to the new
+owner.
 """
 
 import itertools
@@ -27,25 +29,25 @@
     slot_search,
 )
 
-#: Bytes of the bodies that wait for slots on one VM.
-WAITING_BYTES = 16 << 20
-#: Hint to a caller where this VM has no room, seconds.
-RETRY_S = 1.0
+#: Maximum total size of the request bodies that wait for slots on one VM, bytes.
+MAX_WAITING_BYTES = 16 << 20
+#: Retry-After sent when too many bytes wait on this VM, seconds.
+RETRY_AFTER_S = 1.0
 
-#: How a request that had a slot ended, for users of this module.
+#: Alias for users of this module.
 Outcome = slot_messages.Outcome
 
 
 @attrs.frozen
 class End:
-    """The end of a request that had a slot, as its entry saw it.
-
-    :param outcome: how it ended.
-    :param first_token_ms: from sending to the first token, milliseconds; 0
-        where none came.
-    :param between_tokens_ms: mean time between tokens, milliseconds; 0 where
-        fewer than two came.
-    :param tokens: tokens that the endpoint generated.
+    """How a request that had a slot ended, as measured by its entry.
+
+    :param outcome: how the request ended.
+    :param first_token_ms: time from sending to the first token, milliseconds; 0 if
+        no token arrived.
+    :param between_tokens_ms: mean time between tokens, milliseconds; 0 if fewer
+        than two tokens arrived.
+    :param tokens: number of tokens that the endpoint generated.
     """
 
     outcome: Outcome = Outcome.OK
@@ -60,8 +62,8 @@
 
     :param request_id: the request's id.
     :param endpoint: the endpoint.
-    :param owner: the VM that granted it; empty where none was asked.
-    :param number: the ask's number; 0 where no slot was asked for.
+    :param owner: the VM that granted the slot; empty if no owner was involved.
+    :param number: the slot request's number; 0 if no slot was requested.
     """
 
     request_id: str
@@ -72,7 +74,7 @@
 
 @plugins.register(plugins.PART, "slots")
 class Slots(kernel.Part, slot_search.Entry):
-    """Gets slots for this VM's requests.
+    """Acquires slots for this VM's requests.
 
     :param node_kernel: the node's kernel.
     """
@@ -83,149 +85,179 @@
         self.membership = node_kernel.get(membership.Membership)
         self.health = node_kernel.get(health.Health)
         self.peers = node_kernel.get(peers.Peers)
-        #: The owner's side, for asks of this VM's own.
+        #: Grants the slots of the endpoints that this VM owns itself.
         self.owner = node_kernel.get(slot_owner.SlotOwner)
-        self.place_by_number: dict[int, slot_search.Place] = {}
+        self.reservation_by_number: dict[int, slot_search.Reservation] = {}
         self.numbers = itertools.count(1)
         self.waiting_bytes = 0
-        self.peers.handle(slot_messages.SlotAnswer, self._serve_answer)
+        self.peers.handle(slot_messages.SlotReply, self._serve_reply)
         self.peers.handle(slot_messages.CheckSlots, self._serve_check)
-        self.peers.on_lost.append(self._lose_owner)
-        self.membership.on_change.append(self._follow_owners)
-        self.configuration.on_change.append(self._follow_owners)
+        self.peers.on_lost.append(self._recover_after_loss)
+        self.membership.on_change.append(self._update_owners)
+        self.configuration.on_change.append(self._update_owners)
 
     def acquire(
         self,
         request: requests.Request,
         *endpoints: catalogue.Endpoint,
-        lone: bool = False,
+        exclusive: bool = False,
     ) -> result.Result[Grant, outcomes.Refusal]:
-        """Get a slot for a request at one of some endpoints.
+        """Acquire a slot for a request at one of several endpoints.
 
         :param request: the request.
-        :param endpoints: where it may run, the best first.
-        :param lone: whether it must not share the endpoint.
-        :returns: the slot, to be given back by :meth:`release`; or the final
-            refusal, as soon as it is known.
+        :param endpoints: where the request may run, the best first.
+        :param exclusive: whether nothing else may run at the endpoint meanwhile.
+        :returns: the slot, to be released with :meth:`release`; or the refusal, as
+            soon as no owner can grant a slot any more.
         """
-        if self.waiting_bytes + len(request.body) > WAITING_BYTES:
+        if self.waiting_bytes + len(request.body) > MAX_WAITING_BYTES:
             message = "too many bytes wait for slots on this VM"
-            return result.Err(outcomes.overloaded(message, RETRY_S))
+            return result.Err(outcomes.overloaded(message, RETRY_AFTER_S))
         self.waiting_bytes += len(request.body)
-        search = slot_search.Search(self, request, list(endpoints), lone)
+        search = slot_search.Search(self, request, list(endpoints), exclusive)
         try:
-            return search.run().map(_grant)
+            return search.run().map(_make_grant)
         finally:
             self.waiting_bytes -= len(request.body)
             search.close()
 
     def release(self, grant: Grant, end: End) -> None:
-        """Report the end of a request.
+        """Release the slot of a request that ended.
 
-        :param grant: what :meth:`acquire` returned.
+        :param grant: the grant that :meth:`acquire` returned.
         :param end: how the request ended.
         """
-        place = self.place_by_number.pop(grant.number, None)
-        if place is not None:
-            done = slot_messages.SlotDone(
+        reservation = self.reservation_by_number.pop(grant.number, None)
+        if reservation is not None:
+            message = slot_messages.SlotRelease(
                 grant.number,
                 int(end.outcome),
                 round(end.first_token_ms),
                 round(end.between_tokens_ms * 1000),
                 end.tokens,
             )
-            self._finish(place, done)
+            self._send_release(reservation, message)
 
     def running(self, endpoint: str, target: str) -> frozenset[str]:
         """Return the requests in flight; see :meth:`slot_owner.SlotOwner.running`."""
         return self.owner.running(endpoint, target)
 
     def withhold(self, endpoint: str, models: frozenset[str]) -> None:
-        """Offer residents no more; see :meth:`slot_owner.SlotOwner.withhold`."""
+        """Grant no slots for some models; see :meth:`slot_owner.SlotOwner.withhold`."""
         self.owner.withhold(endpoint, models)
 
     def owner_of(self, endpoint: catalogue.Endpoint) -> members.Member | None:
         """Return an endpoint's owner; see :meth:`slot_search.Entry.owner_of`."""
         return self.health.owner(endpoint)
 
-    def ask(self, place: slot_search.Place) -> None:
-        """Send an ask; see :meth:`slot_search.Entry.ask`."""
-        self.place_by_number[place.ask.number] = place
-        if not place.owner:
-            self.owner.ask_guard(place.endpoint, place.ask, self._take_answer)
-        elif place.owner == self.owner.name:
-            self.owner.ask(self.owner.name, place.ask, self._take_answer)
-        elif not self.peers.send(place.owner, place.ask):
-            place.inbox.put(slot_search.News(place, slot_search.Lost()))
-
-    def give_up(self, place: slot_search.Place) -> None:
-        """Take back an ask; see :meth:`slot_search.Entry.give_up`."""
-        if self.place_by_number.pop(place.ask.number, None) is not None:
+    def send_request(self, reservation: slot_search.Reservation) -> None:
+        """Send a slot request; see :meth:`slot_search.Entry.send_request`."""
+        self.reservation_by_number[reservation.slot_request.number] = reservation
+        if not reservation.owner:
+            self.owner.request_fallback(
+                reservation.endpoint, reservation.slot_request, self._deliver_reply
+            )
+        elif reservation.owner == self.owner.name:
+            self.owner.request(
+                self.owner.name, reservation.slot_request, self._deliver_reply
+            )
+        elif not self.peers.send(reservation.owner, reservation.slot_request):
+            reservation.inbox.put(
+                slot_search.SearchEvent(reservation, slot_search.OwnerUnreachable())
+            )
+
+    def cancel(self, reservation: slot_search.Reservation) -> None:
+        """Cancel a slot request; see :meth:`slot_search.Entry.cancel`."""
+        if (
+            self.reservation_by_number.pop(reservation.slot_request.number, None)
+            is not None
+        ):
             cancelled = int(Outcome.CANCELLED)
-            self._finish(place, slot_messages.SlotDone(place.ask.number, cancelled))
+            self._send_release(
+                reservation,
+                slot_messages.SlotRelease(reservation.slot_request.number, cancelled),
+            )
 
-    def _finish(self, place: slot_search.Place, done: slot_messages.SlotDone) -> None:
-        if not place.owner:
-            self.owner.guard(place.endpoint).done((self.owner.name, done.number))
-        elif place.owner == self.owner.name:
-            self.owner.done(self.owner.name, done)
+    def _send_release(
+        self, reservation: slot_search.Reservation, message: slot_messages.SlotRelease
+    ) -> None:
+        if not reservation.owner:
+            self.owner.fallback_batch(reservation.endpoint).release(
+                (self.owner.name, message.number)
+            )
+        elif reservation.owner == self.owner.name:
+            self.owner.release(self.owner.name, message)
         else:
-            self.peers.send(place.owner, done)
-
-    def _take_answer(self, answer: slot_messages.SlotAnswer) -> None:
-        place = self.place_by_number.get(answer.number)
-        if place is not None and not place.held:
-            place.inbox.put(slot_search.News(place, answer))
-
-    def _follow_owners(self) -> None:
-        """Ask, or report running requests to, owners that are new."""
-        for place in list(self.place_by_number.values()):
-            owner = self.health.owner(place.endpoint)
-            if not place.owner or owner is None or owner.name == place.owner:
+            self.peers.send(reservation.owner, message)
+
+    def _deliver_reply(self, reply: slot_messages.SlotReply) -> None:
+        reservation = self.reservation_by_number.get(reply.number)
+        if reservation is not None and not reservation.granted:
+            reservation.inbox.put(slot_search.SearchEvent(reservation, reply))
+
+    def _update_owners(self) -> None:
+        """Move queued and running requests to the new owners of their endpoints."""
+        for reservation in list(self.reservation_by_number.values()):
+            owner = self.health.owner(reservation.endpoint)
+            if (
+                not reservation.owner
+                or owner is None
+                or owner.name == reservation.owner
+            ):
                 continue
-            former = attrs.evolve(place)
-            self._finish(former, slot_messages.SlotDone(place.ask.number))
-            if place.held:
-                place.owner = owner.name
-                self.ask(place)
+            old_reservation = attrs.evolve(reservation)
+            self._send_release(
+                old_reservation,
+                slot_messages.SlotRelease(reservation.slot_request.number),
+            )
+            if reservation.granted:
+                reservation.owner = owner.name
+                self.send_request(reservation)
             else:
-                moved = int(slot_messages.Verdict.MOVED)
-                answer = slot_messages.SlotAnswer(place.ask.number, moved)
-                place.inbox.put(slot_search.News(place, answer))
+                moved = int(slot_messages.SlotStatus.MOVED)
+                reply = slot_messages.SlotReply(reservation.slot_request.number, moved)
+                reservation.inbox.put(slot_search.SearchEvent(reservation, reply))
 
-    def _lose_owner(self, vm: str) -> None:
-        """Ask again, or report running requests again, after a broken link.
+    def _recover_after_loss(self, vm: str) -> None:
+        """Report running requests again, and requeue waiting ones, after a lost link.
 
-        What was on its way is lost, and the owner may have restarted: waiting
-        requests would wait for nothing, and running ones be uncounted.
+        Messages in flight are lost, and the owner may have restarted: queued
+        requests would wait forever, and running ones would not be counted.
         """
-        for place in list(self.place_by_number.values()):
-            if place.owner != vm:
+        for reservation in list(self.reservation_by_number.values()):
+            if reservation.owner != vm:
                 continue
-            if place.held:
-                self.peers.post(vm, place.ask)
+            if reservation.granted:
+                self.peers.post(vm, reservation.slot_request)
             else:
-                place.inbox.put(slot_search.News(place, slot_search.Lost()))
-
-    def _serve_answer(self, sender: str, answer: slot_messages.SlotAnswer, _) -> None:
-        place = self.place_by_number.get(answer.number)
-        if place is None or place.owner != sender:
-            # A grant that crossed with its cancellation: the cancellation
-            # frees it. From a former owner: it was told already.
+                reservation.inbox.put(
+                    slot_search.SearchEvent(reservation, slot_search.OwnerUnreachable())
+                )
+
+    def _serve_reply(self, sender: str, reply: slot_messages.SlotReply, _) -> None:
+        reservation = self.reservation_by_number.get(reply.number)
+        if reservation is None or reservation.owner != sender:
+            # Either the grant crossed with its cancellation, which releases the
+            # slot; or it is from a former owner, which was sent a release already.
             return
-        self._take_answer(answer)
+        self._deliver_reply(reply)
 
     def _serve_check(self, sender: str, check: slot_messages.CheckSlots, _) -> None:
-        lost = [
+        unknown = [
             number
             for number in check.numbers
-            if number not in self.place_by_number
-            or self.place_by_number[number].owner != sender
+            if number not in self.reservation_by_number
+            or self.reservation_by_number[number].owner != sender
         ]
-        if lost:
-            self.peers.send(sender, slot_messages.LostSlots(lost))
-
-
-def _grant(place: slot_search.Place) -> Grant:
-    ask = place.ask
-    return Grant(ask.request_id, place.endpoint, place.owner, ask.number)
+        if unknown:
+            self.peers.send(sender, slot_messages.UnknownSlots(unknown))
+
+
+def _make_grant(reservation: slot_search.Reservation) -> Grant:
+    slot_request = reservation.slot_request
+    return Grant(
+        slot_request.request_id,
+        reservation.endpoint,
+        reservation.owner,
+        slot_request.number,
+    )
--- a/packages/mothworks/tests/builders.py
+++ b/packages/mothworks/tests/builders.py
@@ -76,7 +76,7 @@
     return catalogue.Catalogue(**{**fields, **changes})
 
 
-def ask(request_id: str = "request-1", rank: int = 0, **changes):
+def slot_request(request_id: str = "request-1", rank: int = 0, **changes):
     fields = {
         "request_id": request_id,
         "endpoint": "engine-1",
@@ -86,7 +86,7 @@
         "target": "menu",
         "caller": "guest",
     }
-    return slot_messages.AskSlot(**{**fields, **changes})
+    return slot_messages.SlotRequest(**{**fields, **changes})
 
 
 def request(request_id: str = "request-1", **changes) -> requests.Request:
--- a/packages/mothworks/tests/served.py
+++ b/packages/mothworks/tests/served.py
@@ -10,7 +10,7 @@
 SHUT_WR = gevent.socket.SHUT_WR
 CHAT = "/v1/chat/completions"
 #: Longest wait of a caller for bytes that a test expects, seconds.
-PATIENCE_S = 20.0
+READ_TIMEOUT_S = 20.0
 
 
 class ScriptedEngine(engine.Engine):
@@ -82,14 +82,14 @@
         """Return whether the node holds no slot and no call."""
         counts = self.part(dispatch.Dispatch).policy.running_by_endpoint
         return (
-            not self.part(slots.Slots).place_by_number
+            not self.part(slots.Slots).reservation_by_number
             and not any(counts.values())
             and not self.node.server.open_calls
         )
 
     def connect(self):
         sock = gevent.socket.create_connection(("127.0.0.1", self.port))
-        sock.settimeout(PATIENCE_S)
+        sock.settimeout(READ_TIMEOUT_S)
         return sock
 
     def send(self, data: bytes) -> "Answered":
--- a/packages/mothworks/tests/test_answers.py
+++ b/packages/mothworks/tests/test_answers.py
@@ -234,7 +234,7 @@
                 sock.recv(65536)
                 sock.sendall(wire)
                 if stays_open:
-                    gevent.sleep(served.PATIENCE_S)
+                    gevent.sleep(served.READ_TIMEOUT_S)
                 sock.close()
 
             server = gevent.server.StreamServer(("127.0.0.1", 0), serve)
--- a/packages/mothworks/tests/test_slot_moves.py
+++ b/packages/mothworks/tests/test_slot_moves.py
@@ -1,4 +1,4 @@
-"""Slots between VMs: owners and entries that die, pause, leave and lose links."""
+"""Tests of slots between VMs whose owners, entries or links fail or leave."""
 
 import time
 
@@ -29,7 +29,7 @@
 
 
 class Endpoint(endpoints.Adapter):
-    """Reports an endpoint as a test wants it."""
+    """Reports an endpoint with one model; the group sets whether it drains."""
 
     def __init__(self, group):
         self.group = group
@@ -44,7 +44,7 @@
 
 
 class Group(groups.Group):
-    """VMs that share two endpoints."""
+    """VMs that share two endpoints of :data:`SLOTS` slots each."""
 
     def __init__(self):
         super().__init__()
@@ -56,8 +56,8 @@
         self.index = catalogue.Index(declared)
         self.requests = 0
 
-    def add(self, name, **place):
-        vm = super().add(name, parts=PARTS, **place)
+    def add(self, name, **location):
+        vm = super().add(name, parts=PARTS, **location)
         part = vm.kernel.get(health.Health)
         part.adapters.by_kind["vllm"] = Endpoint(self)
         part.configuration.index = self.index
@@ -68,7 +68,7 @@
         return vm
 
     def owner(self, endpoint):
-        """Return the VM that all VMs hold for the endpoint's owner."""
+        """Return the owner that all VMs agree on; None while they differ."""
         owners = {
             vm.kernel.get(health.Health).owner(endpoint).name
             for vm in self.vm_by_name.values()
@@ -76,12 +76,12 @@
         return owners.pop() if len(owners) == 1 else None
 
     def entry(self, *endpoints):
-        """Return a VM that owns none of some endpoints."""
+        """Return a VM that owns none of the endpoints."""
         owners = {self.owner(endpoint) for endpoint in endpoints}
         return next(vm for vm in self.vm_by_name.values() if vm.name not in owners)
 
     def acquire(self, vm, *endpoints, **changes):
-        """Ask for a slot in a task of its own."""
+        """Acquire a slot in a new greenlet."""
         self.requests += 1
         now = time.monotonic()
         fields = {"first_token_deadline": now + 30, **changes}
@@ -89,7 +89,7 @@
         return gevent.spawn(vm.slots.acquire, request, *endpoints)
 
     def fill(self, vm, endpoint):
-        """Take all slots of an endpoint."""
+        """Acquire all slots of an endpoint."""
         tasks = [self.acquire(vm, endpoint) for _ in range(SLOTS)]
         return [task.get(timeout=10).unwrap() for task in tasks]
 
@@ -115,129 +115,131 @@
     made.stop()
 
 
-def waits(group, endpoint, number):
+def wait_for_queue(group, endpoint, number):
     processes.wait_until(lambda: len(group.batch(endpoint).queue) == number)
 
 
-def test_a_slot_goes_to_the_next_when_it_is_given_back(group):
+def test_a_released_slot_is_granted_to_the_next_request(group):
     endpoint = group.endpoints[0]
     entry = group.entry(endpoint)
     grants = group.fill(entry, endpoint)
-    waiting = group.acquire(entry, endpoint)
-    waits(group, endpoint, 1)
+    queued = group.acquire(entry, endpoint)
+    wait_for_queue(group, endpoint, 1)
     entry.slots.release(grants[0], slots.End())
-    assert waiting.get(timeout=10).unwrap().endpoint == endpoint
+    assert queued.get(timeout=10).unwrap().endpoint == endpoint
     assert group.batch(endpoint).running() == SLOTS
 
 
-def test_the_second_endpoint_grants_where_the_first_lets_wait(group):
+def test_a_request_queued_at_one_endpoint_gets_a_slot_of_the_second(group):
     first, second = group.endpoints
     entry = group.entry(first, second)
     group.fill(entry, first)
     grant = group.acquire(entry, first, second).get(timeout=10).unwrap()
     assert grant.endpoint == second
-    waits(group, first, 0)
+    wait_for_queue(group, first, 0)
 
 
-def test_a_request_waits_at_two_and_takes_the_first_slot(group):
+def test_a_request_queued_at_two_endpoints_accepts_the_first_slot(group):
     first, second = group.endpoints
     entry = group.entry(first, second)
-    held = {item.name: group.fill(entry, item) for item in (first, second)}
-    waiting = group.acquire(entry, first, second)
-    waits(group, first, 1)
-    waits(group, second, 1)
-    entry.slots.release(held[second.name][0], slots.End())
-    assert waiting.get(timeout=10).unwrap().endpoint == second
-    waits(group, first, 0)
+    grants_by_endpoint = {
+        item.name: group.fill(entry, item) for item in (first, second)
+    }
+    queued = group.acquire(entry, first, second)
+    wait_for_queue(group, first, 1)
+    wait_for_queue(group, second, 1)
+    entry.slots.release(grants_by_endpoint[second.name][0], slots.End())
+    assert queued.get(timeout=10).unwrap().endpoint == second
+    wait_for_queue(group, first, 0)
     assert group.batch(first).running() == SLOTS
 
 
-def test_a_caller_that_goes_away_leaves_the_queue(group):
+def test_a_cancelled_request_leaves_the_queue(group):
     endpoint = group.endpoints[0]
     entry = group.entry(endpoint)
     group.fill(entry, endpoint)
-    waiting = group.acquire(entry, endpoint)
-    waits(group, endpoint, 1)
-    waiting.kill()
-    waits(group, endpoint, 0)
+    queued = group.acquire(entry, endpoint)
+    wait_for_queue(group, endpoint, 1)
+    queued.kill()
+    wait_for_queue(group, endpoint, 0)
 
 
-def test_slots_of_a_dead_entry_are_free_again(group):
-    """An entry vanishes with all slots of an endpoint and reports no end."""
+def test_slots_of_a_dead_entry_are_released(group):
+    """An entry that holds all slots of an endpoint dies without releasing them."""
     endpoint = group.endpoints[0]
     entry = group.entry(endpoint)
     group.fill(entry, endpoint)
     other = next(vm for vm in group.vm_by_name.values() if vm is not entry)
-    waiting = group.acquire(other, endpoint)
+    queued = group.acquire(other, endpoint)
     group.vm_by_name.pop(entry.name).stop()
-    assert waiting.get(timeout=10).is_ok()
+    assert queued.get(timeout=10).is_ok()
 
 
-def test_a_lost_report_does_not_leak_its_slot(group):
-    """The report of an end is lost with its connection.
+def test_a_lost_release_does_not_leak_its_slot(group):
+    """Guards against a slot leak when a connection breaks.
 
-    The slot would stay taken for good. The owner asks the entry after slots
-    that are in use for long, and frees those that it does not know.
+    The release message is lost with its connection. The owner checks with the
+    entry which long-held slots are in use, and releases those it does not know.
     """
     endpoint = group.endpoints[0]
     entry = group.entry(endpoint)
     grants = group.fill(entry, endpoint)
     for grant in grants:
-        entry.slots.place_by_number.pop(grant.number)
+        entry.slots.reservation_by_number.pop(grant.number)
     batch = group.batch(endpoint)
-    for held in batch.held_by_key.values():
-        held.since -= slot_owner.CHECK_S
-    group.vm_by_name[group.owner(endpoint)].slots.owner.check()
+    for slot in batch.slot_by_key.values():
+        slot.since -= slot_owner.CHECK_INTERVAL_S
+    group.vm_by_name[group.owner(endpoint)].slots.owner.check_slots()
     processes.wait_until(lambda: batch.running() == 0)
 
 
-def test_a_dead_owners_requests_move_to_its_successor(group):
-    """An owner vanishes while requests run and others wait.
+def test_requests_of_a_dead_owner_move_to_the_new_owner(group):
+    """An owner dies while some requests run and others are queued.
 
-    Those that wait get a slot from the new owner, which first learns what
-    runs: the endpoint's batch is not filled twice.
+    The queued ones get a slot from the new owner. It learns first which requests
+    are running, so that it does not overfill the endpoint's batch.
     """
     endpoint = group.endpoints[0]
     entry = group.entry(endpoint)
     grants = group.fill(entry, endpoint)
-    waiting = group.acquire(entry, endpoint)
-    waits(group, endpoint, 1)
+    queued = group.acquire(entry, endpoint)
+    wait_for_queue(group, endpoint, 1)
     former = group.owner(endpoint)
     group.vm_by_name.pop(former).stop()
     processes.wait_until(lambda: group.owner(endpoint) not in (None, former))
     processes.wait_until(lambda: group.batch(endpoint).running() >= SLOTS)
     for grant in grants:
         entry.slots.release(grant, slots.End())
-    assert waiting.get(timeout=10).is_ok()
+    assert queued.get(timeout=10).is_ok()
 
 
 def test_a_leaving_owner_hands_over_its_queue(group):
     """A VM shuts down gracefully while requests wait in its queue.
 
-    None of them is refused; they wait on at the new owner.
+    None of them is refused; they queue at the new owner instead.
     """
     endpoint = group.endpoints[0]
     entry = group.entry(endpoint)
     grants = group.fill(entry, endpoint)
-    waiting = group.acquire(entry, endpoint)
-    waits(group, endpoint, 1)
+    queued = group.acquire(entry, endpoint)
+    wait_for_queue(group, endpoint, 1)
     former = group.owner(endpoint)
     leaver = group.vm_by_name[former]
     leaver.kernel.draining = True
     for notify in leaver.kernel.on_draining:
         notify()
     processes.wait_until(lambda: group.owner(endpoint) not in (None, former))
-    waits(group, endpoint, 1)
+    wait_for_queue(group, endpoint, 1)
     assert group.batch(endpoint).running() == SLOTS
     entry.slots.release(grants[0], slots.End())
-    assert waiting.get(timeout=10).is_ok()
+    assert queued.get(timeout=10).is_ok()
 
 
-def test_without_an_owner_an_entry_bounds_itself(group):
-    """An entry loses its link to an owner that others still reach.
+def test_an_entry_without_an_owner_limits_itself(group):
+    """An entry loses its link to an owner that other VMs still reach.
 
-    Serving goes on without the owner, with as many requests as are this
-    entry's share of the batch, and waits for the rest.
+    It continues to send as many requests as its share of the batch allows, and
+    queues the rest.
     """
     endpoint = group.endpoints[0]
     entry = group.entry(endpoint)
@@ -249,8 +251,8 @@
     first = group.acquire(entry, endpoint).get(timeout=10).unwrap()
     assert first.owner == ""
     second = group.acquire(entry, endpoint)
-    guard = entry.slots.owner.guard_by_endpoint[endpoint.name]
-    processes.wait_until(lambda: len(guard.queue) == 1)
+    fallback = entry.slots.owner.fallback_by_endpoint[endpoint.name]
+    processes.wait_until(lambda: len(fallback.queue) == 1)
     entry.slots.release(first, slots.End())
     assert second.get(timeout=10).is_ok()
 
@@ -259,8 +261,8 @@
     raise ConnectionRefusedError
 
 
-def test_a_paused_owner_does_not_hold_requests_up(group):
-    """An owner is paused: its connections stand, but nothing answers.
+def test_a_paused_owner_does_not_block_requests(group):
+    """A paused owner keeps its connections but does not reply.
 
     A request must not wait for it until its deadline.
     """
@@ -271,17 +273,17 @@
     assert group.acquire(entry, endpoint).get(timeout=10).unwrap().owner == ""
 
 
-def test_a_draining_endpoint_gets_no_grant_though_requests_wait(group):
-    """An endpoint starts to drain while requests wait for it.
+def test_a_draining_endpoint_is_not_granted_to_queued_requests(group):
+    """An endpoint starts to drain while requests are queued for it.
 
-    They are refused with nothing run, or go elsewhere; a slot that becomes
+    They are refused as not run, or go to another endpoint; a slot that becomes
     free is not granted any more.
     """
     first, second = group.endpoints
     entry = group.entry(first, second)
     grants = group.fill(entry, first)
     only_here = group.acquire(entry, first)
-    waits(group, first, 1)
+    wait_for_queue(group, first, 1)
     group.draining.add(first.name)
     refusal = only_here.get(timeout=10).unwrap_err()
     assert refusal.ran == "no"
@@ -290,10 +292,10 @@
     assert again.endpoint == second
 
 
-def test_a_broken_link_keeps_the_count_exact(group):
-    """The connection between entry and owner breaks and comes back.
+def test_the_count_stays_exact_after_a_broken_link(group):
+    """The connection between entry and owner breaks and is restored.
 
-    Running requests stay counted once; the ends reported since are counted.
+    Running requests are still counted once, and later releases reduce the count.
     """
     endpoint = group.endpoints[0]
     entry = group.entry(endpoint)
--- a/packages/mothworks/tests/test_slots.py
+++ b/packages/mothworks/tests/test_slots.py
@@ -1,4 +1,4 @@
-"""Queues, batches and limits of one endpoint at its owner."""
+"""Tests of the queue, batch and concurrency limit of one endpoint."""
 
 import time
 
@@ -21,295 +21,306 @@
 
 
 class Owner:
-    """A batch and what it answered to each ask."""
+    """A batch, and its replies to each slot request."""
 
-    def __init__(self, places=1, closed="", share=1.0, preempts=False):
-        self.closed = closed
-        self.answers_by_request = {}
+    def __init__(self, slots=1, closed_reason="", share=1.0, preempts=False):
+        self.closed_reason = closed_reason
+        self.replies_by_request = {}
         self.batch = batches.Batch(
-            places,
-            lambda ask: self.closed,
+            slots,
+            lambda request: self.closed_reason,
             lambda caller: share,
             preempts=preempts,
         )
-        self.batch.limit.value = places
+        self.batch.limit.value = slots
         self.number_by_request = {}
 
-    def ask(self, request_id, rank=URGENT, entry="vm-1", **changes):
+    def request(self, request_id, rank=URGENT, entry="vm-1", **changes):
         number = self.number_by_request.setdefault(
             request_id, len(self.number_by_request) + 1
         )
-        answers = self.answers_by_request.setdefault(request_id, [])
-        message = builders.ask(request_id, rank, number=number, **changes)
-        self.batch.ask(message, entry, answers.append)
-        return self.last(request_id)
+        replies = self.replies_by_request.setdefault(request_id, [])
+        slot_request = builders.slot_request(request_id, rank, number=number, **changes)
+        self.batch.request(slot_request, entry, replies.append)
+        return self.last_status(request_id)
 
-    def done(self, request_id, entry="vm-1", **sample):
-        self.batch.done((entry, self.number_by_request[request_id]), **sample)
+    def release(self, request_id, entry="vm-1", **sample):
+        self.batch.release((entry, self.number_by_request[request_id]), **sample)
 
-    def last(self, request_id):
-        return slot_messages.Verdict(self.answers_by_request[request_id][-1].verdict)
+    def last_status(self, request_id):
+        return slot_messages.SlotStatus(self.replies_by_request[request_id][-1].status)
 
     def granted(self):
         return [
             name
-            for name in self.answers_by_request
-            if self.last(name) is slot_messages.Verdict.GRANTED
+            for name in self.replies_by_request
+            if self.last_status(name) is slot_messages.SlotStatus.GRANTED
         ]
 
 
-def test_classes_go_in_order_and_deadlines_inside_a_class():
+def test_queue_orders_by_class_and_then_by_deadline():
     owner = Owner()
-    owner.ask("running")
-    owner.ask("bulk", BULK)
-    owner.ask("standard", STANDARD)
-    owner.ask("late", URGENT, target_ms=1500)
-    owner.ask("soon", URGENT, target_ms=800)
+    owner.request("running")
+    owner.request("bulk", BULK)
+    owner.request("standard", STANDARD)
+    owner.request("late", URGENT, target_ms=1500)
+    owner.request("soon", URGENT, target_ms=800)
     order = ["running"]
     for _ in range(4):
-        owner.done(order[-1])
+        owner.release(order[-1])
         order += [name for name in owner.granted() if name not in order]
     assert order == ["running", "soon", "late", "standard", "bulk"]
 
 
-def test_an_ask_that_is_sent_again_is_counted_once():
-    owner = Owner(places=2)
-    assert owner.ask("one") is slot_messages.Verdict.GRANTED
-    assert owner.ask("one") is slot_messages.Verdict.GRANTED
+def test_a_repeated_slot_request_is_counted_once():
+    owner = Owner(slots=2)
+    assert owner.request("one") is slot_messages.SlotStatus.GRANTED
+    assert owner.request("one") is slot_messages.SlotStatus.GRANTED
     assert owner.batch.running() == 1
-    owner.ask("two")
-    assert owner.ask("three") is slot_messages.Verdict.QUEUED
-    assert owner.ask("three") is slot_messages.Verdict.QUEUED
+    owner.request("two")
+    assert owner.request("three") is slot_messages.SlotStatus.QUEUED
+    assert owner.request("three") is slot_messages.SlotStatus.QUEUED
     assert len(owner.batch.queue) == 1
 
 
-def test_work_that_cannot_start_in_time_is_refused_at_once():
-    """A request holds the only slot for 200 seconds.
+def test_a_request_that_would_miss_its_deadline_is_refused_on_arrival():
+    """Guards against queueing a request until it is too late to go elsewhere.
 
-    An urgent request cannot get its first token within 160 s. Queued, it
-    would only learn so when it is too late to go elsewhere. The times are
-    long, so that a pause of the test's machine does not decide it.
+    A request holds the only slot for 200 s, and an urgent request needs its first
+    token within 160 s. The times are long, so that a pause of the test machine
+    does not change the result.
     """
     owner = Owner()
     owner.batch.usage.hold_s_by_rank = [200.0] * 3
-    owner.ask("running")
-    assert owner.ask("urgent", target_ms=160_000) is slot_messages.Verdict.REFUSED
-    refusal = owner.answers_by_request["urgent"][-1]
+    owner.request("running")
+    assert (
+        owner.request("urgent", target_ms=160_000) is slot_messages.SlotStatus.REFUSED
+    )
+    refusal = owner.replies_by_request["urgent"][-1]
     assert refusal.reason == "deadline"
     assert 30_000 <= refusal.wait_ms <= 50_000
-    assert owner.ask("bulk", BULK) is slot_messages.Verdict.QUEUED
-    assert owner.answers_by_request["bulk"][-1].wait_ms == 200_000
+    assert owner.request("bulk", BULK) is slot_messages.SlotStatus.QUEUED
+    assert owner.replies_by_request["bulk"][-1].wait_ms == 200_000
 
 
-def test_what_waited_too_long_is_refused_by_the_sweep():
+def test_the_sweep_refuses_expired_requests():
     owner = Owner()
-    owner.ask("running")
-    owner.ask("urgent", target_ms=1000)
+    owner.request("running")
+    owner.request("urgent", target_ms=1000)
     owner.batch.sweep(time.monotonic() + 2)
-    assert owner.last("urgent") is slot_messages.Verdict.REFUSED
+    assert owner.last_status("urgent") is slot_messages.SlotStatus.REFUSED
     assert not len(owner.batch.queue)
 
 
-def test_a_full_queue_makes_room_for_more_urgent_work(monkeypatch):
-    monkeypatch.setattr(queues, "LENGTH", 4)
+def test_a_full_queue_evicts_bulk_for_more_urgent_work(monkeypatch):
+    monkeypatch.setattr(queues, "MAX_LENGTH", 4)
     owner = Owner()
-    owner.ask("running")
+    owner.request("running")
     for number in range(4):
-        owner.ask(f"bulk-{number}", BULK, caller=f"caller-{number}")
-    assert owner.ask("more", BULK, caller="other") is slot_messages.Verdict.REFUSED
-    assert owner.ask("urgent") is slot_messages.Verdict.QUEUED
-    assert owner.last("bulk-3") is slot_messages.Verdict.REFUSED
+        owner.request(f"bulk-{number}", BULK, caller=f"caller-{number}")
+    assert (
+        owner.request("more", BULK, caller="other") is slot_messages.SlotStatus.REFUSED
+    )
+    assert owner.request("urgent") is slot_messages.SlotStatus.QUEUED
+    assert owner.last_status("bulk-3") is slot_messages.SlotStatus.REFUSED
     assert len(owner.batch.queue) == 4
 
 
-def test_no_caller_fills_the_queue_alone(monkeypatch):
-    monkeypatch.setattr(queues, "LENGTH", 10)
+def test_no_caller_fills_the_whole_queue(monkeypatch):
+    monkeypatch.setattr(queues, "MAX_LENGTH", 10)
     owner = Owner()
-    owner.ask("running")
-    flood = [owner.ask(f"flood-{number}", caller="flood") for number in range(10)]
-    assert flood.count(slot_messages.Verdict.QUEUED) == 5
-    assert owner.ask("other", caller="other") is slot_messages.Verdict.QUEUED
+    owner.request("running")
+    flood = [owner.request(f"flood-{number}", caller="flood") for number in range(10)]
+    assert flood.count(slot_messages.SlotStatus.QUEUED) == 5
+    assert owner.request("other", caller="other") is slot_messages.SlotStatus.QUEUED
 
 
-def test_a_callers_declared_share_is_kept(monkeypatch):
-    monkeypatch.setattr(queues, "LENGTH", 10)
+def test_a_callers_declared_share_is_enforced(monkeypatch):
+    monkeypatch.setattr(queues, "MAX_LENGTH", 10)
     owner = Owner(share=0.2)
-    owner.ask("running")
-    flood = [owner.ask(f"flood-{number}") for number in range(4)]
-    assert flood.count(slot_messages.Verdict.QUEUED) == 2
+    owner.request("running")
+    flood = [owner.request(f"flood-{number}") for number in range(4)]
+    assert flood.count(slot_messages.SlotStatus.QUEUED) == 2
 
 
-def test_bulk_that_waited_long_gets_one_slot_in_eight(monkeypatch):
-    """Urgent work alone could fill the endpoint for hours.
+def test_aged_bulk_gets_one_slot_in_eight(monkeypatch):
+    """Guards against starvation of bulk work.
 
-    Bulk behind it would wait for good; aged, it gets a slot now and then.
+    Urgent work may fill an endpoint for hours; bulk queued behind it must still
+    get a slot regularly once it has aged.
     """
-    monkeypatch.setattr(queues, "AGED_S", 0.0)
+    monkeypatch.setattr(queues, "AGING_S", 0.0)
     owner = Owner()
-    owner.ask("running")
-    owner.ask("bulk", BULK)
+    owner.request("running")
+    owner.request("bulk", BULK)
     for number in range(20):
-        owner.ask(f"urgent-{number}", caller=f"caller-{number}")
+        owner.request(f"urgent-{number}", caller=f"caller-{number}")
     order = ["running"]
     while "bulk" not in order:
-        owner.done(order[-1])
+        owner.release(order[-1])
         order += [name for name in owner.granted() if name not in order]
-    assert len(order) == 1 + queues.TURNS + 1
+    assert len(order) == 1 + queues.GRANTS_PER_AGED_BULK + 1
 
 
-def test_slots_are_kept_for_urgent_work_where_bulk_holds_them_long():
-    """Bulk fills the batch for a minute; an urgent request comes.
+def test_slots_are_reserved_for_urgent_work_if_bulk_holds_them_long():
+    """Guards against urgent requests that wait behind long bulk requests.
 
-    With slots becoming free every few seconds only, it would miss its
-    target. Where they become free often, nothing is kept back.
+    Bulk requests run for a minute, so a slot becomes free only every few seconds
+    and an urgent request would miss its target. If slots become free often, none
+    is reserved.
     """
-    owner = Owner(places=8)
-    owner.ask("urgent-1")
-    owner.done("urgent-1")
+    owner = Owner(slots=8)
+    owner.request("urgent-1")
+    owner.release("urgent-1")
     owner.batch.usage.hold_s_by_rank = [60.0] * 3
     for number in range(10):
-        owner.ask(f"bulk-{number}", BULK)
+        owner.request(f"bulk-{number}", BULK)
     assert len(owner.granted()) == 1 + 6
-    assert owner.ask("urgent-2") is slot_messages.Verdict.GRANTED
+    assert owner.request("urgent-2") is slot_messages.SlotStatus.GRANTED
     owner.batch.usage.hold_s_by_rank = [0.5] * 3
-    owner.batch.pump(time.monotonic())
+    owner.batch.grant_waiting(time.monotonic())
     assert owner.batch.running() == 8
 
 
-def test_bulk_in_an_engine_with_priorities_does_not_hold_urgent_work_up():
-    """Bulk fills the batch; a burst of urgent requests comes.
+def test_urgent_work_is_not_delayed_by_bulk_in_an_engine_with_priorities():
+    """A burst of urgent requests arrives while bulk fills the batch.
 
-    The engine takes places back for them, so they are granted at once, up to
-    the limit; bulk waits until they are done.
+    The engine preempts bulk for them, so they are granted at once, up to the
+    limit; queued bulk waits until they are done.
     """
-    owner = Owner(places=4, preempts=True)
+    owner = Owner(slots=4, preempts=True)
     for number in range(6):
-        owner.ask(f"bulk-{number}", BULK)
-    urgent = [owner.ask(f"urgent-{number}") for number in range(5)]
-    assert urgent.count(slot_messages.Verdict.GRANTED) == 4
-    assert owner.ask("standard", STANDARD) is slot_messages.Verdict.QUEUED
+        owner.request(f"bulk-{number}", BULK)
+    urgent = [owner.request(f"urgent-{number}") for number in range(5)]
+    assert urgent.count(slot_messages.SlotStatus.GRANTED) == 4
+    assert owner.request("standard", STANDARD) is slot_messages.SlotStatus.QUEUED
     for number in range(4):
-        owner.done(f"bulk-{number}")
-    assert owner.last("bulk-4") is slot_messages.Verdict.QUEUED
+        owner.release(f"bulk-{number}")
+    assert owner.last_status("bulk-4") is slot_messages.SlotStatus.QUEUED
     for number in range(4):
-        owner.done(f"urgent-{number}")
-    assert owner.last("urgent-4") is slot_messages.Verdict.GRANTED
-    assert owner.last("bulk-5") is slot_messages.Verdict.GRANTED
+        owner.release(f"urgent-{number}")
+    assert owner.last_status("urgent-4") is slot_messages.SlotStatus.GRANTED
+    assert owner.last_status("bulk-5") is slot_messages.SlotStatus.GRANTED
 
 
 def test_preempted_bulk_does_not_shrink_the_limit():
-    """Bulk that lost its place for a while sees slow tokens."""
-    owner = Owner(places=2, preempts=True)
-    owner.ask("bulk", BULK)
-    owner.ask("bulk-2", BULK)
-    owner.ask("urgent")
-    held = owner.batch.held_by_key[("vm-1", 1)]
+    """Slow tokens of a preempted request say nothing about the batch size."""
+    owner = Owner(slots=2, preempts=True)
+    owner.request("bulk", BULK)
+    owner.request("bulk-2", BULK)
+    owner.request("urgent")
+    slot = owner.batch.slot_by_key[("vm-1", 1)]
     for _ in range(10):
-        owner.batch.observe(held, 500.0, 35.0)
+        owner.batch.observe(slot, 500.0, 35.0)
     assert owner.batch.limit.value == 2
 
 
-def test_a_closed_endpoint_gets_nothing_new_not_even_from_the_queue():
-    """An endpoint starts to leave while requests wait for it."""
+def test_a_closed_endpoint_is_granted_neither_new_nor_queued_requests():
+    """An endpoint starts to drain while requests are queued for it."""
     owner = Owner()
-    owner.ask("running")
-    owner.ask("waiting")
-    owner.closed = "draining"
-    assert owner.ask("new") is slot_messages.Verdict.REFUSED
-    owner.done("running")
-    assert owner.last("waiting") is slot_messages.Verdict.REFUSED
+    owner.request("running")
+    owner.request("waiting")
+    owner.closed_reason = "draining"
+    assert owner.request("new") is slot_messages.SlotStatus.REFUSED
+    owner.release("running")
+    assert owner.last_status("waiting") is slot_messages.SlotStatus.REFUSED
     assert owner.batch.running() == 0
 
 
-def test_an_endpoint_that_refused_gets_a_pause():
-    owner = Owner(places=2)
-    owner.ask("refused")
+def test_grants_pause_after_an_endpoint_refused():
+    owner = Owner(slots=2)
+    owner.request("refused")
     owner.batch.pause()
-    owner.done("refused")
-    assert owner.ask("next") is slot_messages.Verdict.QUEUED
-    owner.batch.sweep(time.monotonic() + batches.PAUSE_S)
-    assert owner.last("next") is slot_messages.Verdict.GRANTED
+    owner.release("refused")
+    assert owner.request("next") is slot_messages.SlotStatus.QUEUED
+    owner.batch.sweep(time.monotonic() + batches.REFUSAL_PAUSE_S)
+    assert owner.last_status("next") is slot_messages.SlotStatus.GRANTED
 
 
-def test_a_new_owner_does_not_fill_the_batch_twice():
-    """An owner died with six requests running; its successor knows none.
+def test_a_new_owner_does_not_overfill_the_batch():
+    """Guards against a second full batch on top of the one already running.
 
-    It believes the engine's own count until entries have reported theirs.
+    An owner died with six requests running, which its successor does not know. The
+    successor relies on the engine's count until the entries have reported.
     """
-    owner = Owner(places=8)
-    owner.batch.reported = lambda: 6
-    asked = [owner.ask(f"new-{number}") for number in range(4)]
-    assert asked.count(slot_messages.Verdict.GRANTED) == 2
+    owner = Owner(slots=8)
+    owner.batch.reported_running = lambda: 6
+    statuses = [owner.request(f"new-{number}") for number in range(4)]
+    assert statuses.count(slot_messages.SlotStatus.GRANTED) == 2
     for number in range(6):
-        owner.ask(f"held-{number}", held=True)
+        owner.request(f"held-{number}", already_running=True)
         assert owner.batch.running() == 8
-    owner.done("held-0")
+    owner.release("held-0")
     assert len(owner.granted()) == 2 + 6 + 1
 
 
 @pytest.mark.parametrize("slope", [0.5, 2.0, 6.0])
-def test_the_limit_settles_where_tokens_come_in_time(slope):
-    """The time of a token grows with the batch; the limit must find where."""
-    limit = limits.Limit(32)
+def test_the_limit_converges_to_the_largest_batch_that_meets_the_target(slope):
+    """The time between tokens grows linearly with the batch size."""
+    limit = limits.ConcurrencyLimit(32)
     for second in range(2000):
-        limit.note_full()
-        share = (10 + slope * (limit.value - 1)) / 35
-        limit.observe(share, limit.value, second, second)
+        limit.mark_full()
+        ratio = (10 + slope * (limit.value - 1)) / 35
+        limit.observe(ratio, limit.value, second, second)
     assert 10 + slope * (limit.value - 1) <= 35
-    assert limit.value == 32 or 10 + slope * (limit.value + 3) > 35 * limits.GROW_BELOW
+    assert (
+        limit.value == 32 or 10 + slope * (limit.value + 3) > 35 * limits.INCREASE_BELOW
+    )
 
 
-def test_the_limit_does_not_grow_where_nothing_waits():
-    limit = limits.Limit(32)
+def test_the_limit_does_not_increase_while_the_batch_is_not_full():
+    limit = limits.ConcurrencyLimit(32)
     before = limit.value
     for second in range(100):
         limit.observe(0.3, before, second, second)
     assert limit.value == before
 
 
-def test_one_overload_cuts_the_limit_once():
-    """A batch was too slow; all its requests end one after the other.
+def test_one_overload_decreases_the_limit_once():
+    """The requests of an overloaded batch end one after the other.
 
-    Those that end after the cut ran under the former limit as well.
+    Those that end after the decrease ran under the previous limit; as samples, they
+    would decrease the limit again.
     """
-    limit = limits.Limit(32)
+    limit = limits.ConcurrencyLimit(32)
     for second in range(32):
         limit.observe(1.2, 32, 0, second + 1)
     assert limit.value > 16
 
 
-def test_a_trial_ends_where_all_answers_come_whole():
-    """Services, and callers that do not stream, show no single tokens.
+def test_slow_start_ends_without_streamed_responses():
+    """Guards against bulk work that stays limited to a quarter of the slots.
 
-    Bulk work would be kept to a quarter of the slots for good.
+    Services, and callers that do not stream, give no samples of the time between
+    tokens that could end slow start.
     """
-    limit = limits.Limit(32)
-    for _ in range(3 * limits.MOST_SAMPLES):
-        limit.note_full()
-        limit.miss()
+    limit = limits.ConcurrencyLimit(32)
+    for _ in range(3 * limits.MAX_SAMPLES):
+        limit.mark_full()
+        limit.count_unmeasured()
     assert limit.value == 32
 
 
-def test_a_new_limit_lets_urgent_work_in_but_only_some_bulk():
-    owner = Owner(places=8)
-    owner.batch.limit = limits.Limit(8)
+def test_slow_start_limits_bulk_but_not_urgent_work():
+    owner = Owner(slots=8)
+    owner.batch.limit = limits.ConcurrencyLimit(8)
     for number in range(4):
-        owner.ask(f"bulk-{number}", BULK)
+        owner.request(f"bulk-{number}", BULK)
     assert len(owner.granted()) == 2
     for number in range(6):
-        owner.ask(f"urgent-{number}")
+        owner.request(f"urgent-{number}")
     assert len(owner.granted()) == 8
 
 
-def test_rows_are_in_the_order_of_service():
+def test_rows_are_in_order_of_service():
     owner = slot_owner.SlotOwner.__new__(slot_owner.SlotOwner)
     owner.kernel = kernel.Kernel(builders.settings("vm-7"))
-    held = Owner()
-    owner.batch_by_endpoint = {"engine-1": held.batch}
-    held.ask("running")
-    held.ask("bulk", BULK, target_ms=500)
-    held.ask("late", target_ms=900)
-    held.ask("soon", target_ms=400)
+    endpoint_owner = Owner()
+    owner.batch_by_endpoint = {"engine-1": endpoint_owner.batch}
+    endpoint_owner.request("running")
+    endpoint_owner.request("bulk", BULK, target_ms=500)
+    endpoint_owner.request("late", target_ms=900)
+    endpoint_owner.request("soon", target_ms=400)
     rows: list[row_classes.WaitingRow] = slot_rows.waiting(owner)
     assert [(row.request, row.position) for row in rows] == [
         ("soon", 1),
@@ -321,25 +332,25 @@
     assert (first.urgency, first.caller, first.owner) == ("urgent", "guest", "vm-7")
 
 
-def test_a_request_that_runs_alone_shares_the_endpoint_with_nobody():
-    # A request may crash the endpoint; whatever runs beside it would be lost.
-    owner = Owner(places=4)
-    owner.ask("first")
-    assert owner.ask("suspect", alone=True) is slot_messages.Verdict.QUEUED
-    assert owner.ask("second") is slot_messages.Verdict.QUEUED
-    owner.done("first")
+def test_nothing_runs_beside_an_exclusive_request():
+    # If the request crashes the endpoint, whatever runs beside it is lost.
+    owner = Owner(slots=4)
+    owner.request("first")
+    assert owner.request("suspect", exclusive=True) is slot_messages.SlotStatus.QUEUED
+    assert owner.request("second") is slot_messages.SlotStatus.QUEUED
+    owner.release("first")
     assert owner.granted() == ["first", "suspect"]
-    assert owner.ask("third") is slot_messages.Verdict.QUEUED
-    owner.done("suspect")
+    assert owner.request("third") is slot_messages.SlotStatus.QUEUED
+    owner.release("suspect")
     assert owner.granted() == ["first", "suspect", "second", "third"]
 
 
-def test_a_request_that_never_finds_the_endpoint_empty_is_refused():
-    owner = Owner(places=4)
-    owner.ask("long")
-    owner.ask("suspect", alone=True)
-    owner.ask("other")
-    owner.batch.sweep(time.monotonic() + alone.PATIENCE_S + 1)
-    assert owner.last("suspect") is slot_messages.Verdict.REFUSED
-    owner.batch.pump(time.monotonic())
-    assert not owner.batch.alone.blocks()
+def test_an_exclusive_request_is_refused_if_the_endpoint_never_becomes_idle():
+    owner = Owner(slots=4)
+    owner.request("long")
+    owner.request("suspect", exclusive=True)
+    owner.request("other")
+    owner.batch.sweep(time.monotonic() + alone.IDLE_TIMEOUT_S + 1)
+    assert owner.last_status("suspect") is slot_messages.SlotStatus.REFUSED
+    owner.batch.grant_waiting(time.monotonic())
+    assert not owner.batch.exclusive_queue.blocks_others()
