--- a/packages/mothworks/src/mothworks/capacity.py
+++ b/packages/mothworks/src/mothworks/capacity.py
@@ -1,4 +1,4 @@
-"""Capacity: whether everything that is declared fits into memory at once."""
+"""Checks whether all declared models fit into the endpoints' memory at once."""
 
 import bisect
 import collections.abc
@@ -8,11 +8,11 @@
 
 @attrs.frozen
 class Item:
-    """Something that needs memory on one endpoint.
+    """A model or adapter that needs memory on one or more endpoints.
 
     :param name: its name.
-    :param memory_mb: how much, MB.
-    :param copies: on how many different endpoints.
+    :param memory_mb: required memory, MB.
+    :param copies: number of different endpoints that need it.
     """
 
     name: str
@@ -23,13 +23,13 @@
 def unplaced(
     items: collections.abc.Iterable[Item], memories_mb: collections.abc.Iterable[int]
 ) -> list[Item]:
-    """Return what is left over when items are packed into endpoints.
+    """Return the items that do not fit when all are packed into endpoints.
 
-    The largest item goes first, each to the endpoint that it fills best. This
-    finds a packing unless memory is tight to a few per cent.
+    Packs by best fit, largest item first. This finds a packing unless all but a few
+    per cent of the memory are needed.
 
-    :param items: what must be resident.
-    :param memories_mb: the endpoints' memories, MB.
+    :param items: the items that must be resident.
+    :param memories_mb: memory of each endpoint, MB.
 
     >>> unplaced([Item("a", 60), Item("b", 60), Item("c", 40)], [100, 80])
     []
@@ -37,23 +37,27 @@
     [Item(name='b', memory_mb=60, copies=1)]
     """
     free = sorted((memory_mb, number) for number, memory_mb in enumerate(memories_mb))
-    left = []
+    unplaced_items = []
     for item in sorted(items, key=lambda item: (-item.memory_mb, item.name)):
-        used: set[int] = set()
+        used_endpoints: set[int] = set()
         for _ in range(item.copies):
-            if not _place(item.memory_mb, free, used):
-                left.append(attrs.evolve(item, copies=item.copies - len(used)))
+            if not _place(item.memory_mb, free, used_endpoints):
+                unplaced_items.append(
+                    attrs.evolve(item, copies=item.copies - len(used_endpoints))
+                )
                 break
-    return left
+    return unplaced_items
 
 
-def _place(memory_mb: int, free: list[tuple[int, int]], used: set[int]) -> bool:
-    """Take memory from the tightest endpoint that is not used yet."""
-    for place in range(bisect.bisect_left(free, (memory_mb, -1)), len(free)):
-        free_mb, number = free[place]
-        if number not in used:
-            del free[place]
+def _place(
+    memory_mb: int, free: list[tuple[int, int]], used_endpoints: set[int]
+) -> bool:
+    """Allocate from the fullest endpoint that has room and is not used yet."""
+    for index in range(bisect.bisect_left(free, (memory_mb, -1)), len(free)):
+        free_mb, number = free[index]
+        if number not in used_endpoints:
+            del free[index]
             bisect.insort(free, (free_mb - memory_mb, number))
-            used.add(number)
+            used_endpoints.add(number)
             return True
     return False
