--- a/packages/mothworks/src/mothworks/health.py
+++ b/packages/mothworks/src/mothworks/health.py
@@ -1,6 +1,6 @@
-"""Health of the endpoints that this VM owns.
+"""Monitors the health of the endpoints that this VM owns.
 
-One task asks each owned endpoint for its report and announces what changed.
+One task per owned endpoint polls its report and publishes the endpoint's state.
 """
 
 import gevent
@@ -22,33 +22,33 @@
 
 log = logbook.Logger("health")
 
-#: Seconds between reports of one endpoint.
-PERIOD_S = 1.0
-#: Failed reports in a row after which an endpoint counts as down.
+#: Seconds between polls of one endpoint's report.
+REPORT_INTERVAL_S = 1.0
+#: Consecutive failed polls after which an endpoint counts as down.
 FAILURES_UNTIL_DOWN = 2
 
 
 class Adapters:
-    """The endpoint plug-ins of one node, built on first use."""
+    """The endpoint adapters of one node, created on first use."""
 
     def __init__(self):
-        self.by_kind: dict[str, endpoints.Adapter] = {}
+        self.adapter_by_kind: dict[str, endpoints.Adapter] = {}
 
     def get(self, kind: str) -> endpoints.Adapter:
-        """Return the adapter that is mounted for a kind.
+        """Return the adapter of a kind.
 
         :param kind: an endpoint's kind.
         """
-        adapter = self.by_kind.get(kind)
+        adapter = self.adapter_by_kind.get(kind)
         if adapter is None:
             adapter = plugins.find(plugins.ENDPOINT, kind)()
-            self.by_kind[kind] = adapter
+            self.adapter_by_kind[kind] = adapter
         return adapter
 
 
 @plugins.register(plugins.PART, "health")
 class Health(kernel.Part):
-    """Watches owned endpoints.
+    """Polls owned endpoints and publishes their state.
 
     :param node_kernel: the node's kernel.
     """
@@ -63,16 +63,16 @@
         self.ownership = ownership.Ownership()
         self.report_by_endpoint: dict[str, endpoints.Report] = {}
         self.task_by_endpoint: dict[str, gevent.Greenlet] = {}
-        #: Models and adapters that are resident but about to be unloaded.
+        #: Resident models and adapters that are about to be unloaded.
         self.withheld_by_endpoint: dict[str, frozenset[str]] = {}
-        #: Functions to call after :meth:`owned` changed, without arguments.
+        #: Functions called without arguments after :meth:`owned` changed.
         self.on_owned: list = []
-        self.configuration.on_change.append(self.assign)
-        self.membership.on_change.append(self.assign)
+        self.configuration.on_change.append(self.update_owned)
+        self.membership.on_change.append(self.update_owned)
 
     def start(self) -> None:
-        """Start to watch what this VM owns."""
-        self.assign()
+        """Start to poll the endpoints that this VM owns."""
+        self.update_owned()
 
     def owner(self, endpoint: catalogue.Endpoint) -> members.Member | None:
         """Return the VM that owns an endpoint now.
@@ -86,22 +86,22 @@
         return frozenset(self.task_by_endpoint)
 
     def withhold(self, name: str, models: frozenset[str]) -> None:
-        """Announce that an endpoint no longer answers for some residents.
+        """Publish that an endpoint no longer serves some of its models.
 
         :param name: an owned endpoint.
-        :param models: its models and adapters that get no new requests; empty
-            offers all of them again.
+        :param models: resident models and adapters that get no new requests; empty
+            to make all of them available again.
         """
         self.withheld_by_endpoint[name] = models
         report = self.report_by_endpoint.get(name)
         if report is not None:
-            self._announce(name, report)
+            self._publish(name, report)
 
     def refresh(self, name: str) -> bool:
-        """Ask an owned endpoint for its report now and announce it.
+        """Fetch an owned endpoint's report now and publish its state.
 
         :param name: an owned endpoint.
-        :returns: whether it answered.
+        :returns: whether the endpoint is owned and sent a report.
         """
         endpoint = self.configuration.index.endpoint_by_name.get(name)
         if endpoint is None:
@@ -109,12 +109,12 @@
         match self.adapters.get(endpoint.kind).report(endpoint):
             case result.Ok(report) if name in self.task_by_endpoint:
                 self.report_by_endpoint[name] = report
-                self._announce(name, report)
+                self._publish(name, report)
                 return True
         return False
 
-    def assign(self) -> None:
-        """Start and stop watches so that they fit what this VM owns."""
+    def update_owned(self) -> None:
+        """Start and stop polling tasks after ownership may have changed."""
         own_name = self.kernel.settings.name
         self.ownership.update(self.configuration.index, self.membership.live())
         owned = set()
@@ -122,16 +122,16 @@
             owner = self.owner(endpoint)
             if owner is not None and owner.name == own_name:
                 owned.add(endpoint.name)
-        before = self.owned()
-        for name in before - owned:
+        previously_owned = self.owned()
+        for name in previously_owned - owned:
             self.task_by_endpoint.pop(name).kill(block=False)
             self.report_by_endpoint.pop(name, None)
             self._record_ownership(name, "gave up ownership")
             self.withheld_by_endpoint.pop(name, None)
-        for name in owned - before:
-            self.task_by_endpoint[name] = self.tasks.spawn(self._watch, name)
+        for name in owned - previously_owned:
+            self.task_by_endpoint[name] = self.tasks.spawn(self._poll, name)
             self._record_ownership(name, "took ownership")
-        if owned != before:
+        if owned != previously_owned:
             for notify in self.on_owned:
                 notify()
 
@@ -142,7 +142,7 @@
             audit.Kind.OWNERSHIP, name, what, why, before=revision, after=revision
         )
 
-    def _watch(self, name: str) -> None:
+    def _poll(self, name: str) -> None:
         failures = 0
         while True:
             endpoint = self.configuration.index.endpoint_by_name.get(name)
@@ -152,16 +152,16 @@
                 case result.Ok(report):
                     failures = 0
                     self.report_by_endpoint[name] = report
-                    self._announce(name, report)
+                    self._publish(name, report)
                 case result.Err(reason):
                     failures += 1
                     log.debug("{}: {}", name, reason)
                     if failures == FAILURES_UNTIL_DOWN:
                         log.warning("{} is down: {}", name, reason)
                         self.placement.announce(name, placement.EndpointState.DOWN, ())
-            gevent.sleep(PERIOD_S)
+            gevent.sleep(REPORT_INTERVAL_S)
 
-    def _announce(self, name: str, report: endpoints.Report) -> None:
+    def _publish(self, name: str, report: endpoints.Report) -> None:
         state = placement.EndpointState.OPEN
         if report.draining:
             state = placement.EndpointState.DRAINING
--- a/packages/mothworks/tests/test_slot_moves.py
+++ b/packages/mothworks/tests/test_slot_moves.py
@@ -59,7 +59,7 @@
     def add(self, name, **location):
         vm = super().add(name, parts=PARTS, **location)
         part = vm.kernel.get(health.Health)
-        part.adapters.by_kind["vllm"] = Endpoint(self)
+        part.adapters.adapter_by_kind["vllm"] = Endpoint(self)
         part.configuration.index = self.index
         for notify in part.configuration.on_change:
             notify()
