--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -1,8 +1,8 @@
-"""Dispatch: takes a request to an endpoint and brings back its answer.
+"""Dispatches requests to endpoints.
 
-One attempt is: choose an endpoint, get a slot from its owner, send, wait for
-the answer's first bytes. Until then a failed attempt may be followed by one
-at another endpoint; afterwards the caller has part of the answer.
+An attempt selects an endpoint, acquires a slot from its owner, sends the request
+and waits for the first bytes of the response. Until these arrive, a failed attempt
+may be retried at another endpoint; afterwards the caller has part of the response.
 """
 
 import time
@@ -38,13 +38,13 @@
     suspects,
 )
 
-#: Endpoints that one request may try.
-MOST_ATTEMPTS = 3
+#: Maximum number of endpoints that one request tries.
+MAX_ATTEMPTS = 3
 
 
 @plugins.register(plugins.PART, "dispatch")
 class Dispatch(kernel.Part):
-    """Runs requests.
+    """Dispatches requests and retries failed attempts.
 
     :param node_kernel: the node's kernel.
     """
@@ -69,12 +69,12 @@
     def begin(
         self, request: requests.Request, watch: caller_watch.Watch | None = None
     ) -> result.Result[recorded.Running, outcomes.Refusal]:
-        """Send a request and wait for its answer's first bytes.
+        """Send a request and wait for the first bytes of its response.
 
         :param request: the request.
-        :param watch: notices that the caller leaves; stopped before work that
-            may run only once is sent, so that it is not broken off half-way.
-        :returns: the running request, to be closed by the caller.
+        :param watch: cancels the request if the caller disconnects; stopped before
+            work that may run only once is sent, so that it is not interrupted.
+        :returns: the running request, which must be closed; or the refusal.
         """
         self.retries.add_request()
         self.demand.arrived(request.target)
@@ -82,48 +82,50 @@
         claim = self.claims.open(request)
         try:
             if claim is None:
-                begun = self._try_endpoints(request, trace, watch, None)
+                started = self._try_endpoints(request, trace, watch, None)
             else:
-                begun = self._try_claimed(request, trace, watch, claim)
+                started = self._run_claimed(request, trace, watch, claim)
         except BaseException:
             self.decisions.close(request.id, "cancelled")
             raise
-        match begun:
+        match started:
             case result.Err(refusal):
                 self.decisions.close(request.id, f"refused: {refusal.code}")
                 ran = refusal.ran is outcomes.Ran.UNKNOWN
                 self.attainment.refused(request, ran)
             case result.Ok(recorded.Replay()):
                 self.decisions.close(request.id, "answered from its claim")
-        return begun
+        return started
 
-    def _try_claimed(
+    def _run_claimed(
         self,
         request: requests.Request,
         trace: decisions.Trace,
         watch: caller_watch.Watch | None,
         claim: claiming.Claim,
     ) -> result.Result[recorded.Running, outcomes.Refusal]:
-        """Run a request with a key, unless another copy of it did or does."""
-        repeated = claim.find()
-        if repeated is not None:
+        """Run a request with an idempotency key, unless another copy of it has run."""
+        previous = claim.find()
+        if previous is not None:
             self.decisions.close(request.id, "resend")
-            return repeated.map(recorded.Replay)
+            return previous.map(recorded.Replay)
         try:
-            begun = self._try_endpoints(request, trace, watch, claim)
+            started = self._try_endpoints(request, trace, watch, claim)
         except BaseException:
             claim.end(claim_records.State.UNKNOWN)
             raise
         if claim.lost:
             return claim.wait().map(recorded.Replay)
-        match begun:
-            case result.Ok(answering):
-                return result.Ok(recorded.Recorded(answering, claim, self.claims.tasks))
+        match started:
+            case result.Ok(running_request):
+                return result.Ok(
+                    recorded.Recorded(running_request, claim, self.claims.tasks)
+                )
             case result.Err(outcomes.Refusal(ran=outcomes.Ran.NO)):
                 claim.end(claim_records.State.RELEASED)
             case result.Err(_):
                 claim.end(claim_records.State.UNKNOWN)
-        return begun
+        return started
 
     def _try_endpoints(
         self,
@@ -134,121 +136,131 @@
     ) -> result.Result[running.Running, outcomes.Refusal]:
         tried: set[str] = set()
         refusal = attempts.no_endpoint(request)
-        while len(tried) < MOST_ATTEMPTS:
-            choice = self.choose(request, tried)
-            if not choice:
-                self._explain_closed(request, trace)
+        while len(tried) < MAX_ATTEMPTS:
+            candidates = self.choose_endpoints(request, tried)
+            if not candidates:
+                self._trace_closed(request, trace)
                 break
-            names = ", ".join(endpoint.name for endpoint in choice)
+            names = ", ".join(endpoint.name for endpoint in candidates)
             trace.add("", f"considered, best first: {names}")
-            match self._attempt(request, choice, watch, claim):
-                case result.Ok(begun):
-                    grant = begun.grant
+            match self._attempt(request, candidates, watch, claim):
+                case result.Ok(started):
+                    grant = started.grant
                     trace.add(grant.endpoint.name, f"granted by {grant.owner or '-'}")
-                    return result.Ok(begun)
+                    return result.Ok(started)
                 case result.Err(failed):
-                    # An attempt that may have run is not undone by a later
-                    # one that did not: the caller must not read "not run".
+                    # If an earlier attempt may have run, the caller must not read
+                    # "not run", even if the last attempt did not run.
                     ran = failed.refusal.ran
                     if refusal.ran is outcomes.Ran.UNKNOWN:
                         ran = refusal.ran
                     refusal = attrs.evolve(failed.refusal, ran=ran)
                     trace.add(failed.endpoint, refusal.message)
             tried.add(failed.endpoint)
-            lost = claim is not None and claim.lost
-            elsewhere = not lost and bool(self.choose(request, tried))
-            may_retry = elsewhere and self._may_retry(request, failed)
-            self._accuse(request, failed, may_retry)
-            if not may_retry:
+            claim_lost = claim is not None and claim.lost
+            has_alternative = not claim_lost and bool(
+                self.choose_endpoints(request, tried)
+            )
+            will_retry = has_alternative and self._may_retry(request, failed)
+            self._report_crash(request, failed, will_retry)
+            if not will_retry:
                 break
             self.metrics.repeated("retried")
         return result.Err(refusal)
 
-    def resume(self, stopped: running.Running) -> bool:
-        """Continue a broken stream elsewhere; see :mod:`resumption`."""
-        return self.resumption.resume(stopped)
+    def resume(self, broken: running.Running) -> bool:
+        """Continue a broken stream at another endpoint; see :mod:`resumption`."""
+        return self.resumption.resume(broken)
 
-    def leave(self, left: running.Running, outcome: slots.Outcome) -> None:
-        """Give back the slot at the present endpoint of a request.
+    def release_endpoint(
+        self, running_request: running.Running, outcome: slots.Outcome
+    ) -> None:
+        """Release the slot of a request at its current endpoint.
 
-        :param left: the request.
-        :param outcome: how it ended there.
+        :param running_request: the request.
+        :param outcome: how the request ended there.
         """
-        self.demand.ended(left.request.target, left.progress.sent)
-        end = left.progress.end(outcome)
-        self.metrics.ended(left.request.caller.urgency, end)
-        self.release(left.grant, end)
+        self.demand.ended(running_request.request.target, running_request.progress.sent)
+        end = running_request.progress.summary(outcome)
+        self.metrics.ended(running_request.request.caller.urgency, end)
+        self.release(running_request.grant, end)
         match outcome:
             case slots.Outcome.OK:
-                self.suspects.ran_well(left.request)
+                self.suspects.ran_well(running_request.request)
             case slots.Outcome.CRASHED:
-                self.suspects.report(left.request, left.grant.endpoint)
+                self.suspects.report(
+                    running_request.request, running_request.grant.endpoint
+                )
 
-    def finish(self, ended: running.Running) -> None:
-        """Note the end of a request whose answer had begun.
+    def finish(self, running_request: running.Running) -> None:
+        """Record the end of a request whose response had begun.
 
-        :param ended: the request.
+        :param running_request: the request.
         """
-        request = ended.request
-        waited_s = ended.progress.begun - request.arrived
+        request = running_request.request
+        waited_s = running_request.progress.begun - request.arrived
         self.metrics.answered(request.caller.urgency, waited_s)
-        self.attainment.ended(request, ended.outcome, ended.progress)
-        self.decisions.close(request.id, ended.outcome.name.lower())
+        self.attainment.ended(
+            request, running_request.outcome, running_request.progress
+        )
+        self.decisions.close(request.id, running_request.outcome.name.lower())
 
-    def _accuse(
-        self, request: requests.Request, failed: attempts.Failed, may_retry: bool
+    def _report_crash(
+        self,
+        request: requests.Request,
+        failed: attempts.FailedAttempt,
+        will_retry: bool,
     ) -> None:
-        """Report a connection that broke, and wait for the verdict if needed."""
+        """Report a broken connection, which may be due to a poison request."""
         if failed.outcome is not slots.Outcome.CRASHED:
             return
         endpoint = self.configuration.index.endpoint_by_name.get(failed.endpoint)
         if endpoint is None:
             return
-        if may_retry:
-            # A poison request would crash the next endpoint too.
+        if will_retry:
+            # A poison request would crash the next endpoint too, so a retry waits
+            # for the check of the endpoint.
             self.suspects.broke(request, endpoint)
         else:
             self.suspects.report(request, endpoint)
 
-    def _explain_closed(
-        self, request: requests.Request, trace: decisions.Trace
-    ) -> None:
+    def _trace_closed(self, request: requests.Request, trace: decisions.Trace) -> None:
         for name in self.placement.candidates(request.target):
-            trace.add(name, self.placement.why_closed(name) or "tried already")
+            trace.add(name, self.placement.why_closed(name) or "already tried")
 
-    def choose(
+    def choose_endpoints(
         self, request: requests.Request, tried: set[str]
     ) -> list[catalogue.Endpoint]:
         """Return the open endpoints of a request, the best first.
 
         :param request: the request.
-        :param tried: names of endpoints to leave out.
+        :param tried: names of the endpoints to exclude.
         """
         names = self.placement.open_endpoints(request.target)
         names = [name for name in names if name not in tried]
-        by_name = self.configuration.index.endpoint_by_name
-        return [by_name[name] for name in self.policy.order(names)]
+        endpoint_by_name = self.configuration.index.endpoint_by_name
+        return [endpoint_by_name[name] for name in self.policy.order(names)]
 
     def _attempt(
         self,
         request: requests.Request,
-        choice: list[catalogue.Endpoint],
+        candidates: list[catalogue.Endpoint],
         watch: caller_watch.Watch | None,
         claim: claiming.Claim | None,
-    ) -> result.Result[running.Running, attempts.Failed]:
+    ) -> result.Result[running.Running, attempts.FailedAttempt]:
         acquired = self.suspects.check(request).and_then(
-            lambda exclusive: self.acquire(request, choice, exclusive)
+            lambda exclusive: self.acquire(request, candidates, exclusive)
         )
         match acquired:
             case result.Ok(grant):
                 pass
             case result.Err(refusal):
-                return result.Err(attempts.not_sent(refusal))
+                return result.Err(attempts.before_send(refusal))
         if watch is not None and (claim or not request.repeatable):
             watch.stop()
         try:
             claimed = claim.take() if claim else result.Ok(None)
-            sent = claimed.map_err(attempts.not_sent).and_then(
+            sent = claimed.map_err(attempts.before_send).and_then(
                 lambda _: self._send(request, grant)
             )
         except BaseException:
@@ -262,66 +274,69 @@
     def acquire(
         self,
         request: requests.Request,
-        choice: list[catalogue.Endpoint],
+        candidates: list[catalogue.Endpoint],
         exclusive: bool,
     ) -> result.Result[slots.Grant, outcomes.Refusal]:
-        """Get a slot, to be given back by :meth:`release`.
+        """Acquire a slot, to be released with :meth:`release`.
 
         :param request: the request.
-        :param choice: where it may run, the best first.
-        :param exclusive: whether it has to run with no other beside it.
+        :param candidates: where the request may run, the best first.
+        :param exclusive: whether nothing else may run at the endpoint meanwhile.
         """
-        if self.policy.asks_owner:
-            acquired = self.slots.acquire(request, *choice, exclusive=exclusive)
+        if self.policy.uses_owner:
+            acquired = self.slots.acquire(request, *candidates, exclusive=exclusive)
         else:
-            acquired = result.Ok(slots.Grant(request.id, choice[0], ""))
+            acquired = result.Ok(slots.Grant(request.id, candidates[0], ""))
         if acquired.is_ok():
             self.policy.running_by_endpoint[acquired.ok_value.endpoint.name] += 1
         return acquired
 
     def _send(
         self, request: requests.Request, grant: slots.Grant
-    ) -> result.Result[running.Running, attempts.Failed]:
+    ) -> result.Result[running.Running, attempts.FailedAttempt]:
         adapter = self.health.adapters.get(grant.endpoint.kind)
         sent = time.monotonic()
         match adapter.send(grant.endpoint, request):
             case result.Ok(answer):
                 pass
             case result.Err(failure):
-                return result.Err(attempts.failed(failure))
-        begun = running.Running(request, grant, answer, self, sent)
+                return result.Err(attempts.from_send_failure(failure))
+        started = running.Running(request, grant, answer, self, sent)
         try:
-            begun.read_start()
+            started.read_start()
         except OSError as error:
             answer.close()
             return result.Err(
-                attempts.failed(endpoints.SendFailure(str(error), sent=True))
+                attempts.from_send_failure(endpoints.SendFailure(str(error), sent=True))
             )
         except BaseException:
             answer.close()
             raise
-        return result.Ok(begun)
+        return result.Ok(started)
 
     def release(self, grant: slots.Grant, end: slots.End) -> None:
-        """Give back a slot.
+        """Release a slot.
 
-        :param grant: what :meth:`acquire` returned.
+        :param grant: the grant that :meth:`acquire` returned.
         :param end: how the request ended there.
         """
         self.policy.running_by_endpoint[grant.endpoint.name] -= 1
         self.slots.release(grant, end)
 
-    def _may_retry(self, request: requests.Request, failed: attempts.Failed) -> bool:
+    def _may_retry(
+        self, request: requests.Request, failed: attempts.FailedAttempt
+    ) -> bool:
         if not failed.endpoint:
-            # The owners of all endpoints worth asking have refused.
+            # No owner granted a slot, so a retry would not get one either.
             return False
         if failed.sent and not request.repeatable:
             return False
-        return not failed.counted or self.may_repeat(request)
+        return not failed.uses_retry_budget or self.acquire_retry(request)
 
-    def may_repeat(self, request: requests.Request) -> bool:
-        """Return whether there is time and budget to send a request again.
+    def acquire_retry(self, request: requests.Request) -> bool:
+        """Spend one retry of the budget, if a request still has time for it.
 
-        :param request: the request; the budget is spent.
+        :param request: the request.
+        :returns: whether the request may be sent again.
         """
         return time.monotonic() < request.deadline and self.retries.take()
--- a/packages/mothworks/src/mothworks/progress.py
+++ b/packages/mothworks/src/mothworks/progress.py
@@ -1,27 +1,27 @@
-"""Progress of an answer, measured from its bytes without parsing them.
+"""Measures the progress of a response from its bytes, without parsing them.
 
-A stream of server-sent events is passed on in whole events, so that what the
-caller has seen is always a number of whole tokens: a stream that breaks can
-then be ended with an error event, or resumed at that number elsewhere.
+A stream of server-sent events is forwarded in complete events, so that the
+caller always has a whole number of tokens. A broken stream can then be ended
+with an error event, or resumed at that number by another endpoint.
 """
 
 import time
 
 from mothworks import slots
 
-#: The end of a server-sent event.
+#: Terminates a server-sent event.
 EVENT_END = b"\n\n"
-#: Longest event of a stream, bytes.
-EVENT_BYTES = 4 << 20
+#: Maximum size of an event of a stream, bytes.
+MAX_EVENT_BYTES = 4 << 20
 #: The last event of a complete stream.
 DONE = b"data: [DONE]\n\n"
 
 
 class Progress:
-    """What has been seen of one answer.
+    """The received part of one response.
 
-    :param stream: whether it is a stream of events.
-    :param sent: monotonic time at which the request was sent, seconds.
+    :param stream: whether the response is a stream of events.
+    :param sent: when the request was sent, monotonic seconds.
     """
 
     def __init__(self, stream: bool, sent: float):
@@ -29,20 +29,21 @@
         self.sent = sent
         self.first = 0.0
         self.last = 0.0
-        #: Time of the caller's first bytes, before any resumption.
+        #: When the first bytes arrived, before any resumption; monotonic seconds.
         self.begun = 0.0
-        #: Whole events passed on, ``[DONE]`` not among them.
+        #: Number of complete events forwarded, without ``[DONE]``.
         self.events = 0
-        #: Whether the stream's last event has been seen.
+        #: Whether ``[DONE]`` has arrived.
         self.done = False
-        self._held = b""
-        self._events_before = 0
+        self._partial_event = b""
+        self._events_at_resumption = 0
 
-    def take(self, data: bytes) -> bytes:
-        """Note what arrived and return what may be passed on.
+    def add(self, data: bytes) -> bytes:
+        """Record received bytes and return those that may be forwarded.
 
-        :param data: the answer's next bytes.
-        :returns: whole events; all the bytes where it is not a stream.
+        :param data: the next bytes of the response.
+        :returns: complete events of a stream; otherwise all bytes.
+        :raises ConnectionAbortedError: an event exceeds :data:`MAX_EVENT_BYTES`.
         """
         self.last = time.monotonic()
         if not self.first:
@@ -50,15 +51,15 @@
             self.begun = self.begun or self.last
         if not self.stream:
             return data
-        if self._held:
-            data = self._held + data
-            self._held = b""
+        if self._partial_event:
+            data = self._partial_event + data
+            self._partial_event = b""
         if not data.endswith(EVENT_END):
-            last = data.rfind(EVENT_END)
-            end = last + len(EVENT_END) if last >= 0 else 0
-            self._held = data[end:]
+            last_end = data.rfind(EVENT_END)
+            end = last_end + len(EVENT_END) if last_end >= 0 else 0
+            self._partial_event = data[end:]
             data = data[:end]
-            if len(self._held) > EVENT_BYTES:
+            if len(self._partial_event) > MAX_EVENT_BYTES:
                 raise ConnectionAbortedError("an event of the stream is too long")
         self.events += data.count(EVENT_END)
         if data.endswith(DONE):
@@ -67,27 +68,27 @@
         return data
 
     def resume(self, sent: float) -> None:
-        """Go on with an answer that continues after :attr:`events`.
+        """Restart measuring for a response that continues after :attr:`events`.
 
-        :param sent: monotonic time at which it was asked for, seconds.
+        :param sent: when the request was sent again, monotonic seconds.
         """
-        self._held = b""
-        self._events_before = self.events
+        self._partial_event = b""
+        self._events_at_resumption = self.events
         self.sent = sent
         self.first = 0.0
 
-    def complete(self) -> bool:
-        """Return whether an answer that ended here is whole."""
+    def is_complete(self) -> bool:
+        """Return whether a response that ended here is complete."""
         return self.done or not self.stream
 
-    def end(self, outcome: slots.Outcome) -> slots.End:
-        """Return what the endpoint's owner is told.
+    def summary(self, outcome: slots.Outcome) -> slots.End:
+        """Return the measurements reported to the endpoint's owner.
 
         :param outcome: how the request ended.
         """
         if not self.first:
             return slots.End(outcome)
         first_ms = (self.first - self.sent) * 1000
-        tokens = self.events - self._events_before
+        tokens = self.events - self._events_at_resumption
         between_ms = (self.last - self.first) * 1000 / max(1, tokens - 1)
         return slots.End(outcome, first_ms, between_ms, tokens)
--- a/packages/mothworks/src/mothworks/resumption.py
+++ b/packages/mothworks/src/mothworks/resumption.py
@@ -1,7 +1,7 @@
-"""Resumption: continues a stream that broke at another endpoint.
+"""Resumes broken streams at another endpoint.
 
-From a seed, or without temperature, another engine generates the same tokens;
-it leaves out those that the caller has.
+With a seed, or at temperature zero, another engine generates the same tokens and
+skips those that the caller already has.
 """
 
 import time
@@ -21,56 +21,56 @@
 class Resumption:
     """Finds endpoints that continue broken streams.
 
-    :param dispatch: chooses endpoints and gets their slots.
+    :param dispatch: selects endpoints and acquires their slots.
     """
 
     def __init__(self, dispatch: "dispatch.Dispatch"):
         self.dispatch = dispatch
 
-    def resume(self, stopped: running.Running) -> bool:
+    def resume(self, broken: running.Running) -> bool:
         """Continue a broken stream at another endpoint, if one can.
 
-        :param stopped: the request, its slot given back.
-        :returns: whether another endpoint is attached.
+        :param broken: the request, whose slot was released.
+        :returns: whether the stream continues at another endpoint.
         """
-        request = stopped.request
-        if not (stopped.stream and request.resumable):
+        request = broken.request
+        if not (broken.stream and request.resumable):
             return False
-        choice = [
+        candidates = [
             endpoint
-            for endpoint in self.dispatch.choose(request, stopped.tried)
+            for endpoint in self.dispatch.choose_endpoints(request, broken.tried)
             if self.dispatch.health.adapters.get(endpoint.kind).resumes
         ]
-        if not (choice and self.dispatch.may_repeat(request)):
+        if not (candidates and self.dispatch.acquire_retry(request)):
             return False
-        # The verdict comes first: a poison request would crash the next
-        # endpoint too.
-        self.dispatch.suspects.broke(request, stopped.grant.endpoint)
+        # Wait for the check of the endpoint first: a poison request would crash the
+        # next endpoint too.
+        self.dispatch.suspects.broke(request, broken.grant.endpoint)
         acquired = self.dispatch.suspects.check(request).and_then(
-            lambda exclusive: self.dispatch.acquire(request, choice, exclusive)
+            lambda exclusive: self.dispatch.acquire(request, candidates, exclusive)
         )
         match acquired:
             case result.Ok(grant):
-                return self._resume_at(stopped, grant)
+                return self._resume_at(broken, grant)
             case _:
                 return False
 
-    def _resume_at(self, stopped: running.Running, grant: slots.Grant) -> bool:
+    def _resume_at(self, broken: running.Running, grant: slots.Grant) -> bool:
         adapter = self.dispatch.health.adapters.get(grant.endpoint.kind)
         sent = time.monotonic()
-        offset = stopped.progress.events
+        offset = broken.progress.events
         try:
-            resumed = adapter.send(grant.endpoint, stopped.request, offset)
+            resumed = adapter.send(grant.endpoint, broken.request, offset)
         except BaseException:
             self.dispatch.release(grant, slots.End(slots.Outcome.CANCELLED))
             raise
         if resumed.is_err():
-            outcome = attempts.failed(resumed.err_value).outcome
+            outcome = attempts.from_send_failure(resumed.err_value).outcome
             self.dispatch.release(grant, slots.End(outcome))
             if outcome is slots.Outcome.CRASHED:
-                self.dispatch.suspects.report(stopped.request, grant.endpoint)
+                self.dispatch.suspects.report(broken.request, grant.endpoint)
             return False
         self.dispatch.metrics.repeated("resumed")
         log.info("resumed at {} after {} events", grant.endpoint.name, offset)
-        stopped.attach(grant, resumed.ok_value, sent)
+        broken.attach(grant, resumed.ok_value, sent)
         return True
--- a/packages/mothworks/src/mothworks/routing.py
+++ b/packages/mothworks/src/mothworks/routing.py
@@ -1,8 +1,8 @@
-"""Routing policies: which of a model's endpoints to try first.
+"""Routing policies, which order the endpoints of a model.
 
-``owner`` asks the endpoint's owner for a slot. ``random``, ``local_least``
-and ``two_choices`` are the baselines that it is measured against; they use
-only what the entry itself knows.
+``owner`` requests a slot from the endpoint's owner. ``random``, ``local_least``
+and ``two_choices`` are baselines for comparison; they use only the counts of
+this VM.
 """
 
 import collections
@@ -14,15 +14,15 @@
 class Policy:
     """Interface of the plug-ins of kind :data:`plugins.ROUTING`."""
 
-    #: Whether the endpoint's owner is asked for a slot.
-    asks_owner = False
+    #: Whether a slot is requested from the endpoint's owner.
+    uses_owner = False
 
     def __init__(self):
         #: Requests that this VM has in flight, by endpoint.
         self.running_by_endpoint: collections.Counter[str] = collections.Counter()
 
     def order(self, names: list[str]) -> list[str]:
-        """Return endpoints in the order in which to try them.
+        """Return the endpoints in the order in which to try them.
 
         :param names: open endpoints; not empty.
         """
@@ -31,7 +31,7 @@
 
 @plugins.register(plugins.ROUTING, "random")
 class Random(Policy):
-    """Any endpoint."""
+    """Orders the endpoints randomly."""
 
     def order(self, names: list[str]) -> list[str]:
         """Return the endpoints shuffled."""
@@ -40,20 +40,20 @@
 
 @plugins.register(plugins.ROUTING, "local_least")
 class LocalLeast(Policy):
-    """The endpoint with the fewest requests of this VM."""
+    """Prefers the endpoint with the fewest requests from this VM."""
 
     def order(self, names: list[str]) -> list[str]:
-        """Return the endpoints by this VM's own count."""
+        """Return the endpoints by this VM's requests in flight."""
         shuffled = random.sample(names, len(names))
         return sorted(shuffled, key=self.running_by_endpoint.__getitem__)
 
 
 @plugins.register(plugins.ROUTING, "two_choices")
 class TwoChoices(Policy):
-    """The better of two random endpoints, by this VM's own count."""
+    """Prefers the better of two random endpoints, by this VM's own count."""
 
     def order(self, names: list[str]) -> list[str]:
-        """Return the endpoints with the better of two first."""
+        """Return the endpoints, the better of two random ones first."""
         shuffled = random.sample(names, len(names))
         first_two = sorted(shuffled[:2], key=self.running_by_endpoint.__getitem__)
         return [*first_two, *shuffled[2:]]
@@ -61,6 +61,6 @@
 
 @plugins.register(plugins.ROUTING, "owner")
 class Owner(LocalLeast):
-    """Asks the owner of the endpoint with the fewest requests of this VM."""
+    """Requests slots, first for the endpoint with the fewest requests of this VM."""
 
-    asks_owner = True
+    uses_owner = True
--- a/packages/mothworks/src/mothworks/running.py
+++ b/packages/mothworks/src/mothworks/running.py
@@ -1,8 +1,8 @@
-"""A request whose answer has begun.
+"""Reads and resumes the response of a running request.
 
-Its stream can outlive the endpoint that began it: where the connection
-breaks, and the endpoint's kind can resume, another endpoint continues after
-the events that the caller already has.
+A stream can outlive the endpoint that began it: if the connection breaks and
+the endpoint's kind supports resumption, another endpoint continues after the
+events that the caller already has.
 """
 
 import collections.abc
@@ -10,34 +10,36 @@
 
 from mothworks import endpoints, progress, requests, slots
 
-#: Longest answer that is held back until it is complete, bytes.
-WHOLE_BYTES = 256 << 10
+#: Maximum size of a response that is buffered until it is complete, bytes.
+MAX_BUFFERED_BYTES = 256 << 10
 
 
 class Dispatch(typing.Protocol):
-    """What a running request needs of dispatch."""
+    """Interface of dispatch that a running request uses."""
 
-    def resume(self, running: "Running") -> bool:
-        """Attach another endpoint that continues the answer, if one can."""
+    def resume(self, running_request: "Running") -> bool:
+        """Attach another endpoint that continues the response, if one can."""
 
-    def leave(self, running: "Running", outcome: slots.Outcome) -> None:
-        """Give back the slot at the present endpoint."""
+    def release_endpoint(
+        self, running_request: "Running", outcome: slots.Outcome
+    ) -> None:
+        """Release the slot at the current endpoint."""
 
-    def finish(self, running: "Running") -> None:
-        """Note the request's end."""
+    def finish(self, running_request: "Running") -> None:
+        """Record the end of the request."""
 
 
 class Running:
-    """A request whose answer has begun.
+    """A request whose response has begun.
 
-    Iterating yields the answer's body; :meth:`close` must be called in any
-    case, cancels what has not arrived, and gives the slot back.
+    Iterating yields the response body. :meth:`close` must always be called; it
+    cancels what has not arrived and releases the slot.
 
     :param request: the request.
-    :param grant: the slot that it holds.
-    :param answer: the endpoint's answer.
-    :param dispatch: gives back slots and finds an endpoint to resume at.
-    :param sent: monotonic time at which it was sent, seconds.
+    :param grant: the request's slot.
+    :param answer: the endpoint's response.
+    :param dispatch: releases slots and finds an endpoint to resume at.
+    :param sent: when the request was sent, monotonic seconds.
     """
 
     def __init__(
@@ -55,7 +57,7 @@
         self.stream = request.stream and answer.status == 200
         self.progress = progress.Progress(self.stream, sent)
         self.outcome = slots.Outcome.CANCELLED
-        #: Endpoints that it ran at, by name.
+        #: Names of the endpoints at which the request ran.
         self.tried = {grant.endpoint.name}
         self.closed = False
         self._attached = True
@@ -63,45 +65,52 @@
         self._start = b""
 
     def read_start(self) -> None:
-        """Wait for what the caller gets first; raises OSError if it breaks.
+        """Read the first event or chunk of the body.
 
-        That is the first event or piece. A short whole answer to work that
-        may run twice is read to its end, so that it can still be had
-        elsewhere where it breaks off.
+        The short response of a repeatable request is read to its end, so that the
+        request can still be retried elsewhere if the connection breaks.
+
+        :raises OSError: the connection broke.
         """
-        whole = self.request.repeatable and _length(self.answer) <= WHOLE_BYTES
+        buffered = (
+            self.request.repeatable
+            and _content_length(self.answer) <= MAX_BUFFERED_BYTES
+        )
         pieces = []
         for data in self._chunks:
-            data = self.progress.take(data)
+            data = self.progress.add(data)
             if data:
                 pieces.append(data)
-                if not whole:
+                if not buffered:
                     break
         else:
             self._check_complete()
         self._start = b"".join(pieces)
 
     def __iter__(self) -> collections.abc.Iterator[bytes]:
-        """Yield the body; raises OSError where the answer breaks off."""
+        """Yield the body.
+
+        :raises OSError: the connection broke, and no endpoint could resume.
+        """
         if self._start:
             yield self._start
         while True:
             try:
-                yield from self._rest()
+                yield from self._remaining()
             except OSError:
-                self._leave(slots.Outcome.CRASHED)
+                self._detach(slots.Outcome.CRASHED)
                 if not self.dispatch.resume(self):
                     raise
                 continue
-            self._leave(slots.Outcome.OK)
+            self._detach(slots.Outcome.OK)
             return
 
     def attach(self, grant: slots.Grant, answer: endpoints.Answer, sent: float) -> None:
-        """Go on with the answer of another endpoint.
+        """Continue with the response of another endpoint.
 
         :param grant: the slot there.
-        :param answer: its answer, which begins after :attr:`Progress.events`.
-        :param sent: monotonic time at which it was asked, seconds.
+        :param answer: the response, which begins after :attr:`Progress.events`.
+        :param sent: when the request was sent there, monotonic seconds.
         """
         self.grant = grant
         self.answer = answer
@@ -111,34 +120,34 @@
         self._attached = True
 
     def close(self) -> None:
-        """Release the connection and the slot; further calls do nothing."""
+        """Close the connection and release the slot; further calls do nothing."""
         if self.closed:
             return
         self.closed = True
         if self._attached:
-            self._leave(slots.Outcome.CANCELLED)
+            self._detach(slots.Outcome.CANCELLED)
         self.dispatch.finish(self)
 
-    def _rest(self) -> collections.abc.Iterator[bytes]:
-        take = self.progress.take
+    def _remaining(self) -> collections.abc.Iterator[bytes]:
+        add = self.progress.add
         for data in self._chunks:
-            yield take(data)
+            yield add(data)
         self._check_complete()
 
-    def _leave(self, outcome: slots.Outcome) -> None:
+    def _detach(self, outcome: slots.Outcome) -> None:
         self.outcome = outcome
         self._attached = False
         self.answer.close()
-        self.dispatch.leave(self, outcome)
+        self.dispatch.release_endpoint(self, outcome)
 
     def _check_complete(self) -> None:
-        # An engine that is stopped may end its stream cleanly. Without this
-        # check the caller would take the part that came for the whole.
-        if not self.progress.complete():
+        # An engine that is stopped may end its stream cleanly. Without this check
+        # the caller would take a partial response for a complete one.
+        if not self.progress.is_complete():
             raise ConnectionResetError("the stream ended before its last event")
 
 
-def _length(answer: endpoints.Answer) -> float:
+def _content_length(answer: endpoints.Answer) -> float:
     for name, value in answer.headers:
         if name.lower() == "content-length" and value.isdecimal():
             return int(value)
--- a/packages/mothworks/tests/test_dispatch.py
+++ b/packages/mothworks/tests/test_dispatch.py
@@ -13,14 +13,16 @@
         self.refusals = list(refusals)
         self.metrics = path_metrics.PathMetrics(metrics.Metrics())
 
-    def choose(self, request, tried):
+    def choose_endpoints(self, request, tried):
         return [builders.endpoint(f"engine-{len(tried)}")]
 
-    def _attempt(self, request, choice, watch, claim):
+    def _attempt(self, request, candidates, watch, claim):
         refusal = self.refusals.pop(0)
         sent = refusal.ran is outcomes.Ran.UNKNOWN
         return result.Err(
-            attempts.Failed(refusal, sent, False, slots.Outcome.FAILED, choice[0].name)
+            attempts.FailedAttempt(
+                refusal, sent, False, slots.Outcome.FAILED, candidates[0].name
+            )
         )
 
 
