--- a/packages/mothworks/tests/builders.py
+++ b/packages/mothworks/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders of test data: valid objects with defaults that tests vary."""
+"""Builds valid test objects with defaults that tests override."""
 
 import time
 
--- a/packages/mothworks/tests/served.py
+++ b/packages/mothworks/tests/served.py
@@ -1,4 +1,4 @@
-"""One node in this process before stand-ins, and raw callers of it."""
+"""Runs a node in this process against fakes, with raw HTTP callers."""
 
 import gevent.socket
 import orjson
@@ -9,14 +9,15 @@
 
 SHUT_WR = gevent.socket.SHUT_WR
 CHAT = "/v1/chat/completions"
-#: Longest wait of a caller for bytes that a test expects, seconds.
+#: Read timeout of a caller, seconds.
 READ_TIMEOUT_S = 20.0
 
 
 class ScriptedEngine(engine.Engine):
-    """An engine whose answers a test writes.
+    """A fake engine whose responses a test scripts.
 
-    :param script: takes the request's body, returns the reply.
+    :param script: takes a request body and returns the reply; None for the
+        responses of the fake itself.
     """
 
     def __init__(self, script, **speed):
@@ -32,12 +33,12 @@
 
 
 class Served:
-    """A node that serves one model and one plain service.
+    """A node that serves one model and one service.
 
-    :param engines: the model's engines; one plain engine where none is given.
-    :param slots: of each engine.
-    :param repeatable: whether the service's calls are.
-    :param limits: bounds of the node.
+    :param engines: the model's engines; by default one without a script.
+    :param slots: batch slots of each engine.
+    :param repeatable: whether calls of the service may be repeated.
+    :param limits: fields of the node's :class:`settings.Limits`.
     """
 
     def __init__(self, engines=(), slots=16, repeatable=False, **limits):
@@ -52,22 +53,22 @@
             endpoints.append(
                 builders.endpoint(f"engine-{number}", port=fake.port, slots=slots)
             )
-        checked = builders.settings(
+        node_settings = builders.settings(
             object_api_url=self.objects.url,
             vm_list=settings.VmList(self.vms.url + "/vms"),
             limits=settings.Limits(**limits),
         )
-        self.node = node.Node(checked)
+        self.node = node.Node(node_settings)
         self.node.start()
         self.port = self.node.server.port
         services = (builders.service(repeatable=repeatable),)
         declared = builders.declared(endpoints=tuple(endpoints), services=services)
         self.part(configuration.Configuration).apply(declared, 0, "test", "").unwrap()
-        map_ = self.part(placement.Placement)
+        placement_map = self.part(placement.Placement)
         processes.wait_until(
-            lambda: len(map_.open_endpoints("menu")) == len(self.engines)
+            lambda: len(placement_map.open_endpoints("menu")) == len(self.engines)
         )
-        processes.wait_until(lambda: map_.open_endpoints("orders"))
+        processes.wait_until(lambda: placement_map.open_endpoints("orders"))
 
     def part(self, part_class):
         return self.node.kernel.get(part_class)
@@ -79,7 +80,7 @@
             fake.stop()
 
     def idle(self):
-        """Return whether the node holds no slot and no call."""
+        """Return whether the node has no reservation, running request or open call."""
         counts = self.part(dispatch.Dispatch).policy.running_by_endpoint
         return (
             not self.part(slots.Slots).reservation_by_number
@@ -93,7 +94,7 @@
         return sock
 
     def send(self, data: bytes) -> "Answered":
-        """Send bytes on a connection of their own and read the reply."""
+        """Send bytes on a new connection and read the reply."""
         sock = self.connect()
         sock.sendall(data)
         try:
@@ -106,24 +107,24 @@
 
 
 class Answered:
-    """A reply as a caller sees it.
+    """A reply as its caller receives it.
 
-    :param wire: every byte of it.
+    :param raw_bytes: all bytes of the reply.
     """
 
-    def __init__(self, wire: bytes):
-        head, _, self.wire_body = wire.partition(b"\r\n\r\n")
+    def __init__(self, raw_bytes: bytes):
+        head, _, self.raw_body = raw_bytes.partition(b"\r\n\r\n")
         lines = head.decode("latin-1").split("\r\n")
         self.status = int(lines[0].split()[1]) if lines[0] else 0
         pairs = [line.split(": ", 1) for line in lines[1:]]
         self.headers = {name.lower(): value for name, value in pairs}
         self.complete = False
-        self.body = self.wire_body
+        self.body = self.raw_body
         if self.headers.get("transfer-encoding") == "chunked":
-            self.body, self.complete = dechunk(self.wire_body)
+            self.body, self.complete = dechunk(self.raw_body)
         elif "content-length" in self.headers:
             length = int(self.headers["content-length"])
-            self.complete = len(self.wire_body) == length
+            self.complete = len(self.raw_body) == length
 
     @property
     def error(self) -> dict:
@@ -134,28 +135,28 @@
         return [event for event in self.body.split(b"\n\n") if event]
 
 
-def dechunk(wire: bytes) -> tuple[bytes, bool]:
+def dechunk(raw_bytes: bytes) -> tuple[bytes, bool]:
     body = b""
-    while wire:
-        size, _, rest = wire.partition(b"\r\n")
+    while raw_bytes:
+        size, _, rest = raw_bytes.partition(b"\r\n")
         length = int(size, 16)
         if length == 0:
             return body, True
         body += rest[:length]
-        wire = rest[length + 2 :]
+        raw_bytes = rest[length + 2 :]
     return body, False
 
 
 def read_answer(sock) -> Answered:
     """Read one reply, until it is complete or the connection closes."""
-    wire = b""
+    raw_bytes = b""
     while True:
         data = sock.recv(65536)
-        wire += data
+        raw_bytes += data
         if not data:
-            return Answered(wire)
-        if b"\r\n\r\n" in wire and Answered(wire).complete:
-            return Answered(wire)
+            return Answered(raw_bytes)
+        if b"\r\n\r\n" in raw_bytes and Answered(raw_bytes).complete:
+            return Answered(raw_bytes)
 
 
 def head(method: str, path: str, key: str = builders.CALLER_KEY, **headers) -> bytes:
@@ -174,11 +175,13 @@
 
 
 def stream_reply(*pieces: bytes | Exception) -> web.Reply:
-    """Return a streamed reply; an exception among the pieces breaks it off."""
-    return web.Reply("200 OK", [("Content-Type", "text/event-stream")], each(pieces))
+    """Return a streamed reply, broken off at an exception among the pieces."""
+    return web.Reply(
+        "200 OK", [("Content-Type", "text/event-stream")], yield_pieces(pieces)
+    )
 
 
-def each(pieces):
+def yield_pieces(pieces):
     for piece in pieces:
         if isinstance(piece, Exception):
             raise piece
--- a/packages/mothworks/tests/test_answers.py
+++ b/packages/mothworks/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers that break, and what the caller is told of them."""
+"""Tests of broken responses and the errors that callers receive for them."""
 
 import itertools
 
@@ -19,25 +19,25 @@
 
 @pytest.fixture
 def serve():
-    made = []
+    nodes = []
 
     def start(*engines, **options):
-        made.append(served.Served(engines=engines, **options))
-        return made[-1]
+        nodes.append(served.Served(engines=engines, **options))
+        return nodes[-1]
 
     yield start
-    for each in made:
-        each.stop()
+    for node in nodes:
+        node.stop()
 
 
-def streams(*pieces):
+def streaming_engine(*pieces):
     return served.ScriptedEngine(lambda _: served.stream_reply(*pieces))
 
 
-def whole(length, *pieces):
+def unstreamed_engine(length, *pieces):
     headers = [("Content-Length", str(length)), ("Content-Type", "application/json")]
     return served.ScriptedEngine(
-        lambda _: web.Reply("200 OK", headers, served.each(pieces))
+        lambda _: web.Reply("200 OK", headers, served.yield_pieces(pieces))
     )
 
 
@@ -47,9 +47,9 @@
     ids=["broken", "broken in an event", "ended without [DONE]", "half [DONE]"],
 )
 def test_a_stream_that_is_not_complete_ends_with_an_error(serve, pieces):
-    # The engine dies, or is stopped and ends its stream in good order. The
-    # guest would read half an answer as the whole one.
-    answered = serve(streams(*pieces)).chat(stream=True)
+    # The engine dies, or is stopped and ends its stream cleanly. Without an error
+    # event the caller would take a partial response for a complete one.
+    answered = serve(streaming_engine(*pieces)).chat(stream=True)
     assert answered.events[0] + b"\n\n" == EVENT
     assert DONE not in answered.body
     assert len(answered.events) == 2
@@ -57,51 +57,54 @@
     assert (error["code"], error["ran"]) == ("broken_stream", "unknown")
 
 
-def ask_until_tried(node, engine, **fields):
-    """Ask again until an engine got a request: which one does is random."""
+def send_until_engine_tried(node, engine, **fields):
+    """Send requests until the engine gets one, since the order is random."""
     answers = [node.chat(**fields)]
     while not engine.bodies and len(answers) < 200:
         answers.append(node.chat(**fields))
     return answers
 
 
-def test_a_whole_answer_that_breaks_off_is_not_complete(serve):
-    # Too long to be held back, so the caller has the start of it already.
+def test_a_long_unstreamed_answer_that_breaks_off_is_incomplete(serve):
+    # The answer is too long to be buffered, so the caller already has its start.
     piece = b"x" * 200_000
-    node = serve(whole(900_000, piece, piece, BREAK))
+    node = serve(unstreamed_engine(900_000, piece, piece, BREAK))
     answered = node.chat()
     assert answered.status == 200
     assert not answered.complete
     processes.wait_until(node.idle)
 
 
-def test_a_short_whole_answer_that_breaks_off_is_an_error(serve):
-    answered = serve(whole(100, b"half", BREAK)).chat()
+def test_a_short_unstreamed_answer_that_breaks_off_is_an_error(serve):
+    answered = serve(unstreamed_engine(100, b"half", BREAK)).chat()
     assert (answered.status, answered.error["ran"]) == (502, "unknown")
 
 
-def test_a_short_whole_answer_is_had_from_another_engine(serve):
+def test_a_broken_short_unstreamed_answer_is_retried_elsewhere(serve):
     good = orjson.dumps({"choices": []})
-    broken, sound = whole(100, b"half", BREAK), whole(len(good), good)
-    node = serve(broken, sound)
-    answers = ask_until_tried(node, broken)
+    broken, working = (
+        unstreamed_engine(100, b"half", BREAK),
+        unstreamed_engine(len(good), good),
+    )
+    node = serve(broken, working)
+    answers = send_until_engine_tried(node, broken)
     assert {(item.status, item.body) for item in answers} == {(200, good)}
     assert broken.bodies
 
 
-def test_an_engine_that_refuses_is_passed_over(serve):
+def test_a_refused_request_is_retried_at_another_engine(serve):
     busy = served.ScriptedEngine(lambda _: web.json_reply({}, "503 Busy"))
-    sound = served.ScriptedEngine(None)
-    node = serve(busy, sound)
+    working = served.ScriptedEngine(None)
+    node = serve(busy, working)
     assert [node.chat(max_tokens=1).status for _ in range(6)] == [200] * 6
-    assert len(sound.runs) == 6
+    assert len(working.runs) == 6
 
 
-def test_an_engine_that_fails_is_passed_over(serve):
-    # An engine answers 500: it lives, but the request may have run there.
+def test_a_failed_request_is_retried_at_another_engine(serve):
+    # The engine responds with 500: it is alive, but the request may have run there.
     failing = served.ScriptedEngine(lambda _: web.json_reply({}, "500 Broken"))
     node = serve(failing, served.ScriptedEngine(None))
-    answers = ask_until_tried(node, failing, max_tokens=1)
+    answers = send_until_engine_tried(node, failing, max_tokens=1)
     assert {answered.status for answered in answers} == {200}
     assert failing.bodies
 
@@ -112,25 +115,25 @@
     assert (answered.status, answered.error["ran"]) == (502, "unknown")
 
 
-def test_an_engine_that_dies_before_the_first_event_is_passed_over(serve):
-    # Engines send the head at once and the first token later, so a death in
-    # between would reach the caller although nothing was told to it yet.
-    dead = streams(BREAK)
-    node = serve(dead, served.ScriptedEngine(None))
-    answers = ask_until_tried(node, dead, stream=True, max_tokens=2)
+def test_a_crash_before_the_first_event_is_retried_at_another_engine(serve):
+    # Engines send the response head at once and the first token later. A crash in
+    # between must not reach the caller, which has not received anything yet.
+    crashing = streaming_engine(BREAK)
+    node = serve(crashing, served.ScriptedEngine(None))
+    answers = send_until_engine_tried(node, crashing, stream=True, max_tokens=2)
     assert all(answered.events[-1] == DONE.strip() for answered in answers)
-    assert dead.bodies
+    assert crashing.bodies
 
 
 def test_retries_are_bounded_by_the_budget(serve):
-    # All engines of a model die on each request. Without a budget every
-    # caller's request is sent three times, just when capacity is short.
-    engines = [streams(BREAK) for _ in range(3)]
+    # All engines of a model crash on each request. Without a budget every request
+    # would be sent three times while capacity is already short.
+    engines = [streaming_engine(BREAK) for _ in range(3)]
     node = serve(*engines)
     node.part(dispatch.Dispatch).retries.saved = 2.0
     requests = 5
     for number in range(requests):
-        # The same request again would be quarantined, and then has not run.
+        # A repeated request would be quarantined and refused as not run.
         messages = [{"role": "user", "content": f"question {number}"}]
         refused = node.chat(stream=True, messages=messages)
         assert refused.error["ran"] == "unknown"
@@ -140,8 +143,8 @@
 
 @pytest.mark.parametrize("offset", [1, 3])
 def test_a_stream_from_a_seed_is_resumed_elsewhere(serve, offset):
-    # An engine dies in the middle of an answer. The caller has part of it,
-    # and with the same seed another engine generates the same tokens.
+    # An engine crashes in the middle of a response that the caller has in part.
+    # With the same seed another engine generates the same tokens.
     first, second = served.ScriptedEngine(None), served.ScriptedEngine(None)
     node = serve(first, second)
     expected = node.chat(stream=True, seed=7, max_tokens=6).events
@@ -164,15 +167,15 @@
 
 
 def test_a_stream_without_a_seed_is_not_resumed(serve):
-    node = serve(streams(EVENT, BREAK), streams(EVENT, BREAK))
+    node = serve(streaming_engine(EVENT, BREAK), streaming_engine(EVENT, BREAK))
     answered = node.chat(stream=True)
     assert b"broken_stream" in answered.events[-1]
     assert sum(len(engine.bodies) for engine in node.engines) == 1
 
 
 def test_an_engine_that_ignores_the_offset_is_not_used(serve):
-    # It would begin anew, and the caller read the start of the answer twice.
-    node = serve(streams(EVENT, BREAK), streams(EVENT, BREAK))
+    # It would start over, and the caller would get the start of the answer twice.
+    node = serve(streaming_engine(EVENT, BREAK), streaming_engine(EVENT, BREAK))
     answered = node.chat(stream=True, seed=1)
     assert len(answered.events) == 2
     assert b"broken_stream" in answered.events[-1]
@@ -183,9 +186,9 @@
     return [event["choices"][0]["delta"]["content"] for event in parsed]
 
 
-def test_an_order_is_sent_once_whatever_happens(serve):
-    # The kitchen's service breaks off after it took the order. Sent again,
-    # the guest gets two trays and two charges.
+def test_an_order_whose_connection_breaks_is_not_sent_again(serve):
+    # The service drops the connection after it received the order. If the order were
+    # sent again, it would run, and be charged, twice.
     node = serve()
     node.orders.faults.lost_reply = 1.0
     node.orders.faults.only = "/confirm"
@@ -194,7 +197,7 @@
     assert node.orders.calls_by_body == {b"two trays": 1}
 
 
-def test_an_order_that_was_never_sent_says_so(serve):
+def test_an_order_that_was_not_sent_is_reported_as_not_run(serve):
     node = serve()
     node.orders.server.stop(timeout=0)
     answered = node.send(served.post("/services/orders/confirm", b"two trays"))
@@ -202,9 +205,9 @@
     assert answered.headers["retry-after"]
 
 
-def test_no_bytes_of_another_answer(serve):
-    # A caller leaves in the middle of an answer. If its connection to the
-    # engine went back to the pool, the next caller would read the rest.
+def test_no_caller_gets_bytes_of_another_answer(serve):
+    # A caller disconnects in the middle of a response. If its connection to the
+    # engine returned to the pool, the next caller would read the rest.
     marks = itertools.count()
 
     def script(_):
@@ -212,18 +215,18 @@
         return served.stream_reply(*[mark] * 200, DONE)
 
     node = serve(served.ScriptedEngine(script))
-    for round_ in range(10):
+    for round_number in range(10):
         sock = node.connect()
         sock.sendall(served.chat(stream=True))
         sock.recv(1)
         sock.close()
         events = node.chat(stream=True).events
-        assert len(set(events[:-1])) == 1, round_
+        assert len(set(events[:-1])) == 1, round_number
         assert len(events) == 201
 
 
 class TestTransport:
-    """The wire itself, against a server of raw bytes."""
+    """Tests of the transport against a server that sends raw bytes."""
 
     @pytest.fixture
     def answer_of(self):
@@ -267,12 +270,12 @@
                     b"".join(answer.chunks())
                 answer.close()
             case result.Err(failure):
-                # What is wrong came together with the head.
+                # The fault arrived together with the head.
                 assert (failure.sent, failure.refused) == (True, False)
 
     def test_bytes_after_an_answer_are_not_added_to_it(self, answer_of):
-        # An endpoint sends a second answer that nobody asked for. Its body
-        # would follow the first one's, or be the next caller's answer.
+        # An endpoint sends a second, unsolicited response. Its body must neither be
+        # appended to the first one nor be given to the next caller.
         one = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n"
         match answer_of(one + b"two" + one + b"six", stays_open=True):
             case result.Ok(answer):
--- a/packages/mothworks/tests/test_dispatch.py
+++ b/packages/mothworks/tests/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Dispatch: what a caller is told after several attempts."""
+"""Tests of the refusal that a caller receives after several attempts."""
 
 import result
 
@@ -7,7 +7,7 @@
 
 
 class ScriptedDispatch(dispatch.Dispatch):
-    """Attempts end as the test plans."""
+    """A dispatch whose attempts are refused in a given order."""
 
     def __init__(self, *refusals):
         self.refusals = list(refusals)
@@ -32,8 +32,8 @@
 
 
 def test_a_refusal_after_an_attempt_that_may_have_run_does_not_say_not_run():
-    # The first engine crashed on the request; the second had no room. "Not
-    # run" would be a wrong word about the first.
+    # The first engine crashed while it ran the request and the second had no free
+    # slot. "Not run" would be wrong about the first.
     crashed = outcomes.unknown("the endpoint gave no answer")
     full = outcomes.overloaded("no capacity", 1.0)
     scripted = ScriptedDispatch(crashed, full, full)
--- a/packages/mothworks/tests/test_priorities.py
+++ b/packages/mothworks/tests/test_priorities.py
@@ -1,4 +1,4 @@
-"""Engines get the class of the work as its priority."""
+"""Tests that engines receive the urgency class as the request's priority."""
 
 import orjson
 import pytest
@@ -33,13 +33,13 @@
         (catalogue.Urgency.BULK, 2),
     ],
 )
-def test_the_class_goes_before_what_the_caller_wrote(engine, urgency, priority):
-    """A bulk caller writes itself a priority; it must not pass urgent work."""
+def test_the_urgency_class_overrides_the_callers_priority(engine, urgency, priority):
+    """A bulk caller must not overtake urgent work by setting its own priority."""
     assert orjson.loads(send(engine, urgency))["priority"] == priority
 
 
 def test_an_engine_without_priorities_gets_the_body_unchanged(engine):
-    """Some engines refuse a request with a priority that they don't honour."""
+    """Some engines refuse a request with a priority that they do not support."""
     assert orjson.loads(send(engine, catalogue.Urgency.BULK, priorities=False)) == {
         "model": "menu",
         "max_tokens": 1,
--- a/packages/mothworks/tests/test_resends.py
+++ b/packages/mothworks/tests/test_resends.py
@@ -1,4 +1,4 @@
-"""Resends with an Idempotency-Key between real nodes, which die midway."""
+"""Tests of resends with an Idempotency-Key between nodes, some of which die."""
 
 import gevent
 import geventhttpclient
@@ -15,35 +15,35 @@
 
 @pytest.fixture(scope="module")
 def bed(tmp_path_factory):
-    made = testbed.Testbed(tmp_path_factory.mktemp("resends"))
-    engine = made.add_engine(builders.endpoint())
-    made.fake_by_endpoint["engine-1"].place("menu", 16_000)
-    orders = made.add_application(builders.service_endpoint(slots=64))
-    kitchen = made.add_application(
+    new_bed = testbed.Testbed(tmp_path_factory.mktemp("resends"))
+    engine = new_bed.add_engine(builders.endpoint())
+    new_bed.fake_by_endpoint["engine-1"].place("menu", 16_000)
+    orders = new_bed.add_application(builders.service_endpoint(slots=64))
+    kitchen = new_bed.add_application(
         builders.service_endpoint("kitchen-1", service="kitchen", slots=1)
     )
     for name in NODES:
-        made.add_node(name, "dc-1", "region-1")
+        new_bed.add_node(name, "dc-1", "region-1")
     declared = builders.declared(
         services=(catalogue.Service("orders"), catalogue.Service("kitchen")),
         endpoints=(engine, orders, kitchen),
     )
-    made.apply(declared)
-    processes.wait_until(lambda: made.all_open(ENDPOINTS))
-    yield made
-    made.stop()
+    new_bed.apply(declared)
+    processes.wait_until(lambda: new_bed.all_open(ENDPOINTS))
+    yield new_bed
+    new_bed.stop()
 
 
 @pytest.fixture(autouse=True)
-def no_faults(bed):
+def reset_faults(bed):
     yield
     bed.object_api.faults = web.Faults()
     service(bed).work_s = 0.0
 
 
 @pytest.fixture
-def doomed(bed, request):
-    """A further node, which the test kills."""
+def dying_node(bed, request):
+    """An additional node, which the test kills."""
     name = f"doomed-{request.node.name}"
     node = bed.add_node(name, "dc-1", "region-1")
     processes.wait_until(lambda: bed.all_open(ENDPOINTS))
@@ -55,7 +55,7 @@
     return bed.fake_by_endpoint["orders-1"]
 
 
-def runs(bed, body):
+def count_runs(bed, body):
     return service(bed).calls_by_body[body]
 
 
@@ -77,7 +77,7 @@
 
 
 def resend_until_settled(bed, body, key, *path):
-    """Send again while the nodes say that a later try makes sense."""
+    """Resend until the reply is neither 409 nor 503, and return that reply."""
     answers = []
 
     def settled():
@@ -92,23 +92,23 @@
     body = b"one tray, resent"
     answers = {send(bed, name, body, "resent") for name in NODES}
     assert answers == {(200, b'{"path":"/confirm","echo":"one tray, resent"}')}
-    assert runs(bed, body) == 1
+    assert count_runs(bed, body) == 1
 
 
-def test_of_copies_sent_at_once_one_runs_and_all_get_its_answer(bed):
+def test_of_concurrent_copies_one_runs_and_all_get_its_answer(bed):
     service(bed).work_s = 0.3
     body = b"one tray, many copies"
     copies = [gevent.spawn(send, bed, name, body, "copies") for name in NODES * 3]
     gevent.joinall(copies)
     assert {copy.value[0] for copy in copies} == {200}
-    assert runs(bed, body) == 1
+    assert count_runs(bed, body) == 1
 
 
-def test_a_key_is_the_callers_own_and_for_one_request(bed):
+def test_a_key_reused_for_another_request_is_refused(bed):
     assert send(bed, "vm-1", b"first", "once")[0] == 200
     refused = send(bed, "vm-2", b"another", "once")
     assert error(refused) == (422, "idempotency_key_reused", "no")
-    assert runs(bed, b"another") == 0
+    assert count_runs(bed, b"another") == 0
 
 
 def test_a_model_request_with_a_key_is_replayed(bed):
@@ -122,80 +122,80 @@
     assert len(bed.fake_by_endpoint["engine-1"].runs) == 1
 
 
-def test_a_caller_that_gave_up_finds_the_answer_later(bed):
-    # The caller's client times out, closes the connection and sends the
-    # order again. Its first copy is still running.
+def test_a_resend_after_a_client_timeout_gets_the_answer(bed):
+    # The caller's client times out, closes the connection and resends the order
+    # while the first copy is still running.
     service(bed).work_s = 1.0
     body = b"one tray, impatient"
     impatient = gevent.spawn(send, bed, "vm-1", body, "impatient")
-    processes.wait_until(lambda: runs(bed, body))
+    processes.wait_until(lambda: count_runs(bed, body))
     impatient.kill()
     assert send(bed, "vm-2", body, "impatient")[0] == 200
-    assert runs(bed, body) == 1
+    assert count_runs(bed, body) == 1
 
 
 def test_an_outage_of_the_object_api_refuses_what_may_run_once(bed):
-    # The kitchen got the order, and the guest's app sends it again during an
-    # outage. A node that cannot read claims must not say that the order was
-    # not run: the app would order anew under another key, and two trays come.
+    # The service received the order, and the client resends it during an outage. A
+    # node that cannot read claims must not report the order as not run: the client
+    # would order again under another key, and the order would run twice.
     bed.object_api.faults.outage = True
     body = b"one tray, outage"
     answer = send(bed, "vm-1", body, "outage")
     assert error(answer) == (503, "object_api", "unknown")
-    assert runs(bed, body) == 0
+    assert count_runs(bed, body) == 0
     chat = orjson.dumps({"model": "menu", "messages": [], "max_tokens": 1})
     answer = send(bed, "vm-1", chat, "outage-chat", "/v1/chat/completions")
     assert answer[0] == 200
     bed.object_api.faults.outage = False
     assert resend_until_settled(bed, body, "outage")[0] == 200
-    assert runs(bed, body) == 1
+    assert count_runs(bed, body) == 1
 
 
-def test_a_node_that_dies_after_sending_leaves_the_outcome_unknown(bed, doomed):
-    # The node sent the order and died before the answer came. A resend that
-    # runs would be a second tray.
+def test_a_node_that_dies_after_sending_leaves_the_outcome_unknown(bed, dying_node):
+    # The node sent the order and died before the response arrived. If the resend
+    # ran, the order would run twice.
     service(bed).work_s = 1.0
     body = b"one tray, died after sending"
-    first = gevent.spawn(send, bed, doomed.settings.name, body, "after-send")
-    processes.wait_until(lambda: runs(bed, body))
-    doomed.kill()
+    first = gevent.spawn(send, bed, dying_node.settings.name, body, "after-send")
+    processes.wait_until(lambda: count_runs(bed, body))
+    dying_node.kill()
     answer = send(bed, "vm-1", body, "after-send")
     assert error(answer) == (502, "outcome_unknown", "unknown")
-    assert runs(bed, body) == 1
+    assert count_runs(bed, body) == 1
     first.kill()
 
 
-def test_a_node_that_dies_after_claiming_leaves_no_second_run(bed, doomed):
-    # The claim took effect and its reply was lost; the node died before it
-    # could learn that. Nothing ran, but no other node can know.
+def test_a_node_that_dies_after_claiming_leaves_no_second_run(bed, dying_node):
+    # The claim was written but its reply was lost, and the node died before it
+    # could find out. Nothing ran, but no other node can know that.
     body = b"one tray, died after claiming"
     bed.object_api.faults = web.Faults(
         lost_reply=1.0, only="/objects/claims", writes_only=True
     )
     before = bed.object_api.writes
-    first = gevent.spawn(send, bed, doomed.settings.name, body, "after-claim")
+    first = gevent.spawn(send, bed, dying_node.settings.name, body, "after-claim")
     processes.wait_until(lambda: bed.object_api.writes > before)
-    doomed.kill()
+    dying_node.kill()
     bed.object_api.faults = web.Faults()
     status, _ = resend_until_settled(bed, body, "after-claim")
     assert status in (200, 502)
-    assert runs(bed, body) == (1 if status == 200 else 0)
+    assert count_runs(bed, body) == (1 if status == 200 else 0)
     first.kill()
 
 
-def test_a_node_that_dies_before_claiming_costs_nothing(bed, doomed):
-    # The node died while the ticket waited for the kitchen's only slot. No
-    # claim was made, so that the resend runs.
+def test_a_node_that_dies_before_claiming_does_not_block_the_resend(bed, dying_node):
+    # The node died while the ticket waited for the only slot of the service. No
+    # claim was written, so the resend runs.
     kitchen = bed.fake_by_endpoint["kitchen-1"]
     path = "/services/kitchen/ticket"
     gate = kitchen.gates.close(gates.Step.MID_ANSWER)
     other = gevent.spawn(send, bed, "vm-1", b"other", "other", path)
     gate.reached.wait()
     first = gevent.spawn(
-        send, bed, doomed.settings.name, b"ticket", "before-claim", path
+        send, bed, dying_node.settings.name, b"ticket", "before-claim", path
     )
     gevent.sleep(0.1)
-    doomed.kill()
+    dying_node.kill()
     assert kitchen.calls_by_body[b"ticket"] == 0
     gate.opened.set()
     assert resend_until_settled(bed, b"ticket", "before-claim", path)[0] == 200
