--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -104,7 +104,7 @@
         watch: caller_watch.Watch | None,
         claim: claiming.Claim,
     ) -> result.Result[recorded.Running, outcomes.Refusal]:
-        """Run a request with an idempotency key, unless another copy of it has run."""
+        """Run a request with an idempotency key unless a copy runs or has run."""
         previous = claim.find()
         if previous is not None:
             self.decisions.close(request.id, "resend")
--- a/packages/mothworks/src/mothworks/slots.py
+++ b/packages/mothworks/src/mothworks/slots.py
@@ -31,7 +31,7 @@
 
 #: Maximum total size of the request bodies that wait for slots on one VM, bytes.
 MAX_WAITING_BYTES = 16 << 20
-#: Retry-After sent when too many bytes wait on this VM, seconds.
+#: Retry-After sent when the bodies waiting on this VM are too large, seconds.
 RETRY_AFTER_S = 1.0
 
 #: Alias for users of this module.
@@ -111,7 +111,7 @@
             soon as no owner can grant a slot any more.
         """
         if self.waiting_bytes + len(request.body) > MAX_WAITING_BYTES:
-            message = "too many bytes wait for slots on this VM"
+            message = "too many request bytes wait for slots on this VM"
             return result.Err(outcomes.overloaded(message, RETRY_AFTER_S))
         self.waiting_bytes += len(request.body)
         search = slot_search.Search(self, request, list(endpoints), exclusive)
@@ -219,7 +219,7 @@
                 reservation.inbox.put(slot_search.SearchEvent(reservation, reply))
 
     def _recover_after_loss(self, vm: str) -> None:
-        """Report running requests again, and requeue waiting ones, after a lost link.
+        """Report running requests again, and move queued ones, after a lost link.
 
         Messages in flight are lost, and the owner may have restarted: queued
         requests would wait forever, and running ones would not be counted.
