--- a/packages/mothworks/src/mothworks/claim_log.py
+++ b/packages/mothworks/src/mothworks/claim_log.py
@@ -1,4 +1,4 @@
-"""Stored forms of a shard of claims: its head, and segments moved from it."""
+"""Storage format of a shard of claims: a head object and sealed segments."""
 
 import attrs
 import msgpack
@@ -9,58 +9,59 @@
 
 @attrs.frozen
 class Head:
-    """What a shard's head object or one of its segments holds.
+    """Content of a shard's head object or of one of its segments.
 
-    :param nonce: recognises a write whose reply was lost.
-    :param previous: name of the segment before; empty for none.
-    :param previous_when: wall time of that segment's newest record.
-    :param records: packed records, in order.
+    :param nonce: identifies the write, to recognise it if its reply was lost.
+    :param previous: key of the preceding segment; empty for none.
+    :param previous_timestamp_s: Unix time of that segment's newest record, seconds.
+    :param records: the records, in the order they were written.
     """
 
     nonce: bytes = b""
     previous: str = ""
-    previous_when: int = 0
+    previous_timestamp_s: int = 0
     records: tuple[claim_records.Record, ...] = ()
 
 
 @attrs.frozen
 class Segment:
-    """A segment that this VM has read.
+    """A segment whose records this VM has loaded.
 
     :param name: its key.
-    :param when: wall time of its newest record.
+    :param timestamp_s: Unix time of its newest record, seconds.
     """
 
     name: str
-    when: int
+    timestamp_s: int
 
 
 def pack(head: Head) -> bytes:
-    """Return a head or segment as the content of its object.
+    """Encode a head or segment as the body of its object.
 
-    :param head: the head.
+    :param head: the head or segment.
     """
     return msgpack.packb(
         [
             head.nonce,
             head.previous,
-            head.previous_when,
+            head.previous_timestamp_s,
             claim_records.pack(head.records),
         ]
     )
 
 
 def unpack(body: bytes) -> result.Result[Head, objects.Unavailable]:
-    """Return the head or segment that an object holds.
+    """Decode the body of a head or segment object.
 
-    :param body: the object's content.
+    :param body: the object's body.
     :returns: an error where it is corrupt or of a later version of the
-        program. Claims cannot be made then, as in an outage: to go on without
-        them could run an order twice, to stop would stop every VM in turn.
+        program. Claims are then refused as in an outage: ignoring the records
+        could run an order twice, and exiting would stop every VM in turn, as
+        each becomes the shard's owner.
     """
     try:
-        nonce, previous, previous_when, rows = msgpack.unpackb(body)
+        nonce, previous, previous_timestamp_s, rows = msgpack.unpackb(body)
         records = claim_records.unpack(rows)
     except (ValueError, TypeError, msgpack.UnpackException) as error:
-        return result.Err(objects.Unavailable(f"claims cannot be read: {error!r}"))
-    return result.Ok(Head(nonce, previous, previous_when, records))
+        return result.Err(objects.Unavailable(f"cannot decode claims: {error!r}"))
+    return result.Ok(Head(nonce, previous, previous_timestamp_s, records))
--- a/packages/mothworks/src/mothworks/claim_messages.py
+++ b/packages/mothworks/src/mothworks/claim_messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries and the owners of claims' shards."""
+"""Messages between entries and the owners of shards of claims."""
 
 import enum
 
@@ -7,38 +7,38 @@
 from mothworks import claim_records, messages
 
 
-class Finding(enum.IntEnum):
-    """What a shard's owner answers about a key."""
+class Decision(enum.IntEnum):
+    """How a shard's owner decides on a :class:`ClaimRequest`."""
 
-    #: Nobody has it.
+    #: No request has claimed the key.
     FREE = 0
-    #: The asker has it.
+    #: The requester holds the claim.
     GRANTED = 1
-    #: Another copy has it, and may be running.
-    HELD = 2
-    #: Another copy had it, and its answer is lost.
-    LOST = 3
-    #: Another copy ran, and its answer is stored.
+    #: A duplicate holds the claim and may be running.
+    CLAIMED = 2
+    #: A duplicate may have run; its answer is lost.
+    OUTCOME_LOST = 3
+    #: A duplicate ran, and its answer is stored.
     DONE = 4
-    #: Another copy ran, and its answer was too long to be stored.
-    NOT_KEPT = 5
-    #: Another request has this key.
-    OTHER = 6
-    #: The object API does not answer.
-    DOWN = 7
+    #: A duplicate ran; its answer was too long to store.
+    NOT_STORED = 5
+    #: The key was used for a different request.
+    KEY_REUSED = 6
+    #: The claim can be neither read nor written, or the shard's owner timed out.
+    UNAVAILABLE = 7
 
 
 @messages.message(50)
 @attrs.frozen
-class AskClaim:
-    """An entry asks a shard's owner about a key.
+class ClaimRequest:
+    """An entry looks up a key at its shard's owner, or claims it.
 
-    :param key: hash of the caller and the caller's key.
-    :param claim_id: chosen by the asker.
+    :param key: hash of the caller's name and its Idempotency-Key.
+    :param claim_id: random id of the requester's claim.
     :param request_hash: hash of the request.
-    :param holder: the asker's VM.
-    :param claim: whether to claim the key if it is free.
-    :param fresh: whether to read the shard anew first.
+    :param holder: the requester's VM.
+    :param claim: whether to claim the key if it is free, or only look it up.
+    :param reload: whether to reload the shard from the object API first.
     """
 
     key: bytes
@@ -46,23 +46,23 @@
     request_hash: bytes
     holder: str
     claim: bool
-    fresh: bool = False
+    reload: bool = False
 
 
 @messages.message(51)
 @attrs.frozen
-class ClaimAnswer:
-    """Answers :class:`AskClaim`.
+class ClaimReply:
+    """Reply to :class:`ClaimRequest`.
 
-    :param finding: a :class:`Finding`.
-    :param holder: the VM of the copy that has the key.
-    :param claim_id: that copy's claim.
+    :param decision: a :class:`Decision`.
+    :param holder: the VM of the request that holds the claim.
+    :param claim_id: that request's claim.
     :param status: the stored answer's status.
     :param headers: its headers.
     :param body: its body.
     """
 
-    finding: int
+    decision: int
     holder: str = ""
     claim_id: bytes = b""
     status: int = 0
@@ -72,14 +72,14 @@
 
 @messages.message(52)
 @attrs.frozen
-class EndClaim:
-    """An entry tells a shard's owner how a claimed request ended.
+class OutcomeUpdate:
+    """An entry reports a claimed request's outcome to the shard's owner.
 
-    :param key: see :class:`AskClaim`.
-    :param claim_id: see :class:`AskClaim`.
-    :param request_hash: see :class:`AskClaim`.
+    :param key: see :class:`ClaimRequest`.
+    :param claim_id: see :class:`ClaimRequest`.
+    :param request_hash: see :class:`ClaimRequest`.
     :param state: a :class:`claim_records.State`.
-    :param kept: whether the answer follows.
+    :param has_answer: whether the fields that follow hold the answer.
     :param status: the answer's status.
     :param headers: its headers.
     :param body: its body.
@@ -89,7 +89,7 @@
     claim_id: bytes
     request_hash: bytes
     state: int
-    kept: bool = False
+    has_answer: bool = False
     status: int = 0
     headers: tuple = ()
     body: bytes = b""
@@ -97,8 +97,8 @@
 
 @messages.message(53)
 @attrs.frozen
-class ClaimEnded:
-    """Answers :class:`EndClaim`.
+class OutcomeReply:
+    """Reply to :class:`OutcomeUpdate`.
 
     :param stored: whether the outcome is stored.
     """
@@ -108,8 +108,8 @@
 
 @messages.message(54)
 @attrs.frozen
-class AskHeld:
-    """Asks a holder whether it still runs a claimed request.
+class ActivityRequest:
+    """Asks a claim's holder whether the claim is still active.
 
     :param claim_id: the claim.
     """
@@ -119,25 +119,25 @@
 
 @messages.message(55)
 @attrs.frozen
-class Held:
-    """Answers :class:`AskHeld`.
+class ActivityReply:
+    """Reply to :class:`ActivityRequest`.
 
-    :param held: whether it does.
+    :param active: whether the holder runs the request or is storing its outcome.
     """
 
-    held: bool
+    active: bool
 
 
 def answer_fields(answer: claim_records.StoredAnswer) -> dict:
-    """Return the fields of messages that carry a stored answer.
+    """Return a stored answer as fields of a message.
 
     :param answer: the answer.
     """
     return {"status": answer.status, "headers": answer.headers, "body": answer.body}
 
 
-def stored_answer(message: ClaimAnswer | EndClaim) -> claim_records.StoredAnswer:
-    """Return the stored answer that a message carries.
+def stored_answer(message: ClaimReply | OutcomeUpdate) -> claim_records.StoredAnswer:
+    """Return the stored answer in a message.
 
     :param message: the message.
     """
--- a/packages/mothworks/src/mothworks/claim_records.py
+++ b/packages/mothworks/src/mothworks/claim_records.py
@@ -1,8 +1,8 @@
-"""Records of claims, as they are stored in a shard's log.
+"""Records of claims, as stored in a shard's log.
 
-The first record of a key claims it; later ones with the same claim's id say
-how the request ended. Folding the log in order gives what holds now, and
-folding a record twice changes nothing.
+The first record of a key claims it; later records with the same claim id
+hold the request's outcome. Applying the log in order yields the current
+claims, and applying a record twice changes nothing.
 """
 
 import collections.abc
@@ -13,25 +13,25 @@
 
 
 class State(enum.IntEnum):
-    """What is known of a claimed request; a higher state replaces a lower."""
+    """State of a claimed request; a higher state replaces a lower one."""
 
-    #: It may be running.
+    #: The request may be running.
     CLAIMED = 0
-    #: It may have run; its answer is lost.
+    #: The request may have run; its answer is lost.
     UNKNOWN = 1
-    #: It ran, and its answer is stored unless it was too long.
+    #: The request ran; its answer is stored unless it was too long.
     DONE = 2
-    #: It did not run; the key is free again.
+    #: The request did not run; the key is free again.
     RELEASED = 3
 
 
 @attrs.frozen
 class StoredAnswer:
-    """An answer that is kept for resends.
+    """An answer that is stored for resends.
 
     :param status: the HTTP status.
     :param headers: its headers.
-    :param body: its whole body.
+    :param body: its complete body.
     """
 
     status: int
@@ -41,72 +41,78 @@
 
 @attrs.frozen
 class Record:
-    """One entry of a shard's log.
+    """One record of a shard's log.
 
-    :param key: hash of the caller and the caller's key.
-    :param claim_id: random, chosen by the claimant.
+    :param key: hash of the caller's name and its Idempotency-Key.
+    :param claim_id: random id, chosen by the claiming entry.
     :param state: a :class:`State`.
-    :param when: wall time, whole seconds.
-    :param request_hash: hash of the request, to refuse another one.
-    :param holder: the VM that runs it.
-    :param answer: the answer of a request that is done.
+    :param timestamp_s: Unix time, whole seconds.
+    :param request_hash: hash of the request; a different request with the
+        same key is refused.
+    :param holder: the VM whose entry runs the request; empty in records of
+        outcomes.
+    :param answer: the answer, if the request is done and it was short enough.
     """
 
     key: bytes
     claim_id: bytes
     state: State
-    when: int
+    timestamp_s: int
     request_hash: bytes
     holder: str
     answer: StoredAnswer | None = None
 
 
 @attrs.frozen
-class Known:
-    """What a shard's owner remembers of a key.
+class CurrentClaim:
+    """The current claim of a key, without its answer.
 
     :param claim_id: see :class:`Record`.
     :param state: see :class:`Record`.
-    :param when: time of the claim, whole seconds.
+    :param timestamp_s: Unix time at which the key was claimed, whole seconds.
     :param request_hash: see :class:`Record`.
     :param holder: see :class:`Record`.
-    :param segment: the object that holds the newest record; empty for the
-        shard's head.
+    :param segment: key of the segment that holds the newest record; empty
+        for the shard's head.
     """
 
     claim_id: bytes
     state: State
-    when: int
+    timestamp_s: int
     request_hash: bytes
     holder: str
     segment: str = ""
 
 
-def fold(
-    known_by_key: dict[bytes, Known],
+def apply(
+    claim_by_key: dict[bytes, CurrentClaim],
     records: collections.abc.Iterable[Record],
     segment: str = "",
 ) -> None:
-    """Bring what is known up to date with records, in the log's order.
+    """Apply records to the current claims, in the log's order.
 
-    :param known_by_key: is changed.
-    :param records: records of one object.
-    :param segment: that object; empty for the shard's head.
+    :param claim_by_key: the current claims; modified in place.
+    :param records: the records of one object.
+    :param segment: key of that object; empty for the shard's head.
     """
     for record in records:
-        known = known_by_key.get(record.key)
-        if known is None:
+        current = claim_by_key.get(record.key)
+        if current is None:
             if record.state is not State.RELEASED:
-                known_by_key[record.key] = _known(record, record.when, segment)
-        elif known.claim_id == record.claim_id and record.state >= known.state:
+                claim_by_key[record.key] = _current_claim(
+                    record, record.timestamp_s, segment
+                )
+        elif current.claim_id == record.claim_id and record.state >= current.state:
             if record.state is State.RELEASED:
-                del known_by_key[record.key]
+                del claim_by_key[record.key]
             else:
-                known_by_key[record.key] = _known(record, known.when, segment)
+                claim_by_key[record.key] = _current_claim(
+                    record, current.timestamp_s, segment
+                )
 
 
 def pack(records: collections.abc.Iterable[Record]) -> list[list]:
-    """Return records as plain lists for msgpack.
+    """Convert records to lists for msgpack.
 
     :param records: the records.
     """
@@ -115,7 +121,7 @@
             record.key,
             record.claim_id,
             int(record.state),
-            record.when,
+            record.timestamp_s,
             record.request_hash,
             record.holder,
             attrs.astuple(record.answer) if record.answer else None,
@@ -125,29 +131,36 @@
 
 
 def unpack(rows: list[list]) -> tuple[Record, ...]:
-    """Return the records that :func:`pack` made plain.
+    """Convert lists back to records; the reverse of :func:`pack`.
 
-    :param rows: plain lists.
+    :param rows: the lists.
     """
     return tuple(_record(*row) for row in rows)
 
 
 def size(record: Record) -> int:
-    """Return a record's length in an object, bytes.
+    """Return a record's encoded length, bytes.
 
     :param record: the record.
     """
     return len(msgpack.packb(pack((record,))))
 
 
-def _known(record: Record, when: int, segment: str) -> Known:
-    return Known(
-        record.claim_id, record.state, when, record.request_hash, record.holder, segment
+def _current_claim(record: Record, timestamp_s: int, segment: str) -> CurrentClaim:
+    return CurrentClaim(
+        record.claim_id,
+        record.state,
+        timestamp_s,
+        record.request_hash,
+        record.holder,
+        segment,
     )
 
 
-def _record(key, claim_id, state, when, request_hash, holder, answer) -> Record:
+def _record(key, claim_id, state, timestamp_s, request_hash, holder, answer) -> Record:
     if answer is not None:
         status, headers, body = answer
         answer = StoredAnswer(status, tuple(map(tuple, headers)), body)
-    return Record(key, claim_id, State(state), when, request_hash, holder, answer)
+    return Record(
+        key, claim_id, State(state), timestamp_s, request_hash, holder, answer
+    )
--- a/packages/mothworks/src/mothworks/claiming.py
+++ b/packages/mothworks/src/mothworks/claiming.py
@@ -1,7 +1,7 @@
 """The claim of one request with an Idempotency-Key, at its entry.
 
-The entry looks for another copy before it asks for a slot, claims the key
-right before it sends, and stores how the request ended.
+The entry looks for a duplicate of the request before it requests a slot,
+claims the key right before it sends the request, and stores the outcome.
 """
 
 import time
@@ -18,22 +18,23 @@
 if typing.TYPE_CHECKING:
     from mothworks import claims
 
-#: First and longest pause between looks at a request that still runs, seconds.
-LOOK_S = 0.05
-MOST_LOOK_S = 1.0
-#: Longest wait for another copy's outcome, seconds.
-OUTCOME_S = 300.0
-#: Hint to a caller while claims cannot be written, seconds.
-DOWN_RETRY_S = 2.0
+#: First and longest pause between polls of a duplicate that still runs,
+#: seconds.
+FIRST_POLL_S = 0.05
+MAX_POLL_S = 1.0
+#: Longest wait for a duplicate's outcome, seconds.
+OUTCOME_TIMEOUT_S = 300.0
+#: Retry-After while claims cannot be read or written, seconds.
+UNAVAILABLE_RETRY_S = 2.0
 
-#: The outcome of a request that another copy has run, or is running.
-Repeated = result.Result[claim_records.StoredAnswer, outcomes.Refusal]
+#: The stored answer of a duplicate that ran, or the refusal of this request.
+DuplicateResult = result.Result[claim_records.StoredAnswer, outcomes.Refusal]
 
 
 class Claim:
     """The claim of one request with an Idempotency-Key.
 
-    :param part: the node's claims.
+    :param part: the node's part that decides on claims.
     :param request: the request.
     """
 
@@ -45,44 +46,46 @@
         self.request_hash = _hash(
             request.target, request.method, request.path, request.body
         )
-        #: Whether this request has the claim.
-        self.taken = False
-        #: Whether another copy was faster.
+        #: Whether this request holds the claim.
+        self.acquired = False
+        #: Whether a duplicate claimed the key first.
         self.lost = False
-        #: Whether the claim may have been written although it was refused.
-        self.uncertain = False
+        #: Whether the claim may have been written although it failed.
+        self.maybe_written = False
 
-    def find(self) -> Repeated | None:
-        """Look for another copy, waiting for the outcome of one that runs.
+    def find(self) -> DuplicateResult | None:
+        """Look for a duplicate, and wait for its outcome if it is running.
 
-        :returns: None where there is none.
+        :returns: None if there is none.
         """
-        return self._settle(self._ask(claim=False))
+        return self._interpret(self._request_decision(claim=False))
 
     def take(self) -> result.Result[None, outcomes.Refusal]:
-        """Claim the key; to be called right before the first byte leaves.
+        """Claim the key; to be called right before the request is sent.
 
-        :returns: an error where the request must not be sent; where another
-            copy was faster, :meth:`wait` has its outcome.
+        :returns: an error if the request must not be sent; if a duplicate
+            claimed the key first, :meth:`wait` returns its outcome.
         """
-        if self.taken:
+        if self.acquired:
             return result.Ok(None)
-        self.claims.held.add(self.claim_id)
-        match self._ask(claim=True).finding:
-            case claim_messages.Finding.GRANTED:
-                self.taken = True
+        self.claims.active_claims.add(self.claim_id)
+        match self._request_decision(claim=True).decision:
+            case claim_messages.Decision.GRANTED:
+                self.acquired = True
                 return result.Ok(None)
-            case claim_messages.Finding.DOWN:
-                self.uncertain = True
+            case claim_messages.Decision.UNAVAILABLE:
+                self.maybe_written = True
             case _:
                 self.lost = True
-        self.claims.held.discard(self.claim_id)
+        self.claims.active_claims.discard(self.claim_id)
         if self.lost:
             return result.Err(_still_running())
-        return result.Ok(None) if self.request.repeatable else result.Err(_down())
+        return (
+            result.Ok(None) if self.request.repeatable else result.Err(_unavailable())
+        )
 
-    def wait(self) -> Repeated:
-        """Wait for the outcome of the copy that was faster."""
+    def wait(self) -> DuplicateResult:
+        """Wait for the outcome of the duplicate that claimed the key first."""
         return self.find() or result.Err(_still_running())
 
     def end(
@@ -90,70 +93,74 @@
         state: claim_records.State,
         answer: claim_records.StoredAnswer | None = None,
     ) -> None:
-        """Store how the request ended, in a task of its own.
+        """Store the request's outcome, in a background task.
 
-        :param state: what is known of it.
-        :param answer: its answer, where it is kept.
+        :param state: the request's final state.
+        :param answer: its answer, if it is to be stored.
         """
-        if not self.taken:
-            if not self.uncertain:
+        if not self.acquired:
+            if not self.maybe_written:
                 return
-            # The claim may have been written; nothing was sent under it.
+            # The claim may have been written, but the request did not run
+            # under it.
             state, answer = claim_records.State.RELEASED, None
-        ending = claim_messages.EndClaim(
+        update = claim_messages.OutcomeUpdate(
             self.key, self.claim_id, self.request_hash, int(state)
         )
         if answer is not None:
-            ending = attrs.evolve(
-                ending, kept=True, **claim_messages.answer_fields(answer)
+            update = attrs.evolve(
+                update, has_answer=True, **claim_messages.answer_fields(answer)
             )
-        self.claims.tasks.spawn(self.claims.store_end, ending)
+        self.claims.tasks.spawn(self.claims.store_outcome, update)
 
-    def _ask(self, claim: bool, fresh: bool = False) -> claim_messages.ClaimAnswer:
+    def _request_decision(
+        self, claim: bool, reload: bool = False
+    ) -> claim_messages.ClaimReply:
         holder = self.claims.kernel.settings.name
-        ask = claim_messages.AskClaim(
-            self.key, self.claim_id, self.request_hash, holder, claim, fresh
+        claim_request = claim_messages.ClaimRequest(
+            self.key, self.claim_id, self.request_hash, holder, claim, reload
         )
-        return self.claims.ask(ask)
+        return self.claims.decide(claim_request)
 
-    def _settle(
-        self, answer: claim_messages.ClaimAnswer, wait: bool = True
-    ) -> Repeated | None:
-        match answer.finding:
-            case claim_messages.Finding.FREE | claim_messages.Finding.GRANTED:
+    def _interpret(
+        self, answer: claim_messages.ClaimReply, wait: bool = True
+    ) -> DuplicateResult | None:
+        match answer.decision:
+            case claim_messages.Decision.FREE | claim_messages.Decision.GRANTED:
                 return None
-            case claim_messages.Finding.HELD if wait:
-                return self._wait_for_other()
-            case claim_messages.Finding.HELD:
+            case claim_messages.Decision.CLAIMED if wait:
+                return self._wait_for_duplicate()
+            case claim_messages.Decision.CLAIMED:
                 return result.Err(_still_running())
-            case claim_messages.Finding.LOST:
-                return result.Err(_lost())
-            case claim_messages.Finding.DONE:
+            case claim_messages.Decision.OUTCOME_LOST:
+                return result.Err(_outcome_lost())
+            case claim_messages.Decision.DONE:
                 return result.Ok(claim_messages.stored_answer(answer))
-            case claim_messages.Finding.NOT_KEPT:
-                return result.Err(_not_kept())
-            case claim_messages.Finding.OTHER:
-                return result.Err(_other_request())
+            case claim_messages.Decision.NOT_STORED:
+                return result.Err(_answer_not_stored())
+            case claim_messages.Decision.KEY_REUSED:
+                return result.Err(_key_reused())
         if self.request.repeatable:
-            # It may run twice: an outage of the object API does not stop it.
+            # The request may safely run twice, so it runs without a claim
+            # during an outage of the object API.
             return None
-        return result.Err(_down())
+        return result.Err(_unavailable())
 
-    def _wait_for_other(self) -> Repeated | None:
-        pause_s = LOOK_S
-        deadline = min(time.monotonic() + OUTCOME_S, self.request.deadline)
+    def _wait_for_duplicate(self) -> DuplicateResult | None:
+        poll_s = FIRST_POLL_S
+        deadline = min(time.monotonic() + OUTCOME_TIMEOUT_S, self.request.deadline)
         while time.monotonic() < deadline:
-            gevent.sleep(pause_s)
-            pause_s = min(2 * pause_s, MOST_LOOK_S)
-            answer = self._ask(claim=False)
-            if answer.finding == claim_messages.Finding.HELD:
-                if self.claims.is_held(answer):
+            gevent.sleep(poll_s)
+            poll_s = min(2 * poll_s, MAX_POLL_S)
+            answer = self._request_decision(claim=False)
+            if answer.decision == claim_messages.Decision.CLAIMED:
+                if self.claims.is_active(answer):
                     continue
-                # The holder died, or has just stored the outcome.
-                answer = self._ask(claim=False, fresh=True)
-                if answer.finding == claim_messages.Finding.HELD:
-                    return result.Err(_lost())
-            return self._settle(answer, wait=False)
+                # The holder died, or has just stored the outcome: reload.
+                answer = self._request_decision(claim=False, reload=True)
+                if answer.decision == claim_messages.Decision.CLAIMED:
+                    return result.Err(_outcome_lost())
+            return self._interpret(answer, wait=False)
         return result.Err(_still_running())
 
 
@@ -161,45 +168,45 @@
     digest = xxhash.xxh3_128()
     for value in values:
         data = value.encode() if isinstance(value, str) else value
-        # Lengths keep ("ab", "c") and ("a", "bc") apart.
+        # With lengths, ("ab", "c") and ("a", "bc") hash differently.
         digest.update(len(data).to_bytes(8, "big"))
         digest.update(data)
     return digest.digest()
 
 
-def _lost() -> outcomes.Refusal:
+def _outcome_lost() -> outcomes.Refusal:
     message = "a request with this Idempotency-Key may have run; its answer is lost"
     return outcomes.unknown(message)
 
 
-def _not_kept() -> outcomes.Refusal:
-    message = "the request with this Idempotency-Key ran; its answer was not kept"
+def _answer_not_stored() -> outcomes.Refusal:
+    message = "the request with this Idempotency-Key ran; its answer was not stored"
     return outcomes.Refusal(409, "answer_not_kept", message, outcomes.Ran.UNKNOWN)
 
 
 def _still_running() -> outcomes.Refusal:
     message = "a request with this Idempotency-Key is still running"
     return outcomes.Refusal(
-        409, "still_running", message, outcomes.Ran.UNKNOWN, MOST_LOOK_S
+        409, "still_running", message, outcomes.Ran.UNKNOWN, MAX_POLL_S
     )
 
 
-def _other_request() -> outcomes.Refusal:
+def _key_reused() -> outcomes.Refusal:
     message = "this Idempotency-Key was used for another request"
     return outcomes.invalid(message, "idempotency_key_reused", 422)
 
 
-def _down() -> outcomes.Refusal:
-    """Return the refusal of a request whose claim can be neither read nor made.
+def _unavailable() -> outcomes.Refusal:
+    """Return the refusal of a request whose claim can't be read or written.
 
-    This sending was not run, but an earlier one with the same key may have
-    been: a caller who read "no" might order anew under another key, and get
-    two.
+    This attempt did not run, but an earlier one with the same key may have:
+    if ``ran`` were "no", the caller might send a new order under another key,
+    and both would run.
     """
     message = (
-        "the object API, which keeps work from running twice, does not answer; "
-        "this sending was not run, send it again with the same Idempotency-Key"
+        "the object API, which prevents duplicate runs, is unavailable; "
+        "this attempt did not run, retry it with the same Idempotency-Key"
     )
     return outcomes.Refusal(
-        503, "object_api", message, outcomes.Ran.UNKNOWN, DOWN_RETRY_S
+        503, "object_api", message, outcomes.Ran.UNKNOWN, UNAVAILABLE_RETRY_S
     )
--- a/packages/mothworks/src/mothworks/claims.py
+++ b/packages/mothworks/src/mothworks/claims.py
@@ -1,11 +1,11 @@
-"""Claims: work that may run once runs at most once.
-
-Right before a request with an Idempotency-Key is sent, its entry claims the
-key of this caller in the object API. A resend on any VM finds the claim and
-gets the stored answer, or is told that the request may have run; it never
-runs again. Keys are spread over shards; a shard's owner, by rendezvous
-hashing, writes the claims of all entries together. Ownership is only for
-economy: the conditional update alone keeps two owners apart.
+"""Claims: run each request with an Idempotency-Key at most once.
+
+Right before such a request is sent, its entry claims the caller's key in the
+object API. A resend on any VM finds the claim and gets the stored answer, or
+an error that says that the request may have run; it does not run again. Keys
+are spread over shards; a shard's owner, chosen by rendezvous hashing, writes
+the claims of all entries in batches. Ownership only saves writes: correctness
+rests on the conditional update alone, also while two VMs act as owner.
 """
 
 import time
@@ -31,22 +31,23 @@
 
 log = logbook.Logger("claims")
 
-#: Number of shards. It never changes: a resend has to look where the first
-#: request was claimed.
+#: Number of shards. It must never change: a resend has to find the shard in
+#: which the first request was claimed.
 SHARDS = 16
 KEY_PREFIX = "claims/"
-#: Longest wait for a shard's owner, seconds.
-OWNER_S = 2.0
-#: Longest wait for a holder to say whether it still runs a request, seconds.
-HOLDER_S = 1.0
-#: Longest time to store an outcome, seconds, and the pause between attempts.
-KEEP_TRYING_S = 120.0
-RETRY_S = 1.0
+#: Timeout of calls to a shard's owner, seconds.
+OWNER_TIMEOUT_S = 2.0
+#: Timeout of asking a holder whether its claim is still active, seconds.
+HOLDER_TIMEOUT_S = 1.0
+#: Time for which storing an outcome is attempted, and the pause between
+#: attempts, seconds.
+STORE_TIMEOUT_S = 120.0
+STORE_RETRY_S = 1.0
 
 
 @plugins.register(plugins.PART, "claims")
 class Claims(kernel.Part):
-    """Serves the shards that this VM owns and makes claims for its entry.
+    """Decides on claims in the shards that this VM owns, and claims for its entry.
 
     :param node_kernel: the node's kernel.
     """
@@ -58,80 +59,87 @@
         self.membership = node_kernel.get(membership.Membership)
         self.peers = node_kernel.get(peers.Peers)
         self.shard_by_number: dict[int, claim_shards.Shard] = {}
-        #: Claims whose request this VM runs, or whose outcome it stores.
-        self.held: set[bytes] = set()
+        #: Ids of claims whose request this VM runs or whose outcome it is storing.
+        self.active_claims: set[bytes] = set()
         self.writes_total = node_kernel.metrics.counter(
             "claim_writes_total", "Writes of claim shards."
         )
         self.records_total = node_kernel.metrics.counter(
             "claim_records_total", "Claims and outcomes in those writes."
         )
-        self.peers.handle(claim_messages.AskClaim, self._serve_ask)
-        self.peers.handle(claim_messages.EndClaim, self._serve_end)
-        self.peers.handle(claim_messages.AskHeld, self._serve_held)
-        self.membership.on_change.append(self._forget_shards)
+        self.peers.handle(claim_messages.ClaimRequest, self._serve_request)
+        self.peers.handle(claim_messages.OutcomeUpdate, self._serve_outcome)
+        self.peers.handle(claim_messages.ActivityRequest, self._serve_activity)
+        self.membership.on_change.append(self._drop_unowned_shards)
 
     def open(self, request: requests.Request) -> claiming.Claim | None:
-        """Return the claim of a request, not made yet; None without a key.
+        """Return a claim for a request, not yet acquired; None if it has no key.
 
         :param request: the request.
         """
         return claiming.Claim(self, request) if request.idempotency_key else None
 
-    def ask(self, ask: claim_messages.AskClaim) -> claim_messages.ClaimAnswer:
-        """Ask the owner of a key's shard, or do its work where it is away.
+    def decide(
+        self, claim_request: claim_messages.ClaimRequest
+    ) -> claim_messages.ClaimReply:
+        """Have the shard's owner decide, or decide here if it is unreachable.
 
-        :param ask: the question.
+        :param claim_request: the key to look up or claim.
         """
-        owner = self._owner(ask.key)
+        owner = self._owner(claim_request.key)
         if owner != self.kernel.settings.name:
-            until = time.monotonic() + OWNER_S
-            match self.peers.call(owner, ask, OWNER_S):
-                case result.Ok(claim_messages.ClaimAnswer() as answer):
+            deadline = time.monotonic() + OWNER_TIMEOUT_S
+            match self.peers.call(owner, claim_request, OWNER_TIMEOUT_S):
+                case result.Ok(claim_messages.ClaimReply() as answer):
                     return answer
-                case _ if time.monotonic() >= until:
-                    # An owner that is slow because the object API is slow
-                    # would only be slowed more by a rival's writes.
-                    return claim_messages.ClaimAnswer(claim_messages.Finding.DOWN)
-        return self._decide(ask)
+                case _ if time.monotonic() >= deadline:
+                    # If the owner is slow because the object API is slow,
+                    # competing writes would only slow it further.
+                    return claim_messages.ClaimReply(
+                        claim_messages.Decision.UNAVAILABLE
+                    )
+        return self._decide_locally(claim_request)
 
-    def is_held(self, answer: claim_messages.ClaimAnswer) -> bool:
-        """Return whether a claim's holder says that it still runs it.
+    def is_active(self, answer: claim_messages.ClaimReply) -> bool:
+        """Ask a claim's holder whether the claim is still active.
 
-        :param answer: the answer that names holder and claim.
+        :param answer: the reply that names the holder and the claim.
+        :returns: False if the holder does not reply.
         """
         if answer.holder == self.kernel.settings.name:
-            return answer.claim_id in self.held
+            return answer.claim_id in self.active_claims
         match self.peers.call(
-            answer.holder, claim_messages.AskHeld(answer.claim_id), HOLDER_S
+            answer.holder,
+            claim_messages.ActivityRequest(answer.claim_id),
+            HOLDER_TIMEOUT_S,
         ):
-            case result.Ok(claim_messages.Held(held)):
-                return held
+            case result.Ok(claim_messages.ActivityReply(active)):
+                return active
             case _:
                 return False
 
-    def store_end(self, ending: claim_messages.EndClaim) -> None:
-        """Store how a claimed request ended, trying for a while.
+    def store_outcome(self, update: claim_messages.OutcomeUpdate) -> None:
+        """Store a claimed request's outcome, with retries.
 
-        :param ending: the end.
+        :param update: the outcome.
         """
-        deadline = time.monotonic() + KEEP_TRYING_S
-        while not self._pass_end(ending) and time.monotonic() < deadline:
-            gevent.sleep(RETRY_S)
-        self.held.discard(ending.claim_id)
+        deadline = time.monotonic() + STORE_TIMEOUT_S
+        while not self._try_store(update) and time.monotonic() < deadline:
+            gevent.sleep(STORE_RETRY_S)
+        self.active_claims.discard(update.claim_id)
 
     def drain(self, deadline: float) -> None:
-        """Store the outcomes of what has ended; see :meth:`kernel.Part.drain`."""
-        while self.held and time.monotonic() < deadline:
+        """Wait until outcomes are stored; see :meth:`kernel.Part.drain`."""
+        while self.active_claims and time.monotonic() < deadline:
             gevent.sleep(0.02)
 
-    def _pass_end(self, ending: claim_messages.EndClaim) -> bool:
-        owner = self._owner(ending.key)
+    def _try_store(self, update: claim_messages.OutcomeUpdate) -> bool:
+        owner = self._owner(update.key)
         if owner != self.kernel.settings.name:
-            match self.peers.call(owner, ending, OWNER_S):
-                case result.Ok(claim_messages.ClaimEnded(True)):
+            match self.peers.call(owner, update, OWNER_TIMEOUT_S):
+                case result.Ok(claim_messages.OutcomeReply(True)):
                     return True
-        return self._store(ending)
+        return self._append_outcome(update)
 
     def _owner(self, key: bytes) -> str:
         shard_key = f"{KEY_PREFIX}{key[0] % SHARDS}"
@@ -143,106 +151,112 @@
         shard = self.shard_by_number.get(number)
         if shard is None:
             shard = claim_shards.Shard(
-                self.api, f"{KEY_PREFIX}{number}", self._retention_s, self._note_write
+                self.api, f"{KEY_PREFIX}{number}", self._retention_s, self._count_write
             )
             self.shard_by_number[number] = shard
         return shard
 
-    def _note_write(self, records: int) -> None:
+    def _count_write(self, records: int) -> None:
         self.writes_total.inc({})
         self.records_total.add({}, records)
 
     def _retention_s(self) -> float:
         return self.configuration.index.catalogue.retention.claims_s
 
-    def _forget_shards(self) -> None:
+    def _drop_unowned_shards(self) -> None:
         for number, shard in list(self.shard_by_number.items()):
-            mine = self._owner(bytes((number,))) == self.kernel.settings.name
-            if not mine and not shard.pending:
+            owned = self._owner(bytes((number,))) == self.kernel.settings.name
+            if not owned and not shard.pending:
                 del self.shard_by_number[number]
 
-    def _decide(self, ask: claim_messages.AskClaim) -> claim_messages.ClaimAnswer:
-        shard = self._shard(ask.key)
-        if ask.fresh:
+    def _decide_locally(
+        self, claim_request: claim_messages.ClaimRequest
+    ) -> claim_messages.ClaimReply:
+        shard = self._shard(claim_request.key)
+        if claim_request.reload:
             shard.reload()
-        found = shard.find(ask.key)
-        if found == result.Ok(None):
-            if not ask.claim:
-                return claim_messages.ClaimAnswer(claim_messages.Finding.FREE)
-            found = shard.append(
+        lookup = shard.find(claim_request.key)
+        if lookup == result.Ok(None):
+            if not claim_request.claim:
+                return claim_messages.ClaimReply(claim_messages.Decision.FREE)
+            lookup = shard.append(
                 claim_records.Record(
-                    ask.key,
-                    ask.claim_id,
+                    claim_request.key,
+                    claim_request.claim_id,
                     claim_records.State.CLAIMED,
                     int(time.time()),
-                    ask.request_hash,
-                    ask.holder,
+                    claim_request.request_hash,
+                    claim_request.holder,
                 )
             )
-        match found:
-            case result.Ok(claim_records.Known() as known):
-                return self._describe(ask, shard, known)
+        match lookup:
+            case result.Ok(claim_records.CurrentClaim() as current):
+                return self._describe(claim_request, shard, current)
             case result.Ok(None):
-                # The claim that was faster has been released since.
-                return claim_messages.ClaimAnswer(claim_messages.Finding.DOWN)
+                # Another claim came first and has been released since.
+                return claim_messages.ClaimReply(claim_messages.Decision.UNAVAILABLE)
             case result.Err(problem):
-                log.warning("a claim was not made: {}", problem.reason)
-                return claim_messages.ClaimAnswer(claim_messages.Finding.DOWN)
+                log.warning("cannot decide on a claim: {}", problem.reason)
+                return claim_messages.ClaimReply(claim_messages.Decision.UNAVAILABLE)
 
     def _describe(
         self,
-        ask: claim_messages.AskClaim,
+        claim_request: claim_messages.ClaimRequest,
         shard: claim_shards.Shard,
-        known: claim_records.Known,
-    ) -> claim_messages.ClaimAnswer:
-        """Return what a key's newest record means for an asker."""
-        if known.request_hash != ask.request_hash:
-            return claim_messages.ClaimAnswer(claim_messages.Finding.OTHER)
-        match known.state:
-            case claim_records.State.CLAIMED if known.claim_id == ask.claim_id:
-                return claim_messages.ClaimAnswer(claim_messages.Finding.GRANTED)
+        current: claim_records.CurrentClaim,
+    ) -> claim_messages.ClaimReply:
+        """Return the reply for a key that is already claimed."""
+        if current.request_hash != claim_request.request_hash:
+            return claim_messages.ClaimReply(claim_messages.Decision.KEY_REUSED)
+        match current.state:
+            case claim_records.State.CLAIMED if (
+                current.claim_id == claim_request.claim_id
+            ):
+                return claim_messages.ClaimReply(claim_messages.Decision.GRANTED)
             case claim_records.State.CLAIMED:
-                return claim_messages.ClaimAnswer(
-                    claim_messages.Finding.HELD, known.holder, known.claim_id
+                return claim_messages.ClaimReply(
+                    claim_messages.Decision.CLAIMED, current.holder, current.claim_id
                 )
             case claim_records.State.UNKNOWN:
-                return claim_messages.ClaimAnswer(claim_messages.Finding.LOST)
-        match shard.answer(ask.key):
+                return claim_messages.ClaimReply(claim_messages.Decision.OUTCOME_LOST)
+        match shard.answer(claim_request.key):
             case result.Ok(None):
-                return claim_messages.ClaimAnswer(claim_messages.Finding.NOT_KEPT)
+                return claim_messages.ClaimReply(claim_messages.Decision.NOT_STORED)
             case result.Ok(answer):
-                return claim_messages.ClaimAnswer(
-                    claim_messages.Finding.DONE, **claim_messages.answer_fields(answer)
+                return claim_messages.ClaimReply(
+                    claim_messages.Decision.DONE, **claim_messages.answer_fields(answer)
                 )
             case _:
-                return claim_messages.ClaimAnswer(claim_messages.Finding.DOWN)
+                return claim_messages.ClaimReply(claim_messages.Decision.UNAVAILABLE)
 
-    def _store(self, ending: claim_messages.EndClaim) -> bool:
+    def _append_outcome(self, update: claim_messages.OutcomeUpdate) -> bool:
         answer = None
-        if ending.kept:
-            answer = claim_messages.stored_answer(ending)
+        if update.has_answer:
+            answer = claim_messages.stored_answer(update)
         record = claim_records.Record(
-            ending.key,
-            ending.claim_id,
-            claim_records.State(ending.state),
+            update.key,
+            update.claim_id,
+            claim_records.State(update.state),
             int(time.time()),
-            ending.request_hash,
+            update.request_hash,
             "",
             answer,
         )
-        return self._shard(ending.key).append(record).is_ok()
+        return self._shard(update.key).append(record).is_ok()
 
-    def _serve_ask(
-        self, _: str, ask: claim_messages.AskClaim, answer: peers.Answer
+    def _serve_request(
+        self, _: str, claim_request: claim_messages.ClaimRequest, answer: peers.Answer
     ) -> None:
-        self.tasks.spawn(lambda: answer(self._decide(ask)))
+        self.tasks.spawn(lambda: answer(self._decide_locally(claim_request)))
 
-    def _serve_end(
-        self, _: str, ending: claim_messages.EndClaim, answer: peers.Answer
+    def _serve_outcome(
+        self, _: str, update: claim_messages.OutcomeUpdate, answer: peers.Answer
     ) -> None:
-        self.tasks.spawn(lambda: answer(claim_messages.ClaimEnded(self._store(ending))))
+        self.tasks.spawn(
+            lambda: answer(claim_messages.OutcomeReply(self._append_outcome(update)))
+        )
 
-    def _serve_held(
-        self, _: str, ask: claim_messages.AskHeld, answer: peers.Answer
+    def _serve_activity(
+        self, _: str, request: claim_messages.ActivityRequest, answer: peers.Answer
     ) -> None:
-        answer(claim_messages.Held(ask.claim_id in self.held))
+        answer(claim_messages.ActivityReply(request.claim_id in self.active_claims))
--- a/packages/mothworks/tests/test_claims.py
+++ b/packages/mothworks/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: at most one run a key, whatever fails between the steps."""
+"""Claims: each key runs at most once, whichever step fails."""
 
 import gevent
 import hypothesis
@@ -18,10 +18,10 @@
 def short_pauses(monkeypatch):
     for module, name in (
         (objects, "PAUSE_S"),
-        (claim_shards, "PAUSE_S"),
-        (claim_shards, "GATHER_S"),
-        (claim_shards, "SPACING_S"),
-        (claim_shards, "OUTCOME_S"),
+        (claim_shards, "MAX_CONFLICT_PAUSE_S"),
+        (claim_shards, "BATCH_DELAY_S"),
+        (claim_shards, "WRITE_INTERVAL_S"),
+        (claim_shards, "OUTCOME_DELAY_S"),
     ):
         monkeypatch.setattr(module, name, 0.0)
 
@@ -31,13 +31,13 @@
 
 
 def record(claim_id, state=STATE.CLAIMED, key=KEY, **changes):
-    fields = {"when": 1_000_000_000, "request_hash": b"hash", "holder": "vm-1"}
+    fields = {"timestamp_s": 1_000_000_000, "request_hash": b"hash", "holder": "vm-1"}
     return claim_records.Record(key, claim_id, state, **{**fields, **changes})
 
 
-def test_two_owners_cannot_both_give_a_claim():
-    # A VM was paused and still believes that it owns a shard. Both owners
-    # have read it, and both are asked for the same key.
+def test_two_owners_cannot_both_grant_a_claim():
+    # A VM that was paused still acts as a shard's owner. Both owners have
+    # loaded the shard, and both receive a claim of the same key.
     api = stored.MemoryApi()
     first, second = shard(api), shard(api)
     assert first.find(KEY) == second.find(KEY) == result.Ok(None)
@@ -45,7 +45,7 @@
     assert second.append(record(b"b")).unwrap().claim_id == b"a"
 
 
-def test_claims_of_the_same_moment_share_a_write():
+def test_concurrent_claims_are_written_in_one_batch():
     writes = []
     owner = claim_shards.Shard(
         stored.MemoryApi(), "claims/0", lambda: 1e9, writes.append
@@ -57,7 +57,7 @@
     assert writes == [50]
 
 
-def test_of_two_copies_in_one_write_the_first_wins():
+def test_of_two_duplicates_in_one_batch_the_first_wins():
     owner = shard(stored.MemoryApi())
     tasks = [gevent.spawn(owner.append, record(name)) for name in (b"a", b"b")]
     gevent.joinall(tasks)
@@ -81,7 +81,7 @@
     assert owner.answer(keys[0]).unwrap().body == keys[0] * 10
 
 
-def test_old_claims_are_forgotten_and_their_segments_deleted(monkeypatch):
+def test_old_claims_expire_and_their_segments_are_deleted(monkeypatch):
     monkeypatch.setattr(claim_shards, "SEGMENT_BYTES", 500)
     now = [1000.0]
     monkeypatch.setattr(claim_shards.time, "time", lambda: now[0])
@@ -90,10 +90,10 @@
     for number in range(100):
         now[0] += 10
         key = bytes((number,)) * 16
-        owner.append(record(key, key=key, when=int(now[0])))
+        owner.append(record(key, key=key, timestamp_s=int(now[0])))
     assert owner.find(KEY) == result.Ok(None)
-    kept = [key for key, bodies in api.bodies_by_key.items() if bodies]
-    assert len(kept) < 10
+    remaining_keys = [key for key, bodies in api.bodies_by_key.items() if bodies]
+    assert len(remaining_keys) < 10
     assert shard(api, 100).find(bytes((99,)) * 16).unwrap() is not None
 
 
@@ -106,22 +106,23 @@
     assert owner.append(record(b"c")).unwrap().claim_id == b"c"
 
 
-def test_a_write_that_never_gets_through_is_given_up(monkeypatch):
-    # The object API answers each call so late that its outcome is unknown.
-    # Claimants held their slots for half a minute, until none was left.
-    monkeypatch.setattr(claim_shards, "WRITE_S", 0.05)
-    monkeypatch.setattr(claim_shards, "PATIENCE_S", 0.0)
+def test_a_write_that_keeps_failing_times_out(monkeypatch):
+    # The object API replies so late that each write's outcome is unknown.
+    # Without the limit, claiming requests held their slots for half a minute,
+    # until no slot was free.
+    monkeypatch.setattr(claim_shards, "WRITE_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(claim_shards, "CONFIRM_TIMEOUT_S", 0.0)
     api = stored.MemoryApi()
     api.put_faults.extend([stored.Fault.DROPPED] * 100_000)
-    outcome = shard(api).append(record(b"a"))
-    assert isinstance(outcome.unwrap_err(), objects.Unavailable)
+    write_result = shard(api).append(record(b"a"))
+    assert isinstance(write_result.unwrap_err(), objects.Unavailable)
     assert api.put_faults
 
 
 @pytest.mark.parametrize("body", [b"\xc1", b"\x91\x01", b"{}"])
-def test_a_shard_of_a_later_version_refuses_claims(body):
-    # During an upgrade a newer VM wrote the shard. A VM that stopped on it
-    # would be followed by the next owner, until none was left.
+def test_claims_are_refused_if_the_shard_has_a_later_format(body):
+    # During an upgrade a newer VM wrote the shard. If an older owner exited on
+    # it, the next owner would exit too, until no VM was left.
     api = stored.MemoryApi()
     api.bodies_by_key["claims/0"].append(body)
     owner = shard(api)
@@ -129,7 +130,7 @@
     assert api.bodies_by_key["claims/0"] == [body]
 
 
-def test_an_outage_refuses_claims():
+def test_claims_are_refused_during_an_outage():
     api = stored.MemoryApi()
     owner = shard(api)
     api.down = True
@@ -146,7 +147,7 @@
 
 
 class Claiming(hypothesis.stateful.RuleBasedStateMachine):
-    """Two owners, pauses between read and write, lost replies, stale reads."""
+    """Two owners with pauses between read and write, lost replies, stale reads."""
 
     def __init__(self):
         super().__init__()
@@ -160,29 +161,29 @@
         key=KEYS,
         puts=FAULTS,
         gets=STALE,
-        overtaken=st.booleans(),
+        other_owner_first=st.booleans(),
     )
-    def claim(self, owner, key, puts, gets, overtaken):
+    def claim(self, owner, key, puts, gets, other_owner_first):
         self.claims += 1
         claim_id = str(self.claims).encode()
         self.api.put_faults.extend(puts)
         self.api.get_faults.extend(gets)
-        if overtaken:
-            # The owner pauses right before its write; the other one claims.
-            self.api.before_put = lambda _: self.claim_elsewhere(1 - owner, key)
+        if other_owner_first:
+            # The owner pauses right before its write; the other owner claims.
+            self.api.before_put = lambda _: self.claim_from_other_owner(1 - owner, key)
         self.run(key, claim_id, self.owners[owner].append(record(claim_id, key=key)))
         self.api.before_put = lambda _: None
         self.api.put_faults.clear()
         self.api.get_faults.clear()
 
-    def claim_elsewhere(self, owner, key):
+    def claim_from_other_owner(self, owner, key):
         self.api.before_put = lambda _: None
         claim_id = f"{self.claims}-other".encode()
         self.run(key, claim_id, self.owners[owner].append(record(claim_id, key=key)))
 
-    def run(self, key, claim_id, outcome):
-        known = outcome.ok()
-        if known is not None and known.claim_id == claim_id:
+    def run(self, key, claim_id, write_result):
+        current = write_result.ok()
+        if current is not None and current.claim_id == claim_id:
             self.runs_by_key.setdefault(key, []).append(claim_id)
 
     @hypothesis.stateful.rule(owner=OWNERS)
@@ -191,7 +192,7 @@
 
     @hypothesis.stateful.rule(owner=OWNERS, key=KEYS, state=st.sampled_from(STATE))
     def end(self, owner, key, state):
-        # Only a holder ends its claim, and never releases what has run.
+        # Only the holder stores an outcome, and never releases a request that ran.
         runs = self.runs_by_key.get(key)
         if runs and state is not STATE.RELEASED:
             self.owners[owner].append(record(runs[-1], state, key=key))
