--- a/packages/mothworks/src/mothworks/recorded.py
+++ b/packages/mothworks/src/mothworks/recorded.py
@@ -1,8 +1,8 @@
-"""Answers that are recorded for resends, and their replay.
+"""Recording of answers for resends, and their replay.
 
-An answer under a claim is read to its end even where the caller goes away:
-a caller that timed out and sends the request again gets what the first one
-brought.
+The answer of a request under a claim is read to its end even if the caller
+disconnects: a caller that timed out and resends the request then gets the
+answer of the first attempt.
 """
 
 import collections.abc
@@ -10,28 +10,28 @@
 
 from mothworks import claim_records, claiming, endpoints, tasks
 
-#: Longest answer that is kept, bytes.
-ANSWER_BYTES = 32 << 10
+#: Longest body that is stored, bytes.
+MAX_STORED_BYTES = 32 << 10
 
 
 class Running(typing.Protocol):
     """A request whose answer has begun, as dispatch returns it."""
 
     answer: endpoints.Answer
-    #: Whether the answer is a stream that may break off.
+    #: Whether the answer is a stream.
     stream: bool
 
     def __iter__(self) -> collections.abc.Iterator[bytes]:
-        """Yield the body; raises OSError where the answer breaks off."""
+        """Yield the body; raises OSError if the answer breaks off."""
 
     def close(self) -> None:
-        """Release what the request holds."""
+        """Release the request's slot and connection."""
 
 
 class Replay:
-    """A stored answer, used like a running request.
+    """A stored answer with the interface of :class:`Running`.
 
-    :param stored: the answer.
+    :param stored: the stored answer.
     """
 
     def __init__(self, stored: claim_records.StoredAnswer):
@@ -44,18 +44,18 @@
         yield self.stored.body
 
     def close(self) -> None:
-        """Do nothing; a stored answer holds nothing."""
+        """Do nothing: there is no slot or connection to release."""
 
 
 class Recorded:
-    """A running request under a claim; used like the running request.
+    """A running request under a claim, with the interface of :class:`Running`.
 
-    It is its own iterator, because a caller that goes away closes what it
-    iterates over, and the rest of the answer is still to be read then.
+    It is its own iterator: when a caller disconnects, the iterator is closed,
+    and the rest of the answer must still be read then.
 
     :param running: the request.
     :param claim: its claim.
-    :param node_tasks: runs what the caller does not wait for.
+    :param node_tasks: runs background tasks.
     """
 
     def __init__(
@@ -66,47 +66,47 @@
         self.stream = running.stream
         self.claim = claim
         self.tasks = node_tasks
-        self.pieces: list[bytes] = []
+        self.chunks: list[bytes] = []
         self.size = 0
         self.complete = False
         self.closed = False
-        self.data = self._read()
+        self.unread = self._read()
 
     def __iter__(self) -> "Recorded":
         """Return the body's iterator."""
         return self
 
     def __next__(self) -> bytes:
-        """Return more of the body; raises OSError where it breaks off."""
-        return next(self.data)
+        """Return the next chunk; raises OSError if the answer breaks off."""
+        return next(self.unread)
 
     def close(self) -> None:
-        """Store the outcome, once the rest of the answer has come."""
+        """Read the rest of the answer in the background, and store the outcome."""
         if not self.closed:
             self.closed = True
             self.tasks.spawn(self._finish)
 
     def _read(self) -> collections.abc.Iterator[bytes]:
-        for data in self.running:
-            self.size += len(data)
-            if self.size <= ANSWER_BYTES:
-                self.pieces.append(data)
-            yield data
+        for chunk in self.running:
+            self.size += len(chunk)
+            if self.size <= MAX_STORED_BYTES:
+                self.chunks.append(chunk)
+            yield chunk
         self.complete = True
 
     def _finish(self) -> None:
         try:
-            for _ in self.data:
+            for _ in self.unread:
                 pass
         except OSError:
             pass
         self.running.close()
         if not self.complete:
             self.claim.end(claim_records.State.UNKNOWN)
-        elif self.size > ANSWER_BYTES:
+        elif self.size > MAX_STORED_BYTES:
             self.claim.end(claim_records.State.DONE)
         else:
-            body = b"".join(self.pieces)
+            body = b"".join(self.chunks)
             headers = tuple(self.answer.headers)
             answer = claim_records.StoredAnswer(self.answer.status, headers, body)
             self.claim.end(claim_records.State.DONE, answer)
