--- a/packages/mothworks/src/mothworks/deferred_calls.py
+++ b/packages/mothworks/src/mothworks/deferred_calls.py
@@ -1,4 +1,4 @@
-"""Caller protocol ``/deferred/``: state and answer of deferred work."""
+"""Caller protocol ``/deferred/``: the state or answer of deferred work."""
 
 import result
 
@@ -36,21 +36,21 @@
             message = "only GET is allowed here"
             return calls.refuse(outcomes.invalid(message, "method_not_allowed", 405))
         work_id = call.path.removeprefix(PATH)
-        found = calls.authenticate(call, self.configuration.index).and_then(
+        lookup = calls.authenticate(call, self.configuration.index).and_then(
             lambda caller: self.deferred.find(work_id, caller.name)
         )
-        match found:
+        match lookup:
             case result.Ok(deferred_records.Finished() as finished):
                 headers = [*finished.headers, ("Mothworks-State", "done")]
                 return calls.Reply(finished.status, headers, [finished.body])
-            case result.Ok(deferred.Waiting(running)):
+            case result.Ok(deferred.Unfinished(running)):
                 return _accepted(work_id, "running" if running else "waiting")
             case result.Err(refusal):
                 return calls.refuse(refusal)
 
 
 def wanted(call: calls.Call) -> bool:
-    """Return whether a caller asks for its request to be deferred.
+    """Return whether a call requests deferral, by its ``Prefer`` header.
 
     :param call: the call.
     """
@@ -59,9 +59,9 @@
 
 
 def accept(part: deferred.Deferred, request: requests.Request) -> calls.Reply:
-    """Store a request and tell its caller where the answer will be.
+    """Store a request, and reply with the path of its answer.
 
-    :param part: the node's deferred work.
+    :param part: the node's part that stores deferred work.
     :param request: the request.
     """
     match part.accept(request):
@@ -79,7 +79,7 @@
             ("Location", PATH + work_id),
             ("Preference-Applied", "respond-async"),
             ("Mothworks-State", state),
-            ("Retry-After", str(round(deferred.ASK_AGAIN_S))),
+            ("Retry-After", str(round(deferred.POLL_INTERVAL_S))),
         )
     )
     return reply
--- a/packages/mothworks/src/mothworks/deferred_messages.py
+++ b/packages/mothworks/src/mothworks/deferred_messages.py
@@ -1,4 +1,4 @@
-"""Messages between entries and the owners of deferred work."""
+"""Messages between entries and the owners of shards of deferred work."""
 
 import attrs
 
@@ -8,7 +8,7 @@
 @messages.message(56)
 @attrs.frozen
 class WorkStored:
-    """An entry tells a shard's owner that it stored work.
+    """Notifies a shard's owner that an entry stored work.
 
     :param id: the work's id.
     """
@@ -18,19 +18,19 @@
 
 @messages.message(57)
 @attrs.frozen
-class ShardFill:
-    """Answers :class:`WorkStored`.
+class OpenWorkCount:
+    """Reply to :class:`WorkStored`.
 
-    :param open: works that wait or run in the shard.
+    :param count: number of work items in the shard that wait or run.
     """
 
-    open: int
+    count: int
 
 
 @messages.message(58)
 @attrs.frozen
-class AskRunning:
-    """Asks a shard's owner whether it runs a work now.
+class WorkStateRequest:
+    """Asks a shard's owner whether it is running a work item.
 
     :param id: the work's id.
     """
@@ -40,10 +40,10 @@
 
 @messages.message(59)
 @attrs.frozen
-class IsRunning:
-    """Answers :class:`AskRunning`.
+class WorkStateReply:
+    """Reply to :class:`WorkStateRequest`.
 
-    :param running: whether it does.
+    :param running: whether the work is running.
     """
 
     running: bool
--- a/packages/mothworks/src/mothworks/deferred_records.py
+++ b/packages/mothworks/src/mothworks/deferred_records.py
@@ -1,7 +1,7 @@
-"""Stored forms of deferred work: an accepted request, and its answer.
+"""Storage format of deferred work: an accepted request, and its answer.
 
-Both are objects of their own, named by the work's id. The id begins with the
-hour of acceptance, so that old answers are found by their names alone.
+Each is a separate object whose key ends with the work's id. The id begins
+with the hour of acceptance, so that old answers are recognised by key alone.
 """
 
 import time
@@ -17,16 +17,16 @@
 
 OPEN_PREFIX = "deferred/open/"
 DONE_PREFIX = "deferred/done/"
-#: Number of shards; each VM looks after the shards that it owns.
+#: Number of shards; each VM runs the work in the shards that it owns.
 SHARDS = 64
-#: Seconds of one step of the time in an id.
+#: Resolution of the time in an id, seconds.
 HOUR_S = 3600
-#: Longest body of a work or an answer, bytes; the rest of the object is for
-#: what is stored beside it.
-MOST_BODY_BYTES = objects.MOST_BYTES - (16 << 10)
-#: Begins the claim's key of work whose caller gave none; no header can
-#: contain it.
-OWN_KEY = "\0deferred:"
+#: Longest body of a request or an answer, bytes; the rest of the object is
+#: reserved for the other fields.
+MAX_BODY_BYTES = objects.MOST_BYTES - (16 << 10)
+#: Prefix of the claim key of work whose caller sent no Idempotency-Key. The
+#: null byte can't occur in a header, so it never equals a caller's key.
+CLAIM_KEY_PREFIX = "\0deferred:"
 
 
 @attrs.frozen
@@ -35,17 +35,17 @@
 
     :param id: its id.
     :param caller: the caller's name.
-    :param target: see :class:`requests.Request`, also for what follows.
+    :param target: see :class:`requests.Request`, as for the next fields.
     :param model: the model that must be resident.
     :param method: HTTP method towards the endpoint.
     :param path: path and query.
-    :param headers: further headers.
+    :param headers: additional headers.
     :param body: the body.
     :param stream: whether the answer is a stream.
-    :param repeatable: whether it may run twice.
-    :param tokens: most tokens.
+    :param repeatable: whether it may run more than once.
+    :param tokens: maximum tokens.
     :param idempotency_key: the caller's key, or empty.
-    :param nonce: recognises a write whose reply was lost.
+    :param nonce: identifies the write, to recognise it if its reply was lost.
     """
 
     id: str
@@ -63,13 +63,13 @@
     nonce: bytes
 
     def request(self, caller: catalogue.Caller) -> requests.Request:
-        """Return the request to run, as bulk work of its caller.
+        """Return the request to run, with bulk urgency.
 
-        :param caller: the caller, as now declared.
+        :param caller: the caller as currently declared.
         """
         key = self.idempotency_key
         if not key and not self.repeatable:
-            key = OWN_KEY + self.id
+            key = CLAIM_KEY_PREFIX + self.id
         now = time.monotonic()
         return requests.Request(
             id=uuid.uuid4().hex,
@@ -89,7 +89,7 @@
         )
 
     def same_request(self, other: "Work") -> bool:
-        """Return whether another work asks for the same.
+        """Return whether other work is the same request.
 
         :param other: the other work.
         """
@@ -104,7 +104,7 @@
     :param caller: the caller's name.
     :param status: the HTTP status.
     :param headers: its headers.
-    :param body: its whole body.
+    :param body: its complete body.
     """
 
     caller: str
@@ -113,15 +113,15 @@
     body: bytes
 
 
-#: Either of the stored forms.
+#: Either of the stored types.
 Stored = typing.TypeVar("Stored", Work, Finished)
 
 
-def accept(request: requests.Request) -> Work:
-    """Return a request as work to be stored.
+def new_work(request: requests.Request) -> Work:
+    """Create the work to store for a request.
 
-    Resends with the same key get the same id within the hour, and find what
-    the first one stored; later ones are kept from a second run by the claim.
+    Resends with the same key get the same id within the same hour, and find
+    the stored work; the claim prevents later resends from running again.
 
     :param request: the request.
     """
@@ -148,7 +148,7 @@
 
 
 def shard(work_id: str) -> int:
-    """Return the shard that a work's id falls into.
+    """Return the shard of a work's id.
 
     :param work_id: the id.
     """
@@ -165,9 +165,9 @@
 
 
 def accepted_at(work_id: str) -> float | None:
-    """Return the wall time of the hour of an id, or None where it is none.
+    """Return the Unix time of the hour in an id; None if the id is invalid.
 
-    :param work_id: what may be an id.
+    :param work_id: the id, unchecked.
     """
     hour, dash, name = work_id.partition("-")
     try:
@@ -177,22 +177,22 @@
 
 
 def pack(value: Work | Finished) -> bytes:
-    """Return a work or an answer as the content of its object.
+    """Encode work or an answer as the body of its object.
 
     :param value: the work or answer.
     """
     return msgpack.packb(attrs.astuple(value, recurse=False))
 
 
-def read(
+def unpack(
     kind: type[Stored], body: bytes
 ) -> result.Result[Stored, documents.DocumentError]:
-    """Return the work or answer that an object holds.
+    """Decode the body of an object that holds work or an answer.
 
     :param kind: :class:`Work` or :class:`Finished`.
-    :param body: the object's content.
+    :param body: the object's body.
     :returns: an error where it is corrupt or of a later version of the
-        program; the object is left alone for a VM that can read it.
+        program; the object is left unchanged for a VM that can read it.
     """
     try:
         value = kind(*msgpack.unpackb(body))
--- a/packages/mothworks/src/mothworks/deferred_runs.py
+++ b/packages/mothworks/src/mothworks/deferred_runs.py
@@ -1,4 +1,4 @@
-"""Running deferred work: one attempt, and its answer stored."""
+"""Runs deferred work: makes one attempt and stores its answer."""
 
 import random
 
@@ -18,51 +18,52 @@
 
 log = logbook.Logger("deferred")
 
-#: Attempts that may have run, after which repeatable work is given up.
-MOST_RUNS = 5
+#: Number of attempts that may have run after which repeatable work is not
+#: retried.
+MAX_RUNS = 5
 #: Mean pause between attempts to store an answer, seconds.
-PAUSE_S = 1.0
+STORE_PAUSE_S = 1.0
 
 
 class Runner:
     """Runs stored work.
 
     :param api: the object API.
-    :param part: the node's configuration, which knows the callers.
-    :param node_dispatch: sends requests.
+    :param node_configuration: the node's configuration, for the declared callers.
+    :param node_dispatch: sends the requests to endpoints.
     """
 
     def __init__(
         self,
         api: objects.Api,
-        part: configuration.Configuration,
+        node_configuration: configuration.Configuration,
         node_dispatch: dispatch.Dispatch,
     ):
         self.api = api
-        self.configuration = part
+        self.configuration = node_configuration
         self.dispatch = node_dispatch
 
     def run(self, work_id: str, runs: int) -> result.Result[None, int]:
-        """Run a work once and store its answer.
+        """Run work once and store its answer.
 
         :param work_id: the work's id.
-        :param runs: attempts before this one that may have run.
-        :returns: an error where it has to be tried again; its value is the
-            number of runs to be counted.
+        :param runs: number of earlier attempts that may have run.
+        :returns: an error if it has to be retried; its value is added to the
+            number of attempts that may have run.
         """
         done_key = deferred_records.key(deferred_records.DONE_PREFIX, work_id)
         open_key = deferred_records.key(deferred_records.OPEN_PREFIX, work_id)
         match self.api.get(open_key):
             case result.Ok(stored):
-                read = deferred_records.read(deferred_records.Work, stored.body)
+                unpacked = deferred_records.unpack(deferred_records.Work, stored.body)
             case result.Err(objects.Missing()):
                 return result.Ok(None)
             case _:
                 return result.Err(0)
-        if read.is_err():
-            log.warning("{} cannot be read here: {}", open_key, read.err_value)
+        if unpacked.is_err():
+            log.warning("cannot decode {}: {}", open_key, unpacked.err_value)
             return result.Err(0)
-        work = read.ok_value
+        work = unpacked.ok_value
         match self.api.get(done_key):
             case result.Err(objects.Missing()):
                 answered = self._answer(work, runs)
@@ -70,22 +71,24 @@
                     return answered
                 body = deferred_records.pack(answered.ok_value)
                 written = self.api.put(done_key, body, None)
-                # An answer that is there already is as good.
+                # If another answer is stored already, that one is kept.
                 if written.is_err() and not isinstance(written.err(), objects.Conflict):
-                    return self._keep(done_key, body)
+                    return self._put_until_stored(done_key, body)
             case result.Err(_):
                 return result.Err(0)
         self.api.delete(open_key, stored.version)
         return result.Ok(None)
 
-    def _keep(self, key: str, body: bytes) -> result.Result[None, int]:
-        """Store an answer while the object API is down, however long.
+    def _put_until_stored(self, key: str, body: bytes) -> result.Result[None, int]:
+        """Retry storing an answer until the object API accepts it.
 
-        The work has run: without its answer it would run again, or its
-        caller would be told that the outcome is unknown.
+        The work has run: if its answer were dropped, it would run again, or
+        its caller would get the error that its outcome is unknown.
+
+        :returns: an error, so that the next attempt deletes the stored work.
         """
         while True:
-            gevent.sleep(PAUSE_S * random.uniform(0.5, 1.5))
+            gevent.sleep(STORE_PAUSE_S * random.uniform(0.5, 1.5))
             match self.api.put(key, body, None):
                 case result.Ok(_) | result.Err(objects.Conflict()):
                     return result.Err(0)
@@ -97,58 +100,58 @@
         if caller is None:
             message = "the caller is no longer declared"
             return result.Ok(
-                _refused(work, outcomes.invalid(message, "forbidden", 403))
+                _finish_refused(work, outcomes.invalid(message, "forbidden", 403))
             )
         match self.dispatch.begin(work.request(caller)):
             case result.Ok(running):
                 pass
             case result.Err(refusal):
-                return _unless_temporary(work, refusal, runs)
+                return _retry_or_finish(work, refusal, runs)
         try:
-            return result.Ok(_collect(work, running))
+            return result.Ok(_read_answer(work, running))
         except OSError as error:
             refusal = outcomes.unknown(f"the answer broke off: {error}")
-            return _unless_temporary(work, refusal, runs)
+            return _retry_or_finish(work, refusal, runs)
         finally:
             running.close()
 
 
-def _collect(
+def _read_answer(
     work: deferred_records.Work, running: recorded.Running
 ) -> deferred_records.Finished:
-    pieces, size = [], 0
-    for data in running:
-        pieces.append(data)
-        size += len(data)
-        if size > deferred_records.MOST_BODY_BYTES:
-            message = "the work ran; its answer is too long to be kept"
+    chunks, size = [], 0
+    for chunk in running:
+        chunks.append(chunk)
+        size += len(chunk)
+        if size > deferred_records.MAX_BODY_BYTES:
+            message = "the work ran; its answer is too long to store"
             refusal = outcomes.Refusal(
                 502, "answer_not_kept", message, outcomes.Ran.UNKNOWN
             )
-            return _refused(work, refusal)
+            return _finish_refused(work, refusal)
     answer = running.answer
     headers = tuple((name, value) for name, value in answer.headers)
     return deferred_records.Finished(
-        work.caller, answer.status, headers, b"".join(pieces)
+        work.caller, answer.status, headers, b"".join(chunks)
     )
 
 
-def _unless_temporary(
+def _retry_or_finish(
     work: deferred_records.Work, refusal: outcomes.Refusal, runs: int
 ) -> result.Result[deferred_records.Finished, int]:
-    """Return a refusal as the answer, unless a later attempt may succeed."""
+    """Return a refusal as the final answer, or an error if it may be retried."""
     if refusal.ran is outcomes.Ran.NO:
         if refusal.retry_after is not None:
             return result.Err(0)
     elif refusal.retry_after is not None:
-        # Another copy is still running.
+        # A duplicate is still running.
         return result.Err(0)
-    elif work.repeatable and not work.idempotency_key and runs + 1 < MOST_RUNS:
+    elif work.repeatable and not work.idempotency_key and runs + 1 < MAX_RUNS:
         return result.Err(1)
-    return result.Ok(_refused(work, refusal))
+    return result.Ok(_finish_refused(work, refusal))
 
 
-def _refused(
+def _finish_refused(
     work: deferred_records.Work, refusal: outcomes.Refusal
 ) -> deferred_records.Finished:
     reply = calls.refuse(refusal)
--- a/packages/mothworks/tests/test_deferred.py
+++ b/packages/mothworks/tests/test_deferred.py
@@ -1,4 +1,4 @@
-"""Deferred work: accepted once it is stored, and then never lost."""
+"""Deferred work: accepted after it is stored, and never lost afterwards."""
 
 import geventhttpclient
 import msgpack
@@ -16,19 +16,19 @@
 
 @pytest.fixture(scope="module")
 def bed(tmp_path_factory):
-    made = testbed.Testbed(tmp_path_factory.mktemp("deferred"))
-    engine = made.add_engine(builders.endpoint())
-    made.fake_by_endpoint["engine-1"].place("menu", 16_000)
-    orders = made.add_application(builders.service_endpoint())
+    new_bed = testbed.Testbed(tmp_path_factory.mktemp("deferred"))
+    engine = new_bed.add_engine(builders.endpoint())
+    new_bed.fake_by_endpoint["engine-1"].place("menu", 16_000)
+    orders = new_bed.add_application(builders.service_endpoint())
     for name in ("vm-1", "vm-2", "vm-3"):
-        made.add_node(name, "dc-1", "region-1")
+        new_bed.add_node(name, "dc-1", "region-1")
     declared = builders.declared(
         services=(catalogue.Service("orders"),), endpoints=(engine, orders)
     )
-    made.apply(declared)
-    processes.wait_until(lambda: made.all_open(("engine-1", "orders-1")))
-    yield made
-    made.stop()
+    new_bed.apply(declared)
+    processes.wait_until(lambda: new_bed.all_open(("engine-1", "orders-1")))
+    yield new_bed
+    new_bed.stop()
 
 
 @pytest.fixture(autouse=True)
@@ -56,22 +56,22 @@
 def wait_for(bed, name, location):
     answers = []
 
-    def done():
+    def is_done():
         answers.append(call(bed, name, "GET", location))
         return answers[-1][1].get("Mothworks-State") == "done"
 
-    processes.wait_until(done, 40)
+    processes.wait_until(is_done, 40)
     status, _, body = answers[-1]
     return status, body
 
 
-def code(reply):
+def error_of(reply):
     status, _, body = reply
     value = orjson.loads(body)["error"]
     return status, value["code"], value["ran"]
 
 
-def test_any_node_has_the_complete_answer(bed):
+def test_any_node_returns_the_complete_answer(bed):
     location = defer(bed, "vm-1", CHAT, BODY)
     status, body = wait_for(bed, "vm-2", location)
     assert status == 200
@@ -83,18 +83,18 @@
 def test_only_the_same_caller_finds_the_answer(bed):
     location = defer(bed, "vm-1", CHAT, BODY)
     other = call(bed, "vm-1", "GET", location, key=builders.BULK_KEY)
-    assert code(other) == (404, "work_not_found", "no")
+    assert error_of(other) == (404, "work_not_found", "no")
     for path in ("/deferred/", "/deferred/zz-1", "/deferred/1-../../claims"):
-        assert code(call(bed, "vm-1", "GET", path))[0] == 404
+        assert error_of(call(bed, "vm-1", "GET", path))[0] == 404
 
 
 def test_a_bad_request_is_refused_before_it_is_stored(bed):
     refused = call(bed, "vm-1", "POST", CHAT, b"{", Prefer="respond-async")
-    assert code(refused) == (400, "invalid_json", "no")
+    assert error_of(refused) == (400, "invalid_json", "no")
 
 
 def test_a_resend_of_an_order_is_the_same_work(bed):
-    # The 202 was lost, and the caller sends the order again.
+    # The reply 202 is lost, and the caller resends the order.
     key = {"Idempotency-Key": "lost-202"}
     first = defer(bed, "vm-1", ORDER, b"deferred tray", **key)
     again = defer(bed, "vm-2", ORDER, b"deferred tray", **key)
@@ -102,33 +102,33 @@
     assert bed.fake_by_endpoint["orders-1"].calls_by_body[b"deferred tray"] == 1
 
 
-def test_an_outage_refuses_and_a_long_body_is_refused_clearly(bed):
+def test_work_is_refused_during_an_outage_and_with_a_long_body(bed):
     bed.object_api.faults.outage = True
     headers = {"Prefer": "respond-async"}
     refused = call(bed, "vm-1", "POST", CHAT, BODY, **headers)
-    assert code(refused) == (503, "object_api", "no")
+    assert error_of(refused) == (503, "object_api", "no")
     bed.object_api.faults.outage = False
     long_body = orjson.dumps({"model": "menu", "prompt": "x" * objects.MOST_BYTES})
     refused = call(bed, "vm-1", "POST", "/v1/completions", long_body, **headers)
-    assert code(refused) == (413, "body_too_long", "no")
+    assert error_of(refused) == (413, "body_too_long", "no")
 
 
-def test_work_of_a_later_version_is_left_alone(bed):
-    # A newer VM stored work with a form that this version does not know.
+def test_work_in_a_later_format_is_left_unchanged(bed):
+    # A newer VM stored work in a format that this version can't decode.
     work_id = "79d0b-later"
     key = deferred_records.key(deferred_records.OPEN_PREFIX, work_id)
     version = object_api.Item(1, msgpack.packb(["later", {"form": 2}]))
     bed.object_api.item_by_key[key] = version
-    asked = code(call(bed, "vm-1", "GET", f"/deferred/{work_id}"))
-    assert asked == (503, "object_api", "no")
+    error = error_of(call(bed, "vm-1", "GET", f"/deferred/{work_id}"))
+    assert error == (503, "object_api", "no")
     status, body = wait_for(bed, "vm-1", defer(bed, "vm-2", CHAT, BODY))
     assert status == 200
     assert bed.object_api.item_by_key.pop(key) is version
 
 
 def test_work_survives_the_death_of_every_node(bed):
-    # An overnight draft was accepted; then every node died, one of them
-    # while the draft ran. New nodes find it and bring the answer.
+    # Work is accepted, then every node dies, one of them while it runs the
+    # work. New nodes find the work and store its answer.
     engine = bed.fake_by_endpoint["engine-1"]
     gate = engine.gates.close(gates.Step.SENT)
     location = defer(bed, "vm-1", CHAT, BODY)
