--- a/packages/mothworks/src/mothworks/suspect_records.py
+++ b/packages/mothworks/src/mothworks/suspect_records.py
@@ -1,4 +1,4 @@
-"""What VMs know and tell of requests that may crash endpoints."""
+"""Suspects and the messages between VMs about them."""
 
 import time
 
@@ -8,22 +8,20 @@
 from mothworks import messages, requests
 
 #: Points for a connection that broke alone, and for a crash.
-LONE_BREAK = 1
-
-
-CRASH = 2
-#: Points from which a request runs alone, and from which it is refused.
-SUSPECT_AT = 2
-QUARANTINE_AT = 4
+LONE_BREAK_POINTS = 1
+CRASH_POINTS = 2
+#: Points from which a request runs alone, and from which it is quarantined.
+SUSPECT_THRESHOLD = 2
+QUARANTINE_THRESHOLD = 4
 
 
 @messages.message(60)
 @attrs.frozen
-class Broke:
-    """An entry tells an endpoint's owner of a connection that broke.
+class BrokenConnection:
+    """An entry reports a broken connection to the endpoint's owner.
 
     :param endpoint: the endpoint's name.
-    :param fingerprint: the request's.
+    :param fingerprint: the request's fingerprint.
     :param request_id: the request's id.
     :param caller: the caller's name.
     :param target: the model, adapter or service.
@@ -38,10 +36,10 @@
 
 @messages.message(61)
 @attrs.frozen
-class Judged:
-    """Answers :class:`Broke`, once the owner has judged.
+class Verdict:
+    """Reply to :class:`BrokenConnection`, sent after the owner has judged.
 
-    :param points: the request's points now.
+    :param points: the request's points afterwards.
     """
 
     points: int
@@ -49,8 +47,8 @@
 
 @messages.message(62)
 @attrs.frozen
-class SuspectNews:
-    """What the sender knows of some requests.
+class SuspectUpdate:
+    """Replicates suspects of the sender.
 
     :param rows: fields of :class:`Suspect`, in order.
     """
@@ -60,14 +58,14 @@
 
 @attrs.frozen
 class Suspect:
-    """A request that endpoints crashed on.
+    """A request whose connection broke, and its points.
 
     :param fingerprint: hash of caller, target and body.
-    :param points: see :data:`SUSPECT_AT`; 0 for one that was cleared.
-    :param when_ms: wall time of the last change, milliseconds.
+    :param points: see :data:`SUSPECT_THRESHOLD`; 0 after it is cleared.
+    :param when_ms: Unix time of the last change, milliseconds.
     :param caller: the caller's name.
     :param target: the model, adapter or service.
-    :param endpoint: where it broke last.
+    :param endpoint: the endpoint at which it broke last.
     """
 
     fingerprint: bytes
@@ -79,12 +77,12 @@
 
     @property
     def quarantined(self) -> bool:
-        """Return whether it is refused."""
-        return self.points >= QUARANTINE_AT
+        """Return whether the request is refused."""
+        return self.points >= QUARANTINE_THRESHOLD
 
 
 def fingerprint(request: requests.Request) -> bytes:
-    """Return the hash that tells a request from others, also when sent again.
+    """Return the hash that identifies a request and its resends.
 
     :param request: the request.
     """
@@ -95,38 +93,38 @@
     return digest.digest()
 
 
-def news(suspects: tuple[Suspect, ...]) -> SuspectNews:
-    """Return the message that carries suspects.
+def update(suspects: tuple[Suspect, ...]) -> SuspectUpdate:
+    """Return the message that replicates suspects.
 
     :param suspects: the suspects.
     """
-    return SuspectNews(attrs.astuple(suspect) for suspect in suspects)
+    return SuspectUpdate(attrs.astuple(suspect) for suspect in suspects)
 
 
-def order(suspect: Suspect) -> tuple[int, int]:
-    """Return what tells newer knowledge of a request from older.
+def version(suspect: Suspect) -> tuple[int, int]:
+    """Return a key that orders states of a suspect; the greater one is newer.
 
-    :param suspect: the request.
+    :param suspect: the suspect.
     """
     return suspect.when_ms, suspect.points
 
 
 def cleared(suspect: Suspect) -> Suspect:
-    """Return a request without its points.
+    """Return a suspect with its points cleared.
 
-    :param suspect: the request.
+    :param suspect: the suspect.
     """
-    return attrs.evolve(suspect, points=0, when_ms=after(suspect))
+    return attrs.evolve(suspect, points=0, when_ms=next_timestamp_ms(suspect))
 
 
-def after(known: Suspect | None) -> int:
-    """Return a time later than what is known, also where clocks differ.
+def next_timestamp_ms(previous: Suspect | None) -> int:
+    """Return a time later than a suspect's last change, also if clocks differ.
 
-    :param known: what is known; None for nothing.
+    :param previous: the suspect before the change; None if there is none.
     """
-    return max(now_ms(), known.when_ms + 1 if known else 0)
+    return max(now_ms(), previous.when_ms + 1 if previous else 0)
 
 
 def now_ms() -> int:
-    """Return the wall time, milliseconds."""
+    """Return the Unix time, milliseconds."""
     return time.time_ns() // 1_000_000
--- a/packages/mothworks/src/mothworks/suspects.py
+++ b/packages/mothworks/src/mothworks/suspects.py
@@ -1,14 +1,14 @@
 """Suspects: requests that may crash the endpoint that runs them.
 
-Now and then one request crashes every endpoint that runs it, and its caller
-sends it again. What was in flight when an endpoint crashed is a suspect and
-from then on runs alone, so that another crash convicts it and nothing else
-is lost; running well once clears it. After two crashes it is quarantined:
-refused on every VM for a while.
-
-An entry that sees a stream break tells the endpoint's owner. Several streams
-that break at once, or an endpoint that does not answer its owner, make a
-crash; one broken connection alone counts half.
+A request can crash every endpoint that runs it, and its caller resends it.
+The requests in flight when an endpoint crashes become suspects. A suspect
+runs alone, so that another crash identifies it and interrupts no other
+request; completing once clears it. With the points of two crashes it is
+quarantined: refused on every VM until the retention ends.
+
+An entry reports a broken connection to the endpoint's owner. Several streams
+that break together, or an endpoint that does not respond to its owner, make a
+crash; one broken connection alone counts half as many points.
 """
 
 import random
@@ -35,29 +35,29 @@
 
 log = logbook.Logger("suspects")
 
-#: Time in which streams that break count as broken at once, seconds.
-WINDOW_S = 0.2
-#: Streams that break at once where the endpoint has crashed.
-SEVERAL = 2
-#: Longest wait for the owner's verdict, seconds.
-VERDICT_S = 2.0
-#: Mean time between exchanges with a random peer, seconds.
-REPAIR_S = 10.0
-#: Most requests remembered; the oldest are forgotten first.
-MOST = 2000
+#: Time within which streams that break count as broken together, seconds.
+BREAK_WINDOW_S = 0.2
+#: Number of streams broken together that is judged a crash.
+CRASH_STREAMS = 2
+#: Timeout of waiting for the owner's verdict, seconds.
+VERDICT_TIMEOUT_S = 2.0
+#: Mean interval between sending all suspects to a random peer, seconds.
+PUSH_INTERVAL_S = 10.0
+#: Maximum number of suspects stored; the least recently updated are evicted.
+MAX_SUSPECTS = 2000
 
 
 @attrs.frozen
-class _Case:
-    """Connections to one endpoint that broke at once."""
+class _BreakGroup:
+    """Connections to one endpoint that broke within :data:`BREAK_WINDOW_S`."""
 
-    breaks: list[suspect_records.Broke]
+    breaks: list[suspect_records.BrokenConnection]
     judged: gevent.event.Event
 
 
 @plugins.register(plugins.PART, "suspects")
 class Suspects(kernel.Part):
-    """Judges crashes of owned endpoints and keeps what all VMs know.
+    """Judges crashes of owned endpoints, and replicates suspects over all VMs.
 
     :param node_kernel: the node's kernel.
     """
@@ -70,37 +70,37 @@
         self.membership = node_kernel.get(membership.Membership)
         self.peers = node_kernel.get(peers.Peers)
         self.suspect_by_fingerprint: dict[bytes, suspect_records.Suspect] = {}
-        self.case_by_endpoint: dict[str, _Case] = {}
-        self.peers.handle(suspect_records.Broke, self._serve_broke)
-        self.peers.handle(suspect_records.SuspectNews, self._serve_news)
+        self.group_by_endpoint: dict[str, _BreakGroup] = {}
+        self.peers.handle(suspect_records.BrokenConnection, self._serve_broken)
+        self.peers.handle(suspect_records.SuspectUpdate, self._serve_update)
 
     def start(self) -> None:
-        """Start to repair what gossip missed."""
-        self.tasks.every(REPAIR_S, self._repair)
+        """Start to send suspects to peers that missed an update."""
+        self.tasks.every(PUSH_INTERVAL_S, self._push_suspects)
 
     def check(self, request: requests.Request) -> result.Result[bool, outcomes.Refusal]:
-        """Return whether a request has to run alone.
+        """Return whether a request is a suspect, which has to run alone.
 
         :param request: the request.
-        :returns: an error where it is quarantined.
+        :returns: an error if it is quarantined.
         """
         if not self.suspect_by_fingerprint:
             return result.Ok(False)
         suspect = self._current(suspect_records.fingerprint(request))
-        if suspect is None or suspect.points < suspect_records.SUSPECT_AT:
+        if suspect is None or suspect.points < suspect_records.SUSPECT_THRESHOLD:
             return result.Ok(False)
         if not suspect.quarantined:
             return result.Ok(True)
-        message = "this request crashed the endpoints that ran it and is refused now"
+        message = "this request crashed the endpoints that ran it and is quarantined"
         return result.Err(outcomes.invalid(message, "quarantined", 422))
 
     def broke(self, request: requests.Request, endpoint: catalogue.Endpoint) -> None:
-        """Tell of a connection that broke, and wait for the verdict.
+        """Report a connection that broke, and wait for the verdict.
 
         :param request: the request that it carried.
         :param endpoint: where it ran.
         """
-        broke = suspect_records.Broke(
+        broken = suspect_records.BrokenConnection(
             endpoint.name,
             suspect_records.fingerprint(request),
             request.id,
@@ -108,12 +108,12 @@
             request.target,
         )
         owner = self.health.owner(endpoint)
-        mine = owner is None or owner.name == self.kernel.settings.name
-        if mine or self.peers.call(owner.name, broke, VERDICT_S).is_err():
-            self._judge(broke)
+        owned = owner is None or owner.name == self.kernel.settings.name
+        if owned or self.peers.call(owner.name, broken, VERDICT_TIMEOUT_S).is_err():
+            self._judge(broken)
 
     def report(self, request: requests.Request, endpoint: catalogue.Endpoint) -> None:
-        """Tell of a connection that broke, without waiting.
+        """Report a connection that broke, without waiting.
 
         :param request: the request that it carried.
         :param endpoint: where it ran.
@@ -121,15 +121,18 @@
         self.tasks.spawn(self.broke, request, endpoint)
 
     def ran_well(self, request: requests.Request) -> None:
-        """Clear a request that ran to its end.
+        """Clear a suspect that completed, unless it is quarantined.
 
         :param request: the request.
         """
         if not self.suspect_by_fingerprint:
             return
         suspect = self._current(suspect_records.fingerprint(request))
-        if suspect is not None and 0 < suspect.points < suspect_records.QUARANTINE_AT:
-            self._change((suspect_records.cleared(suspect),))
+        if (
+            suspect is not None
+            and 0 < suspect.points < suspect_records.QUARANTINE_THRESHOLD
+        ):
+            self._publish((suspect_records.cleared(suspect),))
 
     def listed(self) -> list[suspect_records.Suspect]:
         """Return suspects and quarantined requests, the newest first."""
@@ -144,127 +147,133 @@
         """Clear a request on every VM, quarantined or not.
 
         :param name: its fingerprint, in hex.
-        :returns: whether there was one.
+        :returns: whether there was such a request.
         """
         for suspect in self.listed():
             if suspect.fingerprint.hex() == name:
-                self._change((suspect_records.cleared(suspect),))
+                self._publish((suspect_records.cleared(suspect),))
                 return True
         return False
 
-    def _judge(self, broke: suspect_records.Broke) -> int:
-        """Judge a broken connection with others of the same moment."""
-        case = self.case_by_endpoint.get(broke.endpoint)
-        if case is None:
-            case = _Case([broke], gevent.event.Event())
-            self.case_by_endpoint[broke.endpoint] = case
-            self.tasks.spawn(self._close_case, broke.endpoint)
+    def _judge(self, broken: suspect_records.BrokenConnection) -> int:
+        """Judge a connection together with others that broke at the same time.
+
+        :returns: the request's points afterwards.
+        """
+        group = self.group_by_endpoint.get(broken.endpoint)
+        if group is None:
+            group = _BreakGroup([broken], gevent.event.Event())
+            self.group_by_endpoint[broken.endpoint] = group
+            self.tasks.spawn(self._judge_group, broken.endpoint)
         else:
-            case.breaks.append(broke)
-        case.judged.wait()
-        suspect = self._current(broke.fingerprint)
+            group.breaks.append(broken)
+        group.judged.wait()
+        suspect = self._current(broken.fingerprint)
         return suspect.points if suspect else 0
 
-    def _close_case(self, endpoint: str) -> None:
-        gevent.sleep(WINDOW_S)
-        case = self.case_by_endpoint.pop(endpoint)
-        streams = {broke.request_id for broke in case.breaks}
-        crashed = len(streams) >= SEVERAL or not self._answers(endpoint)
+    def _judge_group(self, endpoint: str) -> None:
+        gevent.sleep(BREAK_WINDOW_S)
+        group = self.group_by_endpoint.pop(endpoint)
+        request_ids = {broken.request_id for broken in group.breaks}
+        crashed = len(request_ids) >= CRASH_STREAMS or not self._is_responsive(endpoint)
         if crashed:
-            log.warning("{} crashed with {} in flight", endpoint, len(streams))
-        broke_by_fingerprint = {broke.fingerprint: broke for broke in case.breaks}
-        self._change(
+            log.warning("{} crashed with {} in flight", endpoint, len(request_ids))
+        broken_by_fingerprint = {broken.fingerprint: broken for broken in group.breaks}
+        self._publish(
             tuple(
-                self._accuse(broke, crashed) for broke in broke_by_fingerprint.values()
+                self._add_points(broken, crashed)
+                for broken in broken_by_fingerprint.values()
             )
         )
-        case.judged.set()
+        group.judged.set()
 
-    def _accuse(
-        self, broke: suspect_records.Broke, crashed: bool
+    def _add_points(
+        self, broken: suspect_records.BrokenConnection, crashed: bool
     ) -> suspect_records.Suspect:
-        known = self._current(broke.fingerprint)
-        points = known.points if known else 0
-        elsewhere = known is None or known.endpoint != broke.endpoint
-        # A suspect runs alone: where its connection breaks, no other request
-        # can have been the cause. At the same endpoint again, it may well be
-        # the endpoint that is broken.
-        if elsewhere and (crashed or points >= suspect_records.SUSPECT_AT):
-            points += suspect_records.CRASH
+        previous = self._current(broken.fingerprint)
+        points = previous.points if previous else 0
+        other_endpoint = previous is None or previous.endpoint != broken.endpoint
+        # A suspect runs alone: if its connection breaks, no other request can
+        # be the cause. If it breaks at the same endpoint again, the endpoint
+        # itself may be faulty.
+        if other_endpoint and (crashed or points >= suspect_records.SUSPECT_THRESHOLD):
+            points += suspect_records.CRASH_POINTS
         else:
-            points += suspect_records.LONE_BREAK
+            points += suspect_records.LONE_BREAK_POINTS
         suspect = suspect_records.Suspect(
-            broke.fingerprint,
+            broken.fingerprint,
             points,
-            suspect_records.after(known),
-            broke.caller,
-            broke.target,
-            broke.endpoint,
+            suspect_records.next_timestamp_ms(previous),
+            broken.caller,
+            broken.target,
+            broken.endpoint,
         )
         if suspect.quarantined:
             log.warning(
                 "request {} of {} to {} is quarantined",
-                broke.fingerprint.hex(),
-                broke.caller,
-                broke.target,
+                broken.fingerprint.hex(),
+                broken.caller,
+                broken.target,
             )
             self.audit.record(
                 audit.Kind.QUARANTINE,
-                broke.fingerprint.hex(),
-                f"quarantine a request of {broke.caller} to {broke.target}",
-                f"{points} points after {broke.endpoint}",
-                before=known.points if known else 0,
+                broken.fingerprint.hex(),
+                f"quarantine a request of {broken.caller} to {broken.target}",
+                f"{points} points after {broken.endpoint}",
+                before=previous.points if previous else 0,
                 after=points,
             )
         return suspect
 
-    def _answers(self, name: str) -> bool:
+    def _is_responsive(self, name: str) -> bool:
         endpoint = self.configuration.index.endpoint_by_name.get(name)
         if endpoint is None:
             return True
         return self.health.adapters.get(endpoint.kind).report(endpoint).is_ok()
 
-    def _change(self, suspects: tuple[suspect_records.Suspect, ...]) -> None:
-        self._take(suspects)
-        self.peers.send_all(suspect_records.news(suspects))
+    def _publish(self, suspects: tuple[suspect_records.Suspect, ...]) -> None:
+        self._merge(suspects)
+        self.peers.send_all(suspect_records.update(suspects))
 
-    def _take(self, suspects: tuple[suspect_records.Suspect, ...]) -> None:
+    def _merge(self, suspects: tuple[suspect_records.Suspect, ...]) -> None:
         for suspect in suspects:
-            known = self.suspect_by_fingerprint.get(suspect.fingerprint)
-            if known is None or suspect_records.order(known) < suspect_records.order(
-                suspect
-            ):
+            previous = self.suspect_by_fingerprint.get(suspect.fingerprint)
+            if previous is None or suspect_records.version(
+                previous
+            ) < suspect_records.version(suspect):
                 self.suspect_by_fingerprint.pop(suspect.fingerprint, None)
                 self.suspect_by_fingerprint[suspect.fingerprint] = suspect
-        while len(self.suspect_by_fingerprint) > MOST:
+        while len(self.suspect_by_fingerprint) > MAX_SUSPECTS:
             self.suspect_by_fingerprint.pop(next(iter(self.suspect_by_fingerprint)))
 
     def _current(self, key: bytes) -> suspect_records.Suspect | None:
         suspect = self.suspect_by_fingerprint.get(key)
         if suspect is None:
             return None
-        kept_s = self.configuration.index.catalogue.retention.quarantine_s
-        if suspect.when_ms < suspect_records.now_ms() - kept_s * 1000:
+        retention_s = self.configuration.index.catalogue.retention.quarantine_s
+        if suspect.when_ms < suspect_records.now_ms() - retention_s * 1000:
             del self.suspect_by_fingerprint[key]
             return None
         return suspect
 
-    def _repair(self) -> None:
-        # News is lost on a VM that starts later or was cut off: it would let
-        # a quarantined request crash further endpoints.
+    def _push_suspects(self) -> None:
+        # A VM that starts later or was partitioned misses updates, and would
+        # let a quarantined request crash further endpoints.
         for key in list(self.suspect_by_fingerprint):
             self._current(key)
-        known = tuple(self.suspect_by_fingerprint.values())
-        others = self.membership.peers()
-        if known and others:
-            self.peers.send(random.choice(others).name, suspect_records.news(known))
+        suspects = tuple(self.suspect_by_fingerprint.values())
+        live_peers = self.membership.peers()
+        if suspects and live_peers:
+            self.peers.send(
+                random.choice(live_peers).name, suspect_records.update(suspects)
+            )
 
-    def _serve_broke(
-        self, _: str, broke: suspect_records.Broke, answer: peers.Answer
+    def _serve_broken(
+        self, _: str, broken: suspect_records.BrokenConnection, answer: peers.Answer
     ) -> None:
-        self.tasks.spawn(lambda: answer(suspect_records.Judged(self._judge(broke))))
+        self.tasks.spawn(lambda: answer(suspect_records.Verdict(self._judge(broken))))
 
-    def _serve_news(
-        self, _: str, news: suspect_records.SuspectNews, __: peers.Answer
+    def _serve_update(
+        self, _: str, update: suspect_records.SuspectUpdate, __: peers.Answer
     ) -> None:
-        self._take(tuple(suspect_records.Suspect(*row) for row in news.rows))
+        self._merge(tuple(suspect_records.Suspect(*row) for row in update.rows))
--- a/packages/mothworks/tests/test_suspects.py
+++ b/packages/mothworks/tests/test_suspects.py
@@ -1,4 +1,4 @@
-"""Poison requests: convicted by crashing endpoints alone, and then refused."""
+"""Poison requests: identified by crashing endpoints alone, then refused."""
 
 import gevent
 import geventhttpclient
@@ -14,101 +14,105 @@
 
 @pytest.fixture
 def part(monkeypatch):
-    monkeypatch.setattr(suspects, "WINDOW_S", 0.01)
-    made = builders.kernel_with_objects(None).get(suspects.Suspects)
-    made.sent = []
-    monkeypatch.setattr(made.peers, "send_all", made.sent.append)
-    monkeypatch.setattr(made.health, "owner", lambda endpoint: None)
-    made.answering = True
-    monkeypatch.setattr(made, "_answers", lambda name: made.answering)
-    return made
-
-
-def break_at_once(part, *broken, at="engine-1"):
-    endpoint = builders.endpoint(at)
-    gevent.joinall([gevent.spawn(part.broke, item, endpoint) for item in broken])
+    monkeypatch.setattr(suspects, "BREAK_WINDOW_S", 0.01)
+    new_part = builders.kernel_with_objects(None).get(suspects.Suspects)
+    new_part.sent = []
+    monkeypatch.setattr(new_part.peers, "send_all", new_part.sent.append)
+    monkeypatch.setattr(new_part.health, "owner", lambda endpoint: None)
+    new_part.responsive = True
+    monkeypatch.setattr(new_part, "_is_responsive", lambda name: new_part.responsive)
+    return new_part
+
+
+def break_together(part, *requests, endpoint_name="engine-1"):
+    endpoint = builders.endpoint(endpoint_name)
+    gevent.joinall(
+        [gevent.spawn(part.broke, request, endpoint) for request in requests]
+    )
 
 
-def asked(name, request_id=None, **changes):
+def make_request(name, request_id=None, **changes):
     return builders.request(request_id or name, body=name.encode(), **changes)
 
 
-def test_streams_that_break_at_once_are_suspects_until_they_run_well(part):
-    poison, innocent = asked("poison"), asked("innocent")
-    break_at_once(part, poison, innocent)
+def test_streams_that_break_together_are_suspects_until_they_complete(part):
+    poison, innocent = make_request("poison"), make_request("innocent")
+    break_together(part, poison, innocent)
     assert part.check(poison).unwrap() and part.check(innocent).unwrap()
     part.ran_well(innocent)
     assert not part.check(innocent).unwrap()
-    assert [item.target for item in part.listed()] == ["menu"]
+    assert [suspect.target for suspect in part.listed()] == ["menu"]
 
 
-def test_a_suspect_that_breaks_alone_is_quarantined_for_all_callers_copies(part):
-    poison = asked("poison")
-    break_at_once(part, poison, asked("innocent"))
-    break_at_once(part, asked("poison", request_id="sent again"), at="engine-2")
+def test_a_suspect_that_breaks_alone_is_quarantined_with_its_resends(part):
+    poison = make_request("poison")
+    break_together(part, poison, make_request("innocent"))
+    break_together(
+        part, make_request("poison", request_id="sent again"), endpoint_name="engine-2"
+    )
     refusal = part.check(poison).unwrap_err()
     assert (refusal.status, refusal.code, refusal.ran) == (422, "quarantined", "no")
-    assert part.check(asked("innocent")).unwrap()
+    assert part.check(make_request("innocent")).unwrap()
     other = builders.caller(name="other")
-    assert not part.check(asked("poison", caller=other)).unwrap()
+    assert not part.check(make_request("poison", caller=other)).unwrap()
 
 
-def test_a_broken_endpoint_does_not_convict_what_it_is_sent(part):
-    # One engine breaks whatever it runs. A caller that sends a good request
-    # again, and meets that engine again, would be refused everywhere.
-    part.answering = False
-    break_at_once(part, asked("unlucky"))
-    break_at_once(part, asked("unlucky"))
-    assert part.check(asked("unlucky")).unwrap()
+def test_a_faulty_endpoint_does_not_get_requests_quarantined(part):
+    # One engine breaks every request. A good request that is resent and runs
+    # on that engine again would otherwise be refused on every VM.
+    part.responsive = False
+    break_together(part, make_request("unlucky"))
+    break_together(part, make_request("unlucky"))
+    assert part.check(make_request("unlucky")).unwrap()
 
 
 def test_one_broken_connection_is_no_crash(part):
-    break_at_once(part, asked("unlucky"))
-    assert not part.check(asked("unlucky")).unwrap()
+    break_together(part, make_request("unlucky"))
+    assert not part.check(make_request("unlucky")).unwrap()
 
 
 def test_one_broken_connection_to_a_dead_endpoint_is_a_crash(part):
-    part.answering = False
-    break_at_once(part, asked("poison"))
-    assert part.check(asked("poison")).unwrap()
+    part.responsive = False
+    break_together(part, make_request("poison"))
+    assert part.check(make_request("poison")).unwrap()
 
 
 def test_a_quarantine_can_be_lifted_and_expires(part, monkeypatch):
-    part.answering = False
-    poison = asked("poison")
-    break_at_once(part, poison)
-    break_at_once(part, poison, at="engine-2")
+    part.responsive = False
+    poison = make_request("poison")
+    break_together(part, poison)
+    break_together(part, poison, endpoint_name="engine-2")
     (listed,) = part.listed()
     assert listed.quarantined
     assert not part.lift("00")
     assert part.lift(listed.fingerprint.hex())
     assert not part.check(poison).unwrap()
-    break_at_once(part, poison)
-    break_at_once(part, poison, at="engine-2")
+    break_together(part, poison)
+    break_together(part, poison, endpoint_name="engine-2")
     assert part.check(poison).is_err()
-    kept_s = part.configuration.index.catalogue.retention.quarantine_s
-    later = suspect_records.now_ms() + int(kept_s * 1000) + 1
-    monkeypatch.setattr(suspect_records, "now_ms", lambda: later)
+    retention_s = part.configuration.index.catalogue.retention.quarantine_s
+    after_retention_ms = suspect_records.now_ms() + int(retention_s * 1000) + 1
+    monkeypatch.setattr(suspect_records, "now_ms", lambda: after_retention_ms)
     assert not part.check(poison).unwrap()
 
 
-def test_news_in_any_order_end_in_the_same_state(part):
-    part.answering = False
-    break_at_once(part, asked("poison"))
-    break_at_once(part, asked("poison"), at="engine-2")
-    part.lift(suspect_records.fingerprint(asked("poison")).hex())
-    news = list(part.sent)
-    for order in (news, news[::-1]):
+def test_updates_in_any_order_lead_to_the_same_state(part):
+    part.responsive = False
+    break_together(part, make_request("poison"))
+    break_together(part, make_request("poison"), endpoint_name="engine-2")
+    part.lift(suspect_records.fingerprint(make_request("poison")).hex())
+    updates = list(part.sent)
+    for updates_in_order in (updates, updates[::-1]):
         part.suspect_by_fingerprint.clear()
-        for item in order:
-            part._serve_news("vm-2", item, None)
+        for update in updates_in_order:
+            part._serve_update("vm-2", update, None)
         assert part.listed() == []
 
 
 def test_a_poison_request_crashes_two_engines_and_no_third(bed):
-    # A caller sends a request that crashes every engine, again and again and
-    # through different nodes. It used to take down one engine after another,
-    # and what ran beside it.
+    # A caller repeatedly sends a request that crashes every engine, through
+    # different nodes. Without quarantine it crashed one engine after another,
+    # together with the other requests that ran there.
     names = ("engine-1", "engine-2", "engine-3")
     declared = []
     for name in names:
@@ -120,12 +124,12 @@
     bed.apply(builders.declared(services=(), endpoints=tuple(declared)))
     processes.wait_until(lambda: bed.all_open(names))
     poison = chat(bed, "vm-1", engine.POISON.decode())
-    assert code(poison) == (422, "quarantined", "unknown")
+    assert error_of(poison) == (422, "quarantined", "unknown")
     assert crashes(bed) == 2
     for name in bed.node_by_name:
         processes.wait_until(
             lambda name=name: (
-                code(chat(bed, name, engine.POISON.decode()))
+                error_of(chat(bed, name, engine.POISON.decode()))
                 == (422, "quarantined", "no")
             )
         )
@@ -149,7 +153,7 @@
     return reply.status_code, bytes(reply.read())
 
 
-def code(answer):
+def error_of(answer):
     status, body = answer
     error = orjson.loads(body).get("error", {})
     return status, error.get("code"), error.get("ran")
