--- a/packages/mothworks/src/mothworks/claiming.py
+++ b/packages/mothworks/src/mothworks/claiming.py
@@ -123,9 +123,9 @@
         return self.claims.decide(claim_request)
 
     def _interpret(
-        self, answer: claim_messages.ClaimReply, wait: bool = True
+        self, reply: claim_messages.ClaimReply, wait: bool = True
     ) -> DuplicateResult | None:
-        match answer.decision:
+        match reply.decision:
             case claim_messages.Decision.FREE | claim_messages.Decision.GRANTED:
                 return None
             case claim_messages.Decision.CLAIMED if wait:
@@ -135,7 +135,7 @@
             case claim_messages.Decision.OUTCOME_LOST:
                 return result.Err(_outcome_lost())
             case claim_messages.Decision.DONE:
-                return result.Ok(claim_messages.stored_answer(answer))
+                return result.Ok(claim_messages.stored_answer(reply))
             case claim_messages.Decision.NOT_STORED:
                 return result.Err(_answer_not_stored())
             case claim_messages.Decision.KEY_REUSED:
@@ -152,15 +152,15 @@
         while time.monotonic() < deadline:
             gevent.sleep(poll_s)
             poll_s = min(2 * poll_s, MAX_POLL_S)
-            answer = self._request_decision(claim=False)
-            if answer.decision == claim_messages.Decision.CLAIMED:
-                if self.claims.is_active(answer):
+            reply = self._request_decision(claim=False)
+            if reply.decision == claim_messages.Decision.CLAIMED:
+                if self.claims.is_active(reply):
                     continue
                 # The holder died, or has just stored the outcome: reload.
-                answer = self._request_decision(claim=False, reload=True)
-                if answer.decision == claim_messages.Decision.CLAIMED:
+                reply = self._request_decision(claim=False, reload=True)
+                if reply.decision == claim_messages.Decision.CLAIMED:
                     return result.Err(_outcome_lost())
-            return self._interpret(answer, wait=False)
+            return self._interpret(reply, wait=False)
         return result.Err(_still_running())
 
 
--- a/packages/mothworks/src/mothworks/claims.py
+++ b/packages/mothworks/src/mothworks/claims.py
@@ -90,8 +90,8 @@
         if owner != self.kernel.settings.name:
             deadline = time.monotonic() + OWNER_TIMEOUT_S
             match self.peers.call(owner, claim_request, OWNER_TIMEOUT_S):
-                case result.Ok(claim_messages.ClaimReply() as answer):
-                    return answer
+                case result.Ok(claim_messages.ClaimReply() as reply):
+                    return reply
                 case _ if time.monotonic() >= deadline:
                     # If the owner is slow because the object API is slow,
                     # competing writes would only slow it further.
@@ -100,17 +100,17 @@
                     )
         return self._decide_locally(claim_request)
 
-    def is_active(self, answer: claim_messages.ClaimReply) -> bool:
+    def is_active(self, reply: claim_messages.ClaimReply) -> bool:
         """Ask a claim's holder whether the claim is still active.
 
-        :param answer: the reply that names the holder and the claim.
+        :param reply: the reply that names the holder and the claim.
         :returns: False if the holder does not reply.
         """
-        if answer.holder == self.kernel.settings.name:
-            return answer.claim_id in self.active_claims
+        if reply.holder == self.kernel.settings.name:
+            return reply.claim_id in self.active_claims
         match self.peers.call(
-            answer.holder,
-            claim_messages.ActivityRequest(answer.claim_id),
+            reply.holder,
+            claim_messages.ActivityRequest(reply.claim_id),
             HOLDER_TIMEOUT_S,
         ):
             case result.Ok(claim_messages.ActivityReply(active)):
@@ -245,18 +245,18 @@
         return self._shard(update.key).append(record).is_ok()
 
     def _serve_request(
-        self, _: str, claim_request: claim_messages.ClaimRequest, answer: peers.Answer
+        self, _: str, claim_request: claim_messages.ClaimRequest, reply: peers.Answer
     ) -> None:
-        self.tasks.spawn(lambda: answer(self._decide_locally(claim_request)))
+        self.tasks.spawn(lambda: reply(self._decide_locally(claim_request)))
 
     def _serve_outcome(
-        self, _: str, update: claim_messages.OutcomeUpdate, answer: peers.Answer
+        self, _: str, update: claim_messages.OutcomeUpdate, reply: peers.Answer
     ) -> None:
         self.tasks.spawn(
-            lambda: answer(claim_messages.OutcomeReply(self._append_outcome(update)))
+            lambda: reply(claim_messages.OutcomeReply(self._append_outcome(update)))
         )
 
     def _serve_activity(
-        self, _: str, request: claim_messages.ActivityRequest, answer: peers.Answer
+        self, _: str, request: claim_messages.ActivityRequest, reply: peers.Answer
     ) -> None:
-        answer(claim_messages.ActivityReply(request.claim_id in self.active_claims))
+        reply(claim_messages.ActivityReply(request.claim_id in self.active_claims))
--- a/packages/mothworks/src/mothworks/suspects.py
+++ b/packages/mothworks/src/mothworks/suspects.py
@@ -269,9 +269,9 @@
             )
 
     def _serve_broken(
-        self, _: str, broken: suspect_records.BrokenConnection, answer: peers.Answer
+        self, _: str, broken: suspect_records.BrokenConnection, reply: peers.Answer
     ) -> None:
-        self.tasks.spawn(lambda: answer(suspect_records.Verdict(self._judge(broken))))
+        self.tasks.spawn(lambda: reply(suspect_records.Verdict(self._judge(broken))))
 
     def _serve_update(
         self, _: str, update: suspect_records.SuspectUpdate, __: peers.Answer
