--- a/packages/mothworks/src/mothworks/configuration.py
+++ b/packages/mothworks/src/mothworks/configuration.py
@@ -1,9 +1,9 @@
-"""The configuration in force: the newest catalogue this VM knows.
+"""The configuration in force: the newest catalogue this VM has adopted.
 
 A revision is stored as immutable parts, named by the hash of their content,
-and one head object that names them and is flipped by a conditional update.
-A VM never takes a lower revision than it has. Other modules bring new heads:
-:mod:`mothworks.configuration_following` from the object API,
+and one head object that lists them and is replaced by a conditional write.
+A VM never adopts a lower revision than its own. Other modules deliver new
+heads: :mod:`mothworks.configuration_following` from the object API,
 :mod:`mothworks.configuration_gossip` from peers.
 """
 
@@ -32,20 +32,20 @@
 
 log = logbook.Logger("configuration")
 
-#: Time before a revision that this VM could not read is tried again, seconds.
-REFUSED_S = 60.0
-#: Revisions kept, so that an operator whose change came too late is told
-#: what others changed.
-EARLIER_REVISIONS = 8
+#: Time before an unreadable revision is tried again, seconds.
+UNREADABLE_RETRY_S = 60.0
+#: Earlier revisions retained, so that an operator whose change is based on
+#: one of them gets the difference to the one in force.
+MAX_EARLIER_REVISIONS = 8
 
 
 @attrs.frozen
 class Stale:
-    """A change was made against another revision than the one in force.
+    """A change is based on another revision than the one in force.
 
     :param revision: the revision in force.
-    :param base: the catalogue that the change was made against; None where
-        this VM does not have it.
+    :param base: the catalogue that the change is based on; None if this VM
+        does not retain it.
     :param in_force: the catalogue in force.
     """
 
@@ -56,9 +56,9 @@
 
 @attrs.frozen
 class Uncertain:
-    """A change was sent, but whether it is accepted is not known.
+    """A change was sent, but it is unknown whether it was accepted.
 
-    :param revision: the revision that it has if it was accepted.
+    :param revision: its revision if it was accepted.
     :param reason: what failed.
     """
 
@@ -68,7 +68,7 @@
 
 @attrs.frozen
 class Unreadable:
-    """A revision is corrupt, or has fields that this version does not know.
+    """A revision is corrupt, or has fields unknown to this program version.
 
     :param revision: the revision.
     :param problems: what is wrong with it.
@@ -79,22 +79,22 @@
 
 
 ApplyError = Stale | Uncertain | objects.Unavailable | objects.TooLarge
-TakeError = objects.Unavailable | Unreadable
-#: Asks for a part by its name; returns it compressed, or None.
+AdoptError = objects.Unavailable | Unreadable
+#: Fetches a part by its name; returns it compressed, or None.
 PartSource = collections.abc.Callable[[str], bytes | None]
 
 
 @attrs.frozen
-class _Refused:
-    """A head that could not be read, and when it is tried again."""
+class _RejectedHead:
+    """An unreadable head, and the monotonic time from which it is tried again."""
 
-    until: float
+    retry_at: float
     error: Unreadable
 
 
 @plugins.register(plugins.PART, "configuration")
 class Configuration(kernel.Part):
-    """Holds the newest revision and applies changes.
+    """Stores the newest revision and applies operators' changes.
 
     :param node_kernel: the node's kernel.
     """
@@ -105,20 +105,20 @@
         self.writer = configuration_writing.Writer(self.api)
         self.revision = 0
         self.index = catalogue.Index(catalogue.Catalogue())
-        #: Set once this VM has a revision or knows that there is none.
+        #: Set once this VM has a revision or knows that none is stored.
         self.loaded = gevent.event.Event()
-        #: Functions to call after a change, without arguments.
+        #: Callbacks without arguments, run after a new revision is in force.
         self.on_change: list[collections.abc.Callable[[], None]] = []
-        #: Where parts are looked for before the object API is asked.
+        #: Sources of parts that are tried before the object API.
         self.part_sources: list[PartSource] = []
-        #: The head in force as it was stored; empty before the first.
+        #: The stored bytes of the head in force; empty before the first.
         self.head_body = b""
         self.part_by_name: dict[str, configuration_parts.Part] = {}
-        self.earlier: collections.OrderedDict[int, catalogue.Catalogue] = (
+        self.earlier_by_revision: collections.OrderedDict[int, catalogue.Catalogue] = (
             collections.OrderedDict()
         )
-        self.refused_by_nonce: dict[str, _Refused] = {}
-        self.taking = gevent.lock.RLock()
+        self.rejected_by_nonce: dict[str, _RejectedHead] = {}
+        self.adopt_lock = gevent.lock.RLock()
 
     def apply(
         self, changed: catalogue.Catalogue, expected: int, who: str, why: str
@@ -129,8 +129,8 @@
         :param expected: the revision that the operator's change is based on.
         :param who: the operator.
         :param why: the operator's reason.
-        :returns: the new revision. An error has changed nothing, but for
-            :class:`Uncertain`.
+        :returns: the new revision. After an error nothing has changed, except
+            possibly after :class:`Uncertain`.
         """
         match self.writer.read_newest(self.revision):
             case result.Ok(stored):
@@ -155,44 +155,44 @@
             case error:
                 return error
 
-    def refresh(self) -> result.Result[int, TakeError]:
-        """Read the head and take it if it is newer.
+    def refresh(self) -> result.Result[int, AdoptError]:
+        """Read the stored head and adopt it if it is newer.
 
         :returns: the revision in force afterwards.
         """
         match self.api.get(configuration_head.KEY):
             case result.Ok(stored):
-                taken = self.take(stored.body)
+                adopted = self.adopt(stored.body)
             case result.Err(objects.Missing()):
-                taken = result.Ok(self.revision)
+                adopted = result.Ok(self.revision)
             case error:
                 return error
-        if taken.is_ok():
+        if adopted.is_ok():
             self.loaded.set()
-        return taken
+        return adopted
 
-    def take(
+    def adopt(
         self, body: bytes, sources: tuple[PartSource, ...] = ()
-    ) -> result.Result[int, TakeError]:
-        """Take a head if it is newer than the one in force.
+    ) -> result.Result[int, AdoptError]:
+        """Adopt a head if it is newer than the one in force.
 
-        :param body: the head as it was stored.
-        :param sources: where to look for parts first.
+        :param body: the head's stored bytes.
+        :param sources: sources of parts that are tried first.
         :returns: the revision in force afterwards.
         """
         match configuration_head.read(body):
             case result.Ok(head):
                 pass
             case result.Err(problems):
-                return self._refuse(body.decode("latin-1"), 0, problems)
-        # A slow read may finish after a newer revision was taken: taking it
-        # then would revert an accepted change on this VM.
-        with self.taking:
+                return self._reject(body.decode("latin-1"), 0, problems)
+        # A slow read may finish after a newer revision was adopted. Adopting
+        # the older one then would revert an accepted change on this VM.
+        with self.adopt_lock:
             if head.revision <= self.revision:
                 return result.Ok(self.revision)
-            refused = self.refused_by_nonce.get(head.nonce)
-            if refused is not None and time.monotonic() < refused.until:
-                return result.Err(refused.error)
+            rejected = self.rejected_by_nonce.get(head.nonce)
+            if rejected is not None and time.monotonic() < rejected.retry_at:
+                return result.Err(rejected.error)
             match self._fetch_parts(head, (*sources, *self.part_sources)):
                 case result.Ok(parts):
                     pass
@@ -201,7 +201,7 @@
             declared = configuration_parts.join(parts)
             match catalogue_checks.check(declared, configuration_head.KEY):
                 case result.Err(problems):
-                    return self._refuse(head.nonce, head.revision, problems)
+                    return self._reject(head.nonce, head.revision, problems)
         self._install(head, body, parts)
         self.loaded.set()
         return result.Ok(self.revision)
@@ -211,8 +211,8 @@
 
         :param name: the part's name.
         """
-        known = self.part_by_name.get(name)
-        return known.packed if known else None
+        cached = self.part_by_name.get(name)
+        return cached.packed if cached else None
 
     def _install(
         self,
@@ -220,41 +220,43 @@
         body: bytes,
         parts: list[configuration_parts.Part],
     ) -> None:
-        with self.taking:
+        with self.adopt_lock:
             if head.revision <= self.revision:
                 return
-            self.earlier[self.revision] = self.index.catalogue
-            while len(self.earlier) > EARLIER_REVISIONS:
-                self.earlier.popitem(last=False)
+            self.earlier_by_revision[self.revision] = self.index.catalogue
+            while len(self.earlier_by_revision) > MAX_EARLIER_REVISIONS:
+                self.earlier_by_revision.popitem(last=False)
             self.revision = head.revision
             self.index = catalogue.Index(configuration_parts.join(parts))
             self.part_by_name = {part.name: part for part in parts}
             self.head_body = body
-            self.refused_by_nonce.clear()
-        log.info("revision {} by {}", head.revision, head.who)
-        for notify in self.on_change:
-            notify()
+            self.rejected_by_nonce.clear()
+        log.info("revision {} by {} is in force", head.revision, head.who)
+        for callback in self.on_change:
+            callback()
 
-    def _refuse(
+    def _reject(
         self, nonce: str, revision: int, problems: documents.DocumentError
-    ) -> result.Result[int, TakeError]:
-        """Keep the revision in force in place of one that cannot be read."""
+    ) -> result.Result[int, AdoptError]:
+        """Reject an unreadable revision; the one in force stays."""
         error = Unreadable(revision, problems)
-        self.refused_by_nonce[nonce] = _Refused(time.monotonic() + REFUSED_S, error)
-        log.error("revision {} is not taken: {}", revision, problems)
+        self.rejected_by_nonce[nonce] = _RejectedHead(
+            time.monotonic() + UNREADABLE_RETRY_S, error
+        )
+        log.error("revision {} is rejected: {}", revision, problems)
         return result.Err(error)
 
     def _stale(self, expected: int) -> result.Result[int, ApplyError]:
-        # The difference is told from the catalogue in force, so this VM has
-        # to have it; where it cannot be read, what it has is told.
+        # The difference is computed to the catalogue in force, so this VM reads
+        # it first. If that fails, its own newest catalogue is used.
         self.refresh()
-        base = self.earlier.get(expected)
+        base = self.earlier_by_revision.get(expected)
         in_force = self.index.catalogue
         return result.Err(Stale(self.revision, base, in_force))
 
     def _fetch_parts(
         self, head: configuration_head.Head, sources: tuple[PartSource, ...]
-    ) -> result.Result[list[configuration_parts.Part], TakeError]:
+    ) -> result.Result[list[configuration_parts.Part], AdoptError]:
         parts = []
         for names in head.parts_by_section.values():
             for name in names:
@@ -267,10 +269,10 @@
 
     def _fetch_part(
         self, head: configuration_head.Head, name: str, sources: tuple[PartSource, ...]
-    ) -> result.Result[configuration_parts.Part, TakeError]:
-        known = self.part_by_name.get(name)
-        if known is not None:
-            return result.Ok(known)
+    ) -> result.Result[configuration_parts.Part, AdoptError]:
+        cached = self.part_by_name.get(name)
+        if cached is not None:
+            return result.Ok(cached)
         for source in sources:
             packed = source(name)
             if packed is None:
@@ -278,7 +280,7 @@
             read = configuration_parts.read(name, packed)
             if read.is_ok():
                 return read
-            log.warning("a part from a peer: {}", read.err())
+            log.warning("a peer sent an invalid part: {}", read.err())
         match self.api.get(configuration_parts.KEY_PREFIX + name):
             case result.Ok(stored):
                 packed = configuration_parts.pack(stored.body)
@@ -286,6 +288,6 @@
                 return result.Err(objects.Unavailable(f"part {name}: {problem}"))
         match configuration_parts.read(name, packed):
             case result.Err(problems):
-                return self._refuse(head.nonce, head.revision, problems)
+                return self._reject(head.nonce, head.revision, problems)
             case read:
                 return read
--- a/packages/mothworks/src/mothworks/configuration_following.py
+++ b/packages/mothworks/src/mothworks/configuration_following.py
@@ -1,10 +1,10 @@
-"""Following the head: how a VM learns of changes from the object API.
+"""Follows the head in the object API to detect new revisions.
 
-The object API counts a waiting watch as a call, and its rates grow more
-slowly than the fleet. So a few VMs of each region watch the head by a long
-poll, the same ones in everybody's eyes by rendezvous hashing; the others
-learn of changes from peers and read the head now and then. A VM that sees no
-peers finds itself among the few.
+The object API counts a waiting long poll as a call, and its rate limits grow
+more slowly than the fleet. So only a few VMs of each region, the watchers,
+long-poll the head. Rendezvous hashing elects them, so that all VMs agree on
+them. The others receive changes by gossip and read the head at long intervals.
+A VM without live peers elects itself.
 """
 
 import heapq
@@ -27,19 +27,20 @@
 
 log = logbook.Logger("configuration")
 
-#: VMs of a region that watch.
-WATCHERS = 3
-#: One long poll, seconds. An object API that falls silent shows only by its end.
-WATCH_S = 5.0
-#: Mean time between reads of the others, seconds.
-POLL_S = 60.0
+#: Watchers of a region.
+WATCHERS_PER_REGION = 3
+#: Duration of one long poll, seconds. An object API that stops responding is
+#: detected only when the poll ends.
+LONG_POLL_S = 5.0
+#: Mean interval at which other VMs than the watchers read the head, seconds.
+READ_INTERVAL_S = 60.0
 #: Mean pause after a failed call, seconds.
-RETRY_S = 0.5
+RETRY_PAUSE_S = 0.5
 
 
 @plugins.register(plugins.PART, "configuration_following")
-class Following(kernel.Part):
-    """Watches the head, or reads it now and then.
+class HeadFollower(kernel.Part):
+    """Long-polls the head on a watcher, and reads it at intervals on other VMs.
 
     :param node_kernel: the node's kernel.
     """
@@ -53,46 +54,46 @@
         self.membership.on_change.append(self.members_changed.set)
 
     def start(self) -> None:
-        """Start to follow."""
+        """Start the task that follows the head."""
         self.tasks.spawn(self._follow)
 
-    def watches(self) -> bool:
+    def is_watcher(self) -> bool:
         """Return whether this VM is one of its region's watchers."""
-        chosen = self.kernel.settings
+        node_settings = self.kernel.settings
         names = [
             member.name
             for member in self.membership.live()
-            if member.region == chosen.region
+            if member.region == node_settings.region
         ]
         key = configuration_head.KEY
-        first = heapq.nlargest(
-            WATCHERS, names, key=lambda name: ownership.weight(key, name)
+        watchers = heapq.nlargest(
+            WATCHERS_PER_REGION, names, key=lambda name: ownership.weight(key, name)
         )
-        return chosen.name in first
+        return node_settings.name in watchers
 
     def _follow(self) -> None:
         cursor = ""
         while True:
-            # The cursor is taken before the read, so that a change between
-            # the two is seen by the next poll.
-            seen = self._wait(cursor)
-            match seen.and_then(lambda _: self.configuration.refresh()):
+            # The cursor is older than the read that follows, so the next poll
+            # reports a change between the two.
+            next_cursor = self._wait_for_change(cursor)
+            match next_cursor.and_then(lambda _: self.configuration.refresh()):
                 case result.Err(objects.Unavailable(reason)):
-                    log.warning("the head is not followed: {}", reason)
-                    gevent.sleep(RETRY_S * random.uniform(0.5, 1.5))
+                    log.warning("the head cannot be read: {}", reason)
+                    gevent.sleep(RETRY_PAUSE_S * random.uniform(0.5, 1.5))
                     cursor = ""
                 case _:
-                    # A head that this VM cannot read was logged; the next
-                    # change may bring one that it can.
-                    cursor = seen.ok()
+                    # An unreadable head is logged already; the next change may
+                    # be a readable one.
+                    cursor = next_cursor.ok()
 
-    def _wait(self, cursor: str) -> result.Result[str, objects.Unavailable]:
-        """Wait until the head may have changed; returns the next cursor."""
-        if self.watches():
-            wait_s = WATCH_S if cursor else 0.0
-            seen = self.api.watch(configuration_head.KEY, cursor, wait_s)
-            return seen.map(lambda changes: changes.cursor)
+    def _wait_for_change(self, cursor: str) -> result.Result[str, objects.Unavailable]:
+        """Wait until the head may have changed, and return the next cursor."""
+        if self.is_watcher():
+            wait_s = LONG_POLL_S if cursor else 0.0
+            next_cursor = self.api.watch(configuration_head.KEY, cursor, wait_s)
+            return next_cursor.map(lambda changes: changes.cursor)
         if self.configuration.loaded.is_set():
             self.members_changed.clear()
-            self.members_changed.wait(POLL_S * random.uniform(0.5, 1.5))
+            self.members_changed.wait(READ_INTERVAL_S * random.uniform(0.5, 1.5))
         return result.Ok("")
--- a/packages/mothworks/src/mothworks/configuration_garbage.py
+++ b/packages/mothworks/src/mothworks/configuration_garbage.py
@@ -1,9 +1,9 @@
-"""Garbage collection of the configuration's old parts.
+"""Garbage collection of the configuration's unreferenced parts.
 
-A part is deleted once no head has named it for a while, so that a VM that
-still reads an older head finds its parts, and an operator's change that is
-about to name it again is safe. One VM collects; two that both believe it is
-their turn do no harm.
+A part is deleted only after the head has not referenced it for a while, so
+that a VM that still reads an older head finds its parts, and an operator's
+change that is about to reference it again is safe. One VM collects. It does no
+harm if two VMs collect at the same time.
 """
 
 import time
@@ -24,19 +24,20 @@
 
 log = logbook.Logger("configuration")
 
-#: Mean time between collections, seconds.
-PERIOD_S = 600.0
-#: Time for which an unnamed part is kept, seconds.
-YOUNG_S = 3600.0
+#: Mean interval between collections, seconds.
+COLLECTION_INTERVAL_S = 600.0
+#: Time for which an unreferenced part is retained, seconds.
+RETENTION_S = 3600.0
 
 
 @attrs.frozen
-class Unnamed:
-    """A part that no head names.
+class Unreferenced:
+    """A part that the head does not reference.
 
-    :param version: its version when it was found; a part that is written
-        again, because a change is about to name it, has another.
-    :param since: monotonic time when it was found, seconds.
+    :param version: its version when it was first seen unreferenced. A part
+        that is written again, because a change is about to reference it, has
+        another version.
+    :param since: monotonic time when it was first seen unreferenced, seconds.
     """
 
     version: str
@@ -44,8 +45,8 @@
 
 
 @plugins.register(plugins.PART, "configuration_garbage")
-class Garbage(kernel.Part):
-    """Deletes old parts.
+class GarbageCollector(kernel.Part):
+    """Deletes parts that have been unreferenced for the retention time.
 
     :param node_kernel: the node's kernel.
     """
@@ -54,14 +55,14 @@
         super().__init__(node_kernel)
         self.api = node_kernel.get(objects.Objects).api
         self.membership = node_kernel.get(membership.Membership)
-        self.unnamed_by_key: dict[str, Unnamed] = {}
+        self.unreferenced_by_key: dict[str, Unreferenced] = {}
 
     def start(self) -> None:
-        """Start to collect now and then."""
-        self.tasks.every(PERIOD_S, self._collect_if_mine)
+        """Start periodic collections."""
+        self.tasks.every(COLLECTION_INTERVAL_S, self._collect_if_owner)
 
     def collect(self, now: float) -> None:
-        """Note unnamed parts and delete those that are no longer young.
+        """Record unreferenced parts and delete those past the retention time.
 
         :param now: monotonic time, seconds.
         """
@@ -71,39 +72,39 @@
         )
         match (listed, head):
             case (result.Ok(version_by_key), result.Ok(current)):
-                self._sort_out(version_by_key, current, now)
+                self._update_unreferenced(version_by_key, current, now)
             case _:
                 return
-        for key, unnamed in list(self.unnamed_by_key.items()):
-            if now - unnamed.since >= YOUNG_S:
-                self._delete(key, unnamed)
+        for key, unreferenced in list(self.unreferenced_by_key.items()):
+            if now - unreferenced.since >= RETENTION_S:
+                self._delete(key, unreferenced)
 
-    def _collect_if_mine(self) -> None:
+    def _collect_if_owner(self) -> None:
         key = configuration_parts.KEY_PREFIX
         owner = ownership.highest(key, self.membership.live())
         if owner is not None and owner.name == self.kernel.settings.name:
             self.collect(time.monotonic())
 
-    def _sort_out(
+    def _update_unreferenced(
         self,
         version_by_key: dict[str, str],
         head: configuration_head.Head,
         now: float,
     ) -> None:
-        named = {configuration_parts.KEY_PREFIX + name for name in head.names()}
-        known = self.unnamed_by_key
-        self.unnamed_by_key = {}
+        referenced = {configuration_parts.KEY_PREFIX + name for name in head.names()}
+        previous_by_key = self.unreferenced_by_key
+        self.unreferenced_by_key = {}
         for key, version in version_by_key.items():
-            if key in named:
+            if key in referenced:
                 continue
-            before = known.get(key)
-            if before is None or before.version != version:
-                before = Unnamed(version, now)
-            self.unnamed_by_key[key] = before
-
-    def _delete(self, key: str, unnamed: Unnamed) -> None:
-        # Between the list and now a change may have written the part again:
-        # the version that is asked for makes the delete fail then.
-        if self.api.delete(key, unnamed.version).is_ok():
+            entry = previous_by_key.get(key)
+            if entry is None or entry.version != version:
+                entry = Unreferenced(version, now)
+            self.unreferenced_by_key[key] = entry
+
+    def _delete(self, key: str, unreferenced: Unreferenced) -> None:
+        # A change may have written the part again since it was listed. The
+        # delete is conditional on the version, so it fails then.
+        if self.api.delete(key, unreferenced.version).is_ok():
             log.info("deleted {}", key)
-        del self.unnamed_by_key[key]
+        del self.unreferenced_by_key[key]
--- a/packages/mothworks/src/mothworks/configuration_gossip.py
+++ b/packages/mothworks/src/mothworks/configuration_gossip.py
@@ -108,7 +108,7 @@
 
     def _take(self, sender: str, news: NewHead) -> None:
         if news.revision > self.configuration.revision:
-            self.configuration.take(
+            self.configuration.adopt(
                 news.body, (lambda part: self._ask_part(sender, part),)
             )
 
--- a/packages/mothworks/src/mothworks/operator_commands.py
+++ b/packages/mothworks/src/mothworks/operator_commands.py
@@ -108,7 +108,7 @@
 
     def _seen(self, revision: int | None) -> catalogue.Catalogue:
         in_force = self.configuration.index.catalogue
-        return self.configuration.earlier.get(revision, in_force)
+        return self.configuration.earlier_by_revision.get(revision, in_force)
 
     def _apply(
         self,
--- a/packages/mothworks/tests/test_configuration.py
+++ b/packages/mothworks/tests/test_configuration.py
@@ -35,8 +35,8 @@
 
 # Guards against a watch that outlives an outage: changes wait until it ends.
 def test_a_silent_watch_ends_before_a_change_must_be_in_force():
-    watch_s = configuration_following.WATCH_S + objects_http.WATCH_GRACE_S
-    longest_pause_s = 1.5 * configuration_following.RETRY_S
+    watch_s = configuration_following.LONG_POLL_S + objects_http.WATCH_GRACE_S
+    longest_pause_s = 1.5 * configuration_following.RETRY_PAUSE_S
     assert watch_s + longest_pause_s < APPLY_S
 
 
@@ -141,8 +141,8 @@
     assert isinstance(vm.refresh().unwrap_err(), configuration.Unreadable)
     assert (vm.revision, vm.index.catalogue) == (1, declared("base"))
     newer = b'{"revision": 9, "colour": "blue"}'
-    assert isinstance(vm.take(newer).unwrap_err(), configuration.Unreadable)
-    # The next revision that can be read is taken.
+    assert isinstance(vm.adopt(newer).unwrap_err(), configuration.Unreadable)
+    # The next revision that can be read is adopted.
     assert other.apply(declared("good"), 2, "eva", "").unwrap() == 3
     assert vm.refresh().unwrap() == 3
 
@@ -153,7 +153,7 @@
     vm = made(api, name="vm-2")
     body = api.bodies_by_key[configuration_head.KEY][-1]
     bad = configuration_parts.pack(b'{"section": "services", "items": []}')
-    assert vm.take(body, (lambda name: bad,)).unwrap() == 1
+    assert vm.adopt(body, (lambda name: bad,)).unwrap() == 1
     assert vm.index.catalogue == declared("base")
 
 
@@ -162,7 +162,7 @@
     # which found it unnamed long ago, must not delete it below the new head.
     api = stored.MemoryApi()
     vm = made(api)
-    garbage = vm.kernel.get(configuration_garbage.Garbage)
+    garbage = vm.kernel.get(configuration_garbage.GarbageCollector)
     for revision, name in enumerate(("one", "two", "three")):
         vm.apply(declared(name), revision, "ana", "")
     first, second, third = (
@@ -171,8 +171,8 @@
     )
     garbage.collect(0.0)
     assert vm.apply(declared("one"), 3, "ana", "").is_ok()
-    garbage.collect(configuration_garbage.YOUNG_S / 2)
-    garbage.collect(configuration_garbage.YOUNG_S)
+    garbage.collect(configuration_garbage.RETENTION_S / 2)
+    garbage.collect(configuration_garbage.RETENTION_S)
     kept = set(api.list(configuration_parts.KEY_PREFIX).unwrap())
     assert first in kept and third in kept and second not in kept
     assert made(api, name="vm-2").refresh().unwrap() == 4
@@ -235,7 +235,7 @@
     def hear_any_head(self, name, number):
         heads = self.api.bodies_by_key[configuration_head.KEY]
         if heads:
-            self.vm_by_name[name].take(heads[number % len(heads)])
+            self.vm_by_name[name].adopt(heads[number % len(heads)])
 
     @hypothesis.stateful.rule(name=VMS)
     def start_anew(self, name):
