--- a/packages/mothworks/src/mothworks/configuration.py
+++ b/packages/mothworks/src/mothworks/configuration.py
@@ -144,7 +144,7 @@
         if problem is not None:
             return result.Err(problem)
         head = configuration_writing.next_head(stored.head, parts, who, why)
-        match self.writer.flip(head, stored.version):
+        match self.writer.replace_head(head, stored.version):
             case result.Ok(_):
                 self._install(head, configuration_head.write(head), parts)
                 return result.Ok(head.revision)
--- a/packages/mothworks/src/mothworks/configuration_garbage.py
+++ b/packages/mothworks/src/mothworks/configuration_garbage.py
@@ -91,7 +91,9 @@
         head: configuration_head.Head,
         now: float,
     ) -> None:
-        referenced = {configuration_parts.KEY_PREFIX + name for name in head.names()}
+        referenced = {
+            configuration_parts.KEY_PREFIX + name for name in head.part_names()
+        }
         previous_by_key = self.unreferenced_by_key
         self.unreferenced_by_key = {}
         for key, version in version_by_key.items():
--- a/packages/mothworks/src/mothworks/configuration_gossip.py
+++ b/packages/mothworks/src/mothworks/configuration_gossip.py
@@ -1,9 +1,9 @@
-"""Gossip of the configuration: how it spreads between VMs.
+"""Gossip protocol that replicates the configuration between VMs.
 
-A VM that takes a new head sends it to a few others, which fetch the parts
-that they lack from the sender. Once a second each VM also compares revisions
-with a random peer, so that a VM that was cut off or has just started catches
-up, also while the object API is down.
+A VM that adopts a new head pushes it to a few others, which fetch the missing
+parts from the sender. Once a second each VM also compares revisions with a
+random peer, so that a VM that was disconnected or has just started catches up,
+even while the object API is down.
 """
 
 import random
@@ -13,22 +13,22 @@
 
 from mothworks import configuration, kernel, membership, messages, peers, plugins
 
-#: VMs to which a new head is sent.
+#: VMs of the region to which a new head is pushed.
 FANOUT = 4
-#: Mean time between comparisons with a random peer, seconds.
-COMPARE_S = 1.0
-#: Longest wait for a peer's reply, seconds.
-REPLY_S = 1.0
+#: Mean interval between comparisons with a random peer, seconds.
+COMPARE_INTERVAL_S = 1.0
+#: Timeout of a call to a peer, seconds.
+REPLY_TIMEOUT_S = 1.0
 
 
 @messages.message(40)
 @attrs.frozen
-class NewHead:
-    """A head that its sender has taken; also answers :class:`AskHead`.
+class HeadUpdate:
+    """A head that its sender has adopted; also the reply to :class:`HeadRequest`.
 
-    :param revision: its revision.
-    :param body: the head as it is stored; empty where the asker's own
-        revision is as high.
+    :param revision: the sender's revision.
+    :param body: the head's stored bytes; empty if the requester's own revision
+        is as high.
     """
 
     revision: int
@@ -37,10 +37,10 @@
 
 @messages.message(41)
 @attrs.frozen
-class AskHead:
-    """Asks for the head if it is newer.
+class HeadRequest:
+    """Requests the head if it is newer.
 
-    :param revision: the asker's own revision.
+    :param revision: the requester's own revision.
     """
 
     revision: int
@@ -48,10 +48,10 @@
 
 @messages.message(42)
 @attrs.frozen
-class AskPart:
-    """Asks for a part.
+class PartRequest:
+    """Requests a part.
 
-    :param name: its hash.
+    :param name: the part's name, a hash of its content.
     """
 
     name: str
@@ -59,10 +59,10 @@
 
 @messages.message(43)
 @attrs.frozen
-class PartAnswer:
-    """Answers :class:`AskPart`.
+class PartReply:
+    """Replies to :class:`PartRequest`.
 
-    :param packed: the part, compressed; empty where the sender lacks it.
+    :param packed: the part, compressed; empty if the sender does not have it.
     """
 
     packed: bytes = b""
@@ -70,7 +70,7 @@
 
 @plugins.register(plugins.PART, "configuration_gossip")
 class Gossip(kernel.Part):
-    """Spreads heads and parts.
+    """Replicates heads and parts between VMs.
 
     :param node_kernel: the node's kernel.
     """
@@ -80,67 +80,75 @@
         self.configuration = node_kernel.get(configuration.Configuration)
         self.membership = node_kernel.get(membership.Membership)
         self.peers = node_kernel.get(peers.Peers)
-        self.peers.handle(NewHead, self._serve_head)
-        self.peers.handle(AskHead, self._serve_ask_head)
-        self.peers.handle(AskPart, self._serve_ask_part)
-        self.configuration.on_change.append(self._spread)
-        self.configuration.part_sources.append(self._ask_any)
+        self.peers.handle(HeadUpdate, self._serve_head_update)
+        self.peers.handle(HeadRequest, self._serve_head_request)
+        self.peers.handle(PartRequest, self._serve_part_request)
+        self.configuration.on_change.append(self._push_head)
+        self.configuration.part_sources.append(self._request_part_from_any)
 
     def start(self) -> None:
-        """Start to compare revisions with peers."""
-        self.tasks.spawn(self._compare)
-        self.tasks.every(COMPARE_S, self._compare)
-
-    def _spread(self) -> None:
-        news = NewHead(self.configuration.revision, self.configuration.head_body)
-        for name in self._some_peers(FANOUT):
-            self.peers.post(name, news)
-
-    def _compare(self) -> None:
-        for name in self._some_peers(1):
-            ask = AskHead(self.configuration.revision)
-            match self.peers.call(name, ask, REPLY_S):
-                case result.Ok(NewHead() as news) if news.body:
-                    self._take(name, news)
-                case result.Ok(NewHead() as news) if news.revision < ask.revision:
+        """Start the periodic comparison of revisions with peers."""
+        self.tasks.spawn(self._compare_revisions)
+        self.tasks.every(COMPARE_INTERVAL_S, self._compare_revisions)
+
+    def _push_head(self) -> None:
+        update = HeadUpdate(self.configuration.revision, self.configuration.head_body)
+        for name in self._random_peers(FANOUT):
+            self.peers.post(name, update)
+
+    def _compare_revisions(self) -> None:
+        for name in self._random_peers(1):
+            request = HeadRequest(self.configuration.revision)
+            match self.peers.call(name, request, REPLY_TIMEOUT_S):
+                case result.Ok(HeadUpdate() as update) if update.body:
+                    self._adopt(name, update)
+                case result.Ok(HeadUpdate() as update) if (
+                    update.revision < request.revision
+                ):
                     body = self.configuration.head_body
-                    self.peers.send(name, NewHead(self.configuration.revision, body))
+                    self.peers.send(name, HeadUpdate(self.configuration.revision, body))
 
-    def _take(self, sender: str, news: NewHead) -> None:
-        if news.revision > self.configuration.revision:
+    def _adopt(self, sender: str, update: HeadUpdate) -> None:
+        if update.revision > self.configuration.revision:
             self.configuration.adopt(
-                news.body, (lambda part: self._ask_part(sender, part),)
+                update.body, (lambda part: self._request_part(sender, part),)
             )
 
-    def _ask_any(self, part: str) -> bytes | None:
-        for name in self._some_peers(1):
-            return self._ask_part(name, part)
+    def _request_part_from_any(self, part: str) -> bytes | None:
+        for name in self._random_peers(1):
+            return self._request_part(name, part)
         return None
 
-    def _ask_part(self, vm: str, part: str) -> bytes | None:
-        match self.peers.call(vm, AskPart(part), REPLY_S):
-            case result.Ok(PartAnswer(packed)):
+    def _request_part(self, vm: str, part: str) -> bytes | None:
+        match self.peers.call(vm, PartRequest(part), REPLY_TIMEOUT_S):
+            case result.Ok(PartReply(packed)):
                 return packed or None
             case _:
                 return None
 
-    def _some_peers(self, count: int) -> list[str]:
-        """Return random VMs of this region, and on few VMs one of each other.
+    def _random_peers(self, count: int) -> list[str]:
+        """Return random VMs of this region, on bridge VMs also one per other region.
 
-        Random VMs of all regions would in time connect every VM to every
-        other one, across the thin links too.
+        If VMs were picked from all regions, every VM would in time open a
+        connection to every other one, also over the slow links between regions.
         """
         near = self.membership.near() or self.membership.peers()
         chosen = random.sample(near, min(count, len(near)))
         return [member.name for member in (*chosen, *self.membership.far())]
 
-    def _serve_head(self, sender: str, news: NewHead, _: peers.Answer) -> None:
-        self.tasks.spawn(self._take, sender, news)
+    def _serve_head_update(
+        self, sender: str, update: HeadUpdate, _: peers.Answer
+    ) -> None:
+        self.tasks.spawn(self._adopt, sender, update)
 
-    def _serve_ask_head(self, _: str, ask: AskHead, answer: peers.Answer) -> None:
+    def _serve_head_request(
+        self, _: str, request: HeadRequest, answer: peers.Answer
+    ) -> None:
         revision = self.configuration.revision
-        newer = revision > ask.revision
-        answer(NewHead(revision, self.configuration.head_body if newer else b""))
+        newer = revision > request.revision
+        answer(HeadUpdate(revision, self.configuration.head_body if newer else b""))
 
-    def _serve_ask_part(self, _: str, ask: AskPart, answer: peers.Answer) -> None:
-        answer(PartAnswer(self.configuration.part(ask.name) or b""))
+    def _serve_part_request(
+        self, _: str, request: PartRequest, answer: peers.Answer
+    ) -> None:
+        answer(PartReply(self.configuration.part(request.name) or b""))
--- a/packages/mothworks/src/mothworks/configuration_head.py
+++ b/packages/mothworks/src/mothworks/configuration_head.py
@@ -1,4 +1,4 @@
-"""The head: the one object that names the parts of the revision in force."""
+"""The head: the one object that lists the parts of the revision in force."""
 
 import attrs
 import orjson
@@ -7,22 +7,23 @@
 from mothworks import documents
 
 KEY = "configuration/head"
-#: Earlier heads whose nonces a head repeats.
-EARLIER_NONCES = 8
+#: Number of earlier heads whose nonces a head repeats.
+MAX_EARLIER_NONCES = 8
 
 
 @attrs.frozen
 class Head:
     """One revision of the configuration.
 
-    :param revision: grows by one with every accepted change.
-    :param parts_by_section: hashes of parts, by section of the catalogue.
+    :param revision: incremented with every accepted change.
+    :param parts_by_section: names (hashes) of parts by section of the catalogue.
     :param who: the operator.
     :param when: ISO time of acceptance.
     :param why: the operator's reason.
-    :param nonce: recognises a write whose reply was lost.
-    :param earlier_nonces: nonces of the heads before it, newest first, by
-        which a writer finds its own accepted change under later ones.
+    :param nonce: random id by which a writer whose reply was lost recognises
+        its own head.
+    :param earlier_nonces: nonces of the preceding heads, newest first, by which
+        a writer recognises that its change was accepted before later ones.
     """
 
     revision: int
@@ -33,20 +34,20 @@
     nonce: str
     earlier_nonces: tuple[str, ...] = ()
 
-    def follows(self, nonce: str) -> bool:
-        """Return whether this head or one before it has a nonce.
+    def includes(self, nonce: str) -> bool:
+        """Return whether this head or a recent predecessor has this nonce.
 
-        :param nonce: a writer's nonce.
+        :param nonce: the nonce of a writer's head.
         """
         return nonce == self.nonce or nonce in self.earlier_nonces
 
-    def names(self) -> set[str]:
-        """Return the hashes of all parts."""
+    def part_names(self) -> set[str]:
+        """Return the names of all parts."""
         return {name for names in self.parts_by_section.values() for name in names}
 
 
 def read(body: bytes) -> result.Result[Head, documents.DocumentError]:
-    """Read a head.
+    """Parse and check a head.
 
     :param body: the object's content.
     """
@@ -58,7 +59,7 @@
 
 
 def write(head: Head) -> bytes:
-    """Return a head as the content of its object.
+    """Serialise a head as the content of its object.
 
     :param head: the head.
     """
--- a/packages/mothworks/src/mothworks/configuration_parts.py
+++ b/packages/mothworks/src/mothworks/configuration_parts.py
@@ -1,8 +1,9 @@
 """Parts: immutable pieces of a catalogue, named by the hash of their content.
 
-A section is cut after items whose name's hash says so. An item that is added
-or changed alters one part only, wherever it stands, so that one change costs
-the object API and the network one part and not the whole catalogue.
+Sections are split by content-defined chunking: a part ends after an item if
+the hash of the item's name is a multiple of the mean part size. An item that
+is added or changed alters only the part around it, so a change transfers one
+part and not the whole catalogue.
 """
 
 import collections.abc
@@ -18,10 +19,10 @@
 from mothworks import catalogue, documents, objects
 
 KEY_PREFIX = "configuration/parts/"
-#: Mean number of items in a part.
-MEAN_ITEMS = 128
-#: Bytes after which a part is cut in any case.
-CUT_BYTES = 128 << 10
+#: Mean number of items per part.
+MEAN_PART_ITEMS = 128
+#: JSON bytes of items after which a part ends in any case.
+SPLIT_BYTES = 128 << 10
 
 _type_by_section = {
     field.name: field.type for field in attrs.fields(catalogue.Catalogue)
@@ -30,12 +31,12 @@
 
 @attrs.frozen
 class Part:
-    """One part, as JSON and as checked items.
+    """One part, as JSON and as typed items.
 
-    :param name: hash of the JSON.
+    :param name: the hash of the JSON.
     :param section: the catalogue's section that it belongs to.
-    :param packed: the JSON, compressed.
-    :param items: the checked items; a section that is no list has one.
+    :param packed: the compressed JSON.
+    :param items: the typed items; exactly one if the section is not a list.
     """
 
     name: str
@@ -46,10 +47,10 @@
 
 @attrs.frozen
 class Content:
-    """What a part's JSON holds.
+    """The content of a part's JSON.
 
     :param section: the catalogue's section.
-    :param items: plain items.
+    :param items: the items as plain values.
     """
 
     section: str
@@ -57,7 +58,7 @@
 
 
 def split(declared: catalogue.Catalogue) -> list[Part]:
-    """Cut a catalogue into parts, in the order of its items.
+    """Split a catalogue into parts, in the order of its items.
 
     :param declared: a checked catalogue.
     """
@@ -65,23 +66,23 @@
     for section, plain in documents.plain(declared).items():
         items = getattr(declared, section)
         if isinstance(plain, dict):
-            parts.append(_part(section, [plain], (items,)))
+            parts.append(_make_part(section, [plain], (items,)))
             continue
         start = 0
-        for end in _cuts(plain):
-            parts.append(_part(section, plain[start:end], items[start:end]))
+        for end in _part_ends(plain):
+            parts.append(_make_part(section, plain[start:end], items[start:end]))
             start = end
     return parts
 
 
 def read(name: str, packed: bytes) -> result.Result[Part, documents.DocumentError]:
-    """Check a part that came from elsewhere.
+    """Decompress and check a part that was stored or sent by another VM.
 
-    A part may be corrupt, or written by a newer version of the program with
-    fields that this one does not know; either is refused.
+    A part may be corrupt, or a newer program version may have written it with
+    fields unknown to this one. Both are errors.
 
-    :param name: the hash that it must have.
-    :param packed: its JSON, compressed.
+    :param name: the hash that the JSON must have.
+    :param packed: the compressed JSON.
     """
     source = KEY_PREFIX + name
     try:
@@ -89,7 +90,7 @@
     except zlib.error as error:
         return result.Err(documents.DocumentError(source, (str(error),)))
     if xxhash.xxh3_128_hexdigest(body) != name:
-        problem = "the content does not have the hash that names it"
+        problem = "the content does not match the hash in its name"
         return result.Err(documents.DocumentError(source, (problem,)))
     try:
         value = orjson.loads(body)
@@ -103,15 +104,15 @@
             return result.Err(documents.DocumentError(source, (problem,)))
         case error:
             return error
-    return _structure(content, source).map(
+    return _structure_items(content, source).map(
         lambda items: Part(name, content.section, packed, items)
     )
 
 
 def pack(body: bytes) -> bytes:
-    """Return a part's JSON compressed, as it goes between VMs.
+    """Compress a part's JSON, as VMs store and exchange it.
 
-    :param body: the JSON, as the object API holds it.
+    :param body: the JSON as stored in the object API, uncompressed.
     """
     return zlib.compress(body)
 
@@ -125,7 +126,7 @@
 
 
 def join(parts: collections.abc.Iterable[Part]) -> catalogue.Catalogue:
-    """Return the catalogue that parts make up.
+    """Assemble the catalogue from its parts.
 
     :param parts: all parts of one revision, in order.
     """
@@ -143,38 +144,40 @@
     return typing.get_origin(_type_by_section[section]) is tuple
 
 
-def _cuts(items: list[dict]) -> collections.abc.Iterator[int]:
-    """Yield the places after which a section is cut, its end among them."""
+def _part_ends(items: list[dict]) -> collections.abc.Iterator[int]:
+    """Yield the end index of each part of a section."""
     size = 0
-    for place, item in enumerate(items, 1):
+    for end, item in enumerate(items, 1):
         size += len(orjson.dumps(item))
-        if size >= CUT_BYTES or place == len(items) or _ends_part(item["name"]):
-            yield place
+        if size >= SPLIT_BYTES or end == len(items) or _is_boundary(item["name"]):
+            yield end
             size = 0
 
 
-def _ends_part(name: str) -> bool:
-    return xxhash.xxh64_intdigest(name.encode()) % MEAN_ITEMS == 0
+def _is_boundary(name: str) -> bool:
+    return xxhash.xxh64_intdigest(name.encode()) % MEAN_PART_ITEMS == 0
 
 
-def _part(section: str, plain: list, items: collections.abc.Iterable) -> Part:
+def _make_part(section: str, plain: list, items: collections.abc.Iterable) -> Part:
     content = {"section": section, "items": plain}
-    written = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
-    name = xxhash.xxh3_128_hexdigest(written)
-    return Part(name, section, pack(written), tuple(items))
+    encoded = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
+    name = xxhash.xxh3_128_hexdigest(encoded)
+    return Part(name, section, pack(encoded), tuple(items))
 
 
-def _structure(content: Content, source: str):
-    kind = _type_by_section[content.section]
+def _structure_items(content: Content, source: str):
+    item_type = _type_by_section[content.section]
     if _is_list(content.section):
-        return documents.structure(content.items, kind, source)
-    checked = [documents.structure(item, kind, source) for item in content.items[:1]]
-    if not checked:
+        return documents.structure(content.items, item_type, source)
+    structured = [
+        documents.structure(item, item_type, source) for item in content.items[:1]
+    ]
+    if not structured:
         return result.Err(documents.DocumentError(source, ("expected one item",)))
-    return checked[0].map(lambda item: (item,))
+    return structured[0].map(lambda item: (item,))
 
 
-def by_section(parts: list[Part]) -> dict[str, tuple[str, ...]]:
+def names_by_section(parts: list[Part]) -> dict[str, tuple[str, ...]]:
     """Return the names of parts by section, for a head.
 
     :param parts: all parts of one revision, in order.
--- a/packages/mothworks/src/mothworks/configuration_writing.py
+++ b/packages/mothworks/src/mothworks/configuration_writing.py
@@ -10,17 +10,17 @@
 
 from mothworks import configuration_head, configuration_parts, objects
 
-#: Attempts to store a part, or to read a head that is not older than ours.
-ATTEMPTS = 4
-#: Longest pause between them, seconds.
-PAUSE_S = 0.1
-#: Longest time to learn whether a change was accepted, seconds.
-FLIP_S = 3.0
+#: Attempts to store a part, or to read a head that is not stale.
+MAX_ATTEMPTS = 4
+#: Maximum of the random pause between attempts, seconds.
+MAX_PAUSE_S = 0.1
+#: Time limit for finding out whether a new head was accepted, seconds.
+CONFIRM_TIMEOUT_S = 3.0
 
 
 @attrs.frozen
 class StoredHead:
-    """The head as the object API holds it; both None before the first."""
+    """The stored head and its version; both None before the first."""
 
     version: str | None = None
     head: configuration_head.Head | None = None
@@ -40,55 +40,62 @@
     def __init__(self, api: objects.Api):
         self.api = api
 
-    def read_newest(self, least: int) -> result.Result[StoredHead, objects.Unavailable]:
-        """Read the head, unless reads are older than what is known.
+    def read_newest(
+        self, min_revision: int
+    ) -> result.Result[StoredHead, objects.Unavailable]:
+        """Read the head, and read again while reads are stale.
 
-        :param least: a revision that was stored for certain.
+        :param min_revision: a revision that is known to be stored; an older one read
+            is stale.
         """
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             match self.api.get(configuration_head.KEY):
                 case result.Ok(stored):
                     head = configuration_head.read(stored.body)
-                    found = StoredHead(stored.version, head.unwrap_or(None))
+                    stored_head = StoredHead(stored.version, head.unwrap_or(None))
                 case result.Err(objects.Missing()):
-                    found = StoredHead()
+                    stored_head = StoredHead()
                 case error:
                     return error
-            if found.version and not found.head:
-                reason = "the stored head is of a newer version of the program"
+            if stored_head.version and not stored_head.head:
+                reason = "a newer program version wrote the stored head"
                 return result.Err(objects.Unavailable(reason))
-            if found.revision >= least:
-                return result.Ok(found)
-            gevent.sleep(random.uniform(0, PAUSE_S))
-        return result.Err(objects.Unavailable("it answers with old reads"))
+            if stored_head.revision >= min_revision:
+                return result.Ok(stored_head)
+            gevent.sleep(random.uniform(0, MAX_PAUSE_S))
+        return result.Err(objects.Unavailable("its reads are stale"))
 
-    def flip(
+    def replace_head(
         self, head: configuration_head.Head, version: str | None
     ) -> result.Result[str, objects.WriteError]:
-        """Put a head in place of the one that was read.
+        """Replace the head conditionally on the version that was read.
 
         :param head: the new head.
-        :param version: version of the one that was read; None before the first.
-        :returns: see :func:`objects.put_known`; ``Unknown`` where the head may
+        :param version: the version that was read; None before the first head.
+        :returns: see :func:`objects.put_known`; ``Unknown`` if the head may
             have been accepted.
         """
         body = configuration_head.write(head)
         nonce = head.nonce.encode()
         key = configuration_head.KEY
-        match objects.put_known(self.api, key, body, version, nonce, FLIP_S):
+        match objects.put_known(self.api, key, body, version, nonce, CONFIRM_TIMEOUT_S):
             case result.Err(objects.Unknown(reason)):
-                return self._find_trace(head, reason)
+                return self._find_outcome(head, reason)
             case outcome:
                 return outcome
 
-    def _find_trace(self, head: configuration_head.Head, reason: str):
-        """Look for a head of unknown outcome below the one stored now."""
-        most = configuration_head.EARLIER_NONCES
+    def _find_outcome(self, head: configuration_head.Head, reason: str):
+        """Look for the nonce of an unconfirmed head in the stored head."""
+        max_later = configuration_head.MAX_EARLIER_NONCES
         match self.read_newest(0):
-            case result.Ok(found) if found.head and found.head.follows(head.nonce):
-                return result.Ok(found.version)
-            case result.Ok(found) if 0 <= found.revision - head.revision < most:
-                # Another writer has taken the revision that ours would have.
+            case result.Ok(stored_head) if (
+                stored_head.head and stored_head.head.includes(head.nonce)
+            ):
+                return result.Ok(stored_head.version)
+            case result.Ok(stored_head) if (
+                0 <= stored_head.revision - head.revision < max_later
+            ):
+                # Another writer's head has the revision that ours would have.
                 return result.Err(objects.Conflict(configuration_head.KEY))
             case _:
                 return result.Err(objects.Unknown(reason))
@@ -98,15 +105,15 @@
         parts: list[configuration_parts.Part],
         current: configuration_head.Head | None,
     ) -> objects.Unavailable | objects.TooLarge | None:
-        """Store the parts that the head in force does not name.
+        """Store the parts that the head in force does not reference.
 
         :param parts: all parts of the new revision.
         :param current: the head in force.
-        :returns: what kept a part from being stored.
+        :returns: the error that prevented a part from being stored, or None.
         """
-        kept = current.names() if current else set()
+        already_stored = current.part_names() if current else set()
         for part in parts:
-            if part.name in kept:
+            if part.name in already_stored:
                 continue
             problem = self._store_part(part)
             if problem is not None:
@@ -119,20 +126,21 @@
         key = configuration_parts.KEY_PREFIX + part.name
         body = configuration_parts.body(part)
         version = None
-        for _ in range(ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             match self.api.put(key, body, version):
                 case result.Ok(_):
                     return None
                 case result.Err(objects.TooLarge() as problem):
                     return problem
                 case result.Err(objects.Conflict() as problem):
-                    # An old part with this content is written once more: its
-                    # new version keeps the garbage collection, which may be
-                    # about to delete it, from doing so.
-                    found = self.api.get(key)
-                    version = found.map(lambda stored: stored.version).ok()
+                    # A part with this content exists already. It is written
+                    # again, because garbage collection may be about to delete
+                    # it: the delete is conditional on the old version and
+                    # fails.
+                    existing = self.api.get(key)
+                    version = existing.map(lambda stored: stored.version).ok()
                 case result.Err(problem):
-                    gevent.sleep(random.uniform(0, PAUSE_S))
+                    gevent.sleep(random.uniform(0, MAX_PAUSE_S))
         return objects.Unavailable(f"a part was not stored: {problem}")
 
 
@@ -142,7 +150,7 @@
     who: str,
     why: str,
 ) -> configuration_head.Head:
-    """Return the head that follows another.
+    """Return the successor of a head.
 
     :param current: the head in force; None before the first.
     :param parts: all parts of the new revision, in order.
@@ -152,10 +160,10 @@
     earlier = (current.nonce, *current.earlier_nonces) if current else ()
     return configuration_head.Head(
         revision=current.revision + 1 if current else 1,
-        parts_by_section=configuration_parts.by_section(parts),
+        parts_by_section=configuration_parts.names_by_section(parts),
         who=who,
         when=datetime.datetime.now(datetime.UTC).isoformat(),
         why=why,
         nonce=uuid.uuid4().hex,
-        earlier_nonces=earlier[: configuration_head.EARLIER_NONCES],
+        earlier_nonces=earlier[: configuration_head.MAX_EARLIER_NONCES],
     )
--- a/packages/mothworks/tests/test_configuration.py
+++ b/packages/mothworks/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configuration: revisions never fall, accepted changes are never lost."""
+"""Configuration: revisions never decrease, accepted changes are never lost."""
 
 import hypothesis
 import hypothesis.stateful
@@ -26,21 +26,22 @@
 @pytest.fixture(autouse=True)
 def short_pauses(monkeypatch):
     monkeypatch.setattr(objects, "PAUSE_S", 0.0)
-    monkeypatch.setattr(configuration_writing, "PAUSE_S", 0.0)
+    monkeypatch.setattr(configuration_writing, "MAX_PAUSE_S", 0.0)
 
 
-#: Time in which a change must be in force on all VMs, seconds.
-APPLY_S = 8.0
+#: Time limit for a change to be in force on all VMs, seconds.
+APPLY_LIMIT_S = 8.0
 
 
-# Guards against a watch that outlives an outage: changes wait until it ends.
-def test_a_silent_watch_ends_before_a_change_must_be_in_force():
-    watch_s = configuration_following.LONG_POLL_S + objects_http.WATCH_GRACE_S
-    longest_pause_s = 1.5 * configuration_following.RETRY_PAUSE_S
-    assert watch_s + longest_pause_s < APPLY_S
+# A long poll that hangs past the end of an outage delays all changes until it
+# times out.
+def test_a_hanging_long_poll_times_out_before_a_change_must_be_in_force():
+    poll_s = configuration_following.LONG_POLL_S + objects_http.WATCH_GRACE_S
+    max_pause_s = 1.5 * configuration_following.RETRY_PAUSE_S
+    assert poll_s + max_pause_s < APPLY_LIMIT_S
 
 
-def made(api, name="vm-1"):
+def make_vm(api, name="vm-1"):
     kernel = builders.kernel_with_objects(api, name)
     return kernel.get(configuration.Configuration)
 
@@ -51,31 +52,31 @@
     )
 
 
-def marker(body):
-    """Return the hashes of services, which tell one change from others."""
+def service_parts(body):
+    """Return the names of the services' parts, which differ between changes."""
     return configuration_head.read(body).unwrap().parts_by_section["services"]
 
 
 def test_a_change_stores_only_the_parts_that_differ():
     api = stored.MemoryApi()
-    vm = made(api)
+    vm = make_vm(api)
     models = tuple(builders.model(f"model-{number}") for number in range(1000))
     assert vm.apply(builders.declared(models=models), 0, "ana", "").unwrap() == 1
-    stored_first = api.puts
+    initial_puts = api.puts
     inserted = (*models[:500], builders.model("one-more"), *models[500:])
     assert vm.apply(builders.declared(models=inserted), 1, "ana", "").unwrap() == 2
-    assert stored_first > 8
+    assert initial_puts > 8
     # The part around the new model, a second one if the model ends a part,
     # and the head.
-    assert api.puts - stored_first <= 3
-    restarted = made(api)
+    assert api.puts - initial_puts <= 3
+    restarted = make_vm(api)
     assert restarted.refresh().unwrap() == 2
     assert restarted.index.catalogue == builders.declared(models=inserted)
 
 
-def test_the_later_of_two_operators_is_told_the_difference():
+def test_the_later_of_two_operators_gets_the_difference():
     api = stored.MemoryApi()
-    first, second = made(api, name="vm-1"), made(api, name="vm-2")
+    first, second = make_vm(api, name="vm-1"), make_vm(api, name="vm-2")
     first.apply(declared("base"), 0, "ana", "")
     second.refresh()
     assert first.apply(declared("mine"), 1, "ana", "").unwrap() == 2
@@ -86,19 +87,19 @@
 
 
 def test_an_unknown_outcome_is_not_reported_as_nothing_changed(monkeypatch):
-    # The flip of the head takes effect, but this and every later reply is
-    # lost. "The object API does not answer" made the operator repeat the
-    # change, which then met a revision that was nobody else's.
-    monkeypatch.setattr(configuration_writing, "FLIP_S", 0.0)
+    # The write of the head takes effect, but its reply and all later ones are
+    # lost. Reported as "the object API does not answer", this made the operator
+    # repeat the change, which then conflicted with the first attempt.
+    monkeypatch.setattr(configuration_writing, "CONFIRM_TIMEOUT_S", 0.0)
     api = stored.MemoryApi()
-    vm = made(api)
+    vm = make_vm(api)
     vm.apply(declared("base"), 0, "ana", "")
 
     def go_down(key):
         api.down = key == configuration_head.KEY
 
     api.before_put = go_down
-    # One put stores the part, the next flips the head.
+    # The first put stores the part, the second replaces the head.
     api.put_faults.extend([None, stored.Fault.LOST])
     outcome = vm.apply(declared("mine"), 1, "ana", "").unwrap_err()
     assert isinstance(outcome, configuration.Uncertain)
@@ -106,11 +107,11 @@
     assert vm.refresh().unwrap() == 2
 
 
-def test_an_own_change_is_found_below_a_later_one(monkeypatch):
-    # A flip takes effect and its reply is lost; before the writer reads
-    # back, another VM makes the next change on top of it.
+def test_a_writer_recognises_its_change_under_a_later_one(monkeypatch):
+    # A write of the head takes effect and its reply is lost. Before the writer
+    # reads the head back, another VM stores the next revision.
     api = stored.MemoryApi()
-    vm, other = made(api, name="vm-1"), made(api, name="vm-2")
+    vm, other = make_vm(api, name="vm-1"), make_vm(api, name="vm-2")
     vm.apply(declared("base"), 0, "ana", "")
     heads = api.bodies_by_key[configuration_head.KEY]
 
@@ -126,47 +127,47 @@
     assert vm.refresh().unwrap() == 3
 
 
-def test_an_unreadable_revision_is_refused_and_the_old_one_kept():
-    # During an upgrade a newer VM stores fields that an older one does not
-    # know, or a part is corrupt: taking what can be read would serve callers
-    # from half a catalogue.
+def test_an_unreadable_revision_is_rejected_and_the_old_one_stays():
+    # During an upgrade a newer VM stores fields unknown to an older one, or a
+    # part is corrupt. Adopting only the readable parts would serve callers from
+    # an incomplete catalogue.
     api = stored.MemoryApi()
-    vm = made(api)
+    vm = make_vm(api)
     vm.apply(declared("base"), 0, "ana", "")
-    other = made(api, name="vm-2")
+    other = make_vm(api, name="vm-2")
     other.refresh()
     other.apply(declared("corrupt"), 1, "eva", "")
-    (name,) = marker(api.bodies_by_key[configuration_head.KEY][-1])
+    (name,) = service_parts(api.bodies_by_key[configuration_head.KEY][-1])
     api.bodies_by_key[configuration_parts.KEY_PREFIX + name][-1] += b" "
     assert isinstance(vm.refresh().unwrap_err(), configuration.Unreadable)
     assert (vm.revision, vm.index.catalogue) == (1, declared("base"))
     newer = b'{"revision": 9, "colour": "blue"}'
     assert isinstance(vm.adopt(newer).unwrap_err(), configuration.Unreadable)
-    # The next revision that can be read is adopted.
+    # The next readable revision is adopted.
     assert other.apply(declared("good"), 2, "eva", "").unwrap() == 3
     assert vm.refresh().unwrap() == 3
 
 
 def test_a_corrupt_part_from_a_peer_is_fetched_elsewhere():
     api = stored.MemoryApi()
-    made(api).apply(declared("base"), 0, "ana", "")
-    vm = made(api, name="vm-2")
+    make_vm(api).apply(declared("base"), 0, "ana", "")
+    vm = make_vm(api, name="vm-2")
     body = api.bodies_by_key[configuration_head.KEY][-1]
-    bad = configuration_parts.pack(b'{"section": "services", "items": []}')
-    assert vm.adopt(body, (lambda name: bad,)).unwrap() == 1
+    corrupt = configuration_parts.pack(b'{"section": "services", "items": []}')
+    assert vm.adopt(body, (lambda name: corrupt,)).unwrap() == 1
     assert vm.index.catalogue == declared("base")
 
 
-def test_old_parts_are_collected_and_parts_in_use_are_kept():
-    # A change names a part that an earlier revision had. The collection,
-    # which found it unnamed long ago, must not delete it below the new head.
+def test_unreferenced_parts_are_collected_and_parts_in_use_stay():
+    # A change references a part of an earlier revision again. The collection,
+    # which has recorded it as unreferenced, must not delete it under the new head.
     api = stored.MemoryApi()
-    vm = made(api)
+    vm = make_vm(api)
     garbage = vm.kernel.get(configuration_garbage.GarbageCollector)
     for revision, name in enumerate(("one", "two", "three")):
         vm.apply(declared(name), revision, "ana", "")
     first, second, third = (
-        configuration_parts.KEY_PREFIX + marker(body)[0]
+        configuration_parts.KEY_PREFIX + service_parts(body)[0]
         for body in api.bodies_by_key[configuration_head.KEY]
     )
     garbage.collect(0.0)
@@ -175,7 +176,7 @@
     garbage.collect(configuration_garbage.RETENTION_S)
     kept = set(api.list(configuration_parts.KEY_PREFIX).unwrap())
     assert first in kept and third in kept and second not in kept
-    assert made(api, name="vm-2").refresh().unwrap() == 4
+    assert make_vm(api, name="vm-2").refresh().unwrap() == 4
 
 
 VMS = st.sampled_from(("vm-1", "vm-2", "vm-3"))
@@ -191,7 +192,7 @@
 
 
 class Revisions(hypothesis.stateful.RuleBasedStateMachine):
-    """Writers, lost replies, stale reads, and heads that arrive in any order."""
+    """Concurrent writers, lost replies, stale reads, and heads in any order."""
 
     def __init__(self):
         super().__init__()
@@ -201,10 +202,10 @@
             self.restart(name)
         self.changes = 0
         self.accepted_by_revision = {}
-        self.failed = []
+        self.failed_changes = []
 
     def restart(self, name):
-        self.vm_by_name[name] = made(self.api, name=name)
+        self.vm_by_name[name] = make_vm(self.api, name=name)
         self.vm_by_name[name].highest = 0
 
     @hypothesis.stateful.rule(name=VMS, puts=PUT_FAULTS, gets=GET_FAULTS)
@@ -212,16 +213,16 @@
         self.api.put_faults.extend(puts)
         self.api.get_faults.extend(gets)
         self.changes += 1
-        wanted = declared(f"change-{self.changes}")
+        changed = declared(f"change-{self.changes}")
         vm = self.vm_by_name[name]
-        match vm.apply(wanted, vm.revision, name, ""):
+        match vm.apply(changed, vm.revision, name, ""):
             case result.Ok(revision):
                 assert revision not in self.accepted_by_revision
-                self.accepted_by_revision[revision] = wanted
+                self.accepted_by_revision[revision] = changed
             case result.Err(configuration.Uncertain()):
                 pass
             case result.Err(_):
-                self.failed.append(wanted)
+                self.failed_changes.append(changed)
         self.api.put_faults.clear()
         self.api.get_faults.clear()
 
@@ -232,17 +233,17 @@
         self.api.get_faults.clear()
 
     @hypothesis.stateful.rule(name=VMS, number=st.integers(0, 100))
-    def hear_any_head(self, name, number):
+    def receive_any_head(self, name, number):
         heads = self.api.bodies_by_key[configuration_head.KEY]
         if heads:
             self.vm_by_name[name].adopt(heads[number % len(heads)])
 
     @hypothesis.stateful.rule(name=VMS)
-    def start_anew(self, name):
+    def restart_vm(self, name):
         self.restart(name)
 
     @hypothesis.stateful.invariant()
-    def revisions_never_fall(self):
+    def revisions_never_decrease(self):
         for vm in self.vm_by_name.values():
             assert vm.revision >= vm.highest
             vm.highest = vm.revision
@@ -250,22 +251,25 @@
     @hypothesis.stateful.invariant()
     def accepted_changes_are_in_the_history(self):
         heads = self.api.bodies_by_key[configuration_head.KEY]
-        for place, body in enumerate(heads, 1):
-            assert configuration_head.read(body).unwrap().revision == place
-        for revision, wanted in self.accepted_by_revision.items():
-            assert marker(heads[revision - 1]) == names_of(wanted)
+        for expected, body in enumerate(heads, 1):
+            assert configuration_head.read(body).unwrap().revision == expected
+        for revision, changed in self.accepted_by_revision.items():
+            assert service_parts(heads[revision - 1]) == service_part_names(changed)
 
     @hypothesis.stateful.invariant()
     def failed_changes_changed_nothing(self):
         written = {
-            marker(body) for body in self.api.bodies_by_key[configuration_head.KEY]
+            service_parts(body)
+            for body in self.api.bodies_by_key[configuration_head.KEY]
+        }
+        assert not written & {
+            service_part_names(changed) for changed in self.failed_changes
         }
-        assert not written & {names_of(wanted) for wanted in self.failed}
 
 
-def names_of(wanted):
-    parts = configuration_parts.split(wanted)
-    return configuration_parts.by_section(parts)["services"]
+def service_part_names(changed):
+    parts = configuration_parts.split(changed)
+    return configuration_parts.names_by_section(parts)["services"]
 
 
 @pytest.mark.usefixtures("short_pauses")
@@ -278,10 +282,10 @@
     )
 
 
-def test_peers_carry_a_change_while_the_object_api_is_away(bed):
-    # The object API goes away right after a change was accepted. Without
-    # peers' gossip the other VMs would serve the old catalogue until it is
-    # back, and a VM that restarts meanwhile would have none.
+def test_gossip_replicates_a_change_during_an_object_api_outage(bed):
+    # The object API fails right after a change was accepted. Without gossip the
+    # other VMs would serve the old catalogue until the outage ends, and a VM
+    # that restarts meanwhile would have no catalogue.
     for number in range(1, 5):
         name = f"vm-{number}"
         url = f"{bed.object_api.url}/clients/{name}"
@@ -301,5 +305,5 @@
 
 
 def revision_of(bed, name):
-    shown = bed.operator(bed.node_by_name[name]).get("catalogue")
-    return shown.map(lambda value: value["revision"]).unwrap_or(0)
+    reply = bed.operator(bed.node_by_name[name]).get("catalogue")
+    return reply.map(lambda value: value["revision"]).unwrap_or(0)
