--- a/packages/mothworks/src/mothworks/catalogue_checks.py
+++ b/packages/mothworks/src/mothworks/catalogue_checks.py
@@ -1,7 +1,7 @@
-"""Checks of a whole catalogue: names, references, sizes, and whether it fits.
+"""Checks of a whole catalogue: names, references, sizes and memory capacity.
 
-A catalogue is checked before it is taken, and every problem is reported with
-its path and what was expected there.
+A catalogue is checked before it is put in force. Every problem is reported
+with its path and the expected value.
 """
 
 import collections
@@ -16,7 +16,7 @@
 def read(
     text: str, source: str
 ) -> result.Result[catalogue.Catalogue, documents.DocumentError]:
-    """Read and check a catalogue.
+    """Parse and check a catalogue.
 
     :param text: the document, JSON with comments.
     :param source: its name in errors.
@@ -29,9 +29,9 @@
 def check(
     declared: catalogue.Catalogue, source: str
 ) -> result.Result[catalogue.Catalogue, documents.DocumentError]:
-    """Check what no single item can know: names, references and sizes.
+    """Check what depends on several items: names, references and sizes.
 
-    :param declared: what was declared.
+    :param declared: the catalogue.
     :param source: its name in errors.
     """
     problems = [
@@ -48,20 +48,20 @@
     sections = ("data_centres", "services", "callers", "endpoints")
     for section in sections:
         names = [item.name for item in getattr(declared, section)]
-        for name in _repeated(names):
+        for name in _repeated_values(names):
             yield f"$.{section}: {name!r} is declared twice; names must be unique"
-    answering = [item.name for item in (*declared.models, *declared.adapters)]
-    for name in _repeated(answering):
+    model_names = [item.name for item in (*declared.models, *declared.adapters)]
+    for name in _repeated_values(model_names):
         yield (
             f"$.models, $.adapters: {name!r} is declared twice; "
             "models and adapters share one set of names"
         )
     hashes = [item.key_sha256 for item in declared.callers]
-    for key_sha256 in _repeated(hashes):
+    for key_sha256 in _repeated_values(hashes):
         yield f"$.callers: two callers have the key hash {key_sha256[:8]}..."
 
 
-def _repeated(names: list[str]) -> list[str]:
+def _repeated_values(names: list[str]) -> list[str]:
     return sorted(
         name for name, count in collections.Counter(names).items() if count > 1
     )
@@ -69,55 +69,58 @@
 
 def _references(declared: catalogue.Catalogue) -> collections.abc.Iterator[str]:
     index = catalogue.Index(declared)
-    for place, adapter in enumerate(declared.adapters):
+    for position, adapter in enumerate(declared.adapters):
         if adapter.model not in index.model_by_name:
-            yield f"$.adapters[{place}].model: no model is named {adapter.model!r}"
+            yield f"$.adapters[{position}].model: no model is named {adapter.model!r}"
     callable_names = {
         *index.model_by_name,
         *index.adapter_by_name,
         *index.service_by_name,
     }
-    for place, caller in enumerate(declared.callers):
+    for position, caller in enumerate(declared.callers):
         for name in caller.models:
             if name not in callable_names:
-                yield (f"$.callers[{place}].models: nothing to call is named {name!r}")
+                yield (
+                    f"$.callers[{position}].models: "
+                    f"no model, adapter or service is named {name!r}"
+                )
         if not 0 < caller.share <= 1:
-            yield f"$.callers[{place}].share: expected a number above 0, at most 1"
+            yield f"$.callers[{position}].share: expected a number above 0, at most 1"
     kinds = plugins.keys(plugins.ENDPOINT)
-    for place, endpoint in enumerate(declared.endpoints):
-        where = f"$.endpoints[{place}]"
+    for position, endpoint in enumerate(declared.endpoints):
+        path = f"$.endpoints[{position}]"
         if endpoint.kind not in kinds:
-            yield f"{where}.kind: expected one of {', '.join(kinds)}"
+            yield f"{path}.kind: expected one of {', '.join(kinds)}"
         if endpoint.data_centre not in index.region_by_data_centre:
             yield (
-                f"{where}.data_centre: no data centre is named {endpoint.data_centre!r}"
+                f"{path}.data_centre: no data centre is named {endpoint.data_centre!r}"
             )
         if endpoint.service is not None and (
             endpoint.service not in index.service_by_name
         ):
-            yield f"{where}.service: no service is named {endpoint.service!r}"
+            yield f"{path}.service: no service is named {endpoint.service!r}"
 
 
 def _sizes(declared: catalogue.Catalogue) -> collections.abc.Iterator[str]:
-    largest = max((item.memory_mb for item in declared.endpoints), default=0)
-    for place, item in enumerate(_items(declared)):
-        if item.memory_mb > largest:
+    largest_mb = max((item.memory_mb for item in declared.endpoints), default=0)
+    for position, item in enumerate(_items(declared)):
+        if item.memory_mb > largest_mb:
             yield (
-                f"$.models[{place}]: {item.name!r} needs {item.memory_mb} MB with its "
-                f"working room and adapters, but the largest endpoint has "
-                f"{largest} MB; {item.memory_mb - largest} MB are missing"
+                f"$.models[{position}]: {item.name!r} needs {item.memory_mb} MB "
+                f"with its working memory and adapters, but the largest endpoint has "
+                f"{largest_mb} MB; {item.memory_mb - largest_mb} MB are missing"
             )
 
 
 def fit(
     declared: catalogue.Catalogue, source: str
 ) -> result.Result[catalogue.Catalogue, documents.DocumentError]:
-    """Check that all models have room at the same time, in each region.
+    """Check that all models fit into the memory of each region at the same time.
 
-    Endpoints that are being drained do not count: a drain that left a model
-    without memory would make it unreachable. This is asked when a change is
-    applied and not when one is read, so that a version of the program that
-    packs otherwise never rejects what is in force.
+    Draining endpoints do not count: a drain that left a model without memory
+    would make it unreachable. This is checked when a change is applied, not
+    when a stored revision is read, so that a program version with another
+    packing algorithm never rejects the revision in force.
 
     :param declared: a checked catalogue.
     :param source: its name in errors.
@@ -125,18 +128,21 @@
     items = _items(declared)
     problems = []
     for region, memories_mb in _memories_by_region(declared).items():
-        most = len(memories_mb)
-        copied = [attrs.evolve(item, copies=min(item.copies, most)) for item in items]
-        left = capacity.unplaced(copied, memories_mb)
-        if left:
-            problems.append(_does_not_fit(region, left, memories_mb))
+        endpoint_count = len(memories_mb)
+        items_to_place = [
+            attrs.evolve(item, copies=min(item.copies, endpoint_count))
+            for item in items
+        ]
+        unplaced = capacity.unplaced(items_to_place, memories_mb)
+        if unplaced:
+            problems.append(_missing_memory(region, unplaced, memories_mb))
     if problems:
         return result.Err(documents.DocumentError(source, tuple(problems)))
     return result.Ok(declared)
 
 
 def _items(declared: catalogue.Catalogue) -> list[capacity.Item]:
-    """Return each model with its weights, working room and adapters."""
+    """Return each model's size: weights, working memory and adapters."""
     adapters_mb: dict[str, int] = collections.Counter()
     for adapter in declared.adapters:
         adapters_mb[adapter.model] += adapter.memory_mb
@@ -160,14 +166,14 @@
     return memories_mb
 
 
-def _does_not_fit(
-    region: str, left: list[capacity.Item], memories_mb: list[int]
+def _missing_memory(
+    region: str, unplaced: list[capacity.Item], memories_mb: list[int]
 ) -> str:
-    missing_mb = sum(item.memory_mb * item.copies for item in left)
-    names = ", ".join(repr(item.name) for item in left[:5])
-    more = f" and {len(left) - 5} more" if len(left) > 5 else ""
+    missing_mb = sum(item.memory_mb * item.copies for item in unplaced)
+    names = ", ".join(repr(item.name) for item in unplaced[:5])
+    more = f" and {len(unplaced) - 5} more" if len(unplaced) > 5 else ""
     return (
         f"$.models: {missing_mb} MB are missing in region {region!r}: beside the "
-        f"other models, {names}{more} find no room on its {len(memories_mb)} "
+        f"other models, {names}{more} do not fit on its {len(memories_mb)} "
         f"endpoints with {sum(memories_mb)} MB"
     )
--- a/packages/mothworks/src/mothworks/changes.py
+++ b/packages/mothworks/src/mothworks/changes.py
@@ -1,7 +1,7 @@
-"""Changes of the catalogue: applying a statement, and what differs.
+"""Changes of the catalogue: applies statements and computes differences.
 
-Everything here is a pure function of catalogues, so that a change can be
-worked out again on a newer revision and compared with what its operator saw.
+All functions here are pure functions of catalogues, so that a change can be
+recomputed on a newer revision and compared with the one its operator saw.
 """
 
 import attrs
@@ -9,7 +9,7 @@
 
 from mothworks import catalogue, catalogue_checks, documents, outcomes, statements
 
-#: Fields that hold secrets, though only hashes; differences leave them out.
+#: Fields with hashes of secrets; differences don't show their values.
 HIDDEN_FIELDS = frozenset(("key_sha256",))
 
 
@@ -18,10 +18,10 @@
     """One field in which two catalogues differ.
 
     :param section: the section of the catalogue.
-    :param name: the item's name; empty for a section without items.
-    :param field: the field; empty where the whole item came or went.
-    :param before: its value in the first catalogue, None for none.
-    :param after: its value in the second catalogue, None for none.
+    :param name: the item's name; empty for a section that is not a list.
+    :param field: the field; empty if the whole item was added or removed.
+    :param before: the value in the first catalogue; None if it is absent there.
+    :param after: the value in the second catalogue; None if it is absent there.
     """
 
     section: str
@@ -31,13 +31,14 @@
     after: str | None
 
 
-def change(
+def apply(
     declared: catalogue.Catalogue, statement: statements.Change
 ) -> result.Result[catalogue.Catalogue, outcomes.Refusal]:
-    """Return the catalogue after a statement.
+    """Apply a statement to a catalogue and check the result.
 
-    :param declared: the catalogue before.
-    :param statement: what to change.
+    :param declared: the catalogue before the change.
+    :param statement: the change.
+    :returns: the changed catalogue.
     """
     match statement:
         case statements.Add(section, item):
@@ -53,8 +54,8 @@
     return changed.and_then(_check)
 
 
-def touched(statement: statements.Change) -> tuple[str, str]:
-    """Return section and name of the item that a statement changes.
+def changed_item(statement: statements.Change) -> tuple[str, str]:
+    """Return the section and the name of the item that a statement changes.
 
     :param statement: the statement.
     """
@@ -77,25 +78,25 @@
     :param before: the first catalogue.
     :param after: the second catalogue.
     """
-    found = []
+    differences = []
     for section in (field.name for field in attrs.fields(catalogue.Catalogue)):
         first, second = getattr(before, section), getattr(after, section)
         if not isinstance(first, tuple):
-            found += _item_difference(section, "", first, second)
+            differences += _item_difference(section, "", first, second)
             continue
         first_by_name = {item.name: item for item in first}
         second_by_name = {item.name: item for item in second}
         for name in sorted(first_by_name.keys() | second_by_name.keys()):
-            found += _item_difference(
+            differences += _item_difference(
                 section, name, first_by_name.get(name), second_by_name.get(name)
             )
-    return tuple(found)
+    return tuple(differences)
 
 
 def item_difference(
     before: catalogue.Catalogue, after: catalogue.Catalogue, section: str, name: str
 ) -> tuple[Difference, ...]:
-    """Return in what one item differs between two catalogues.
+    """Return every field in which one item differs between two catalogues.
 
     :param before: the first catalogue.
     :param after: the second catalogue.
@@ -108,10 +109,12 @@
 
 
 def _add(declared: catalogue.Catalogue, section: statements.Section, item: dict):
-    shape = documents.structure({section.field: [item]}, catalogue.Catalogue, "add")
-    match shape:
-        case result.Ok(read):
-            added = getattr(read, section.field)
+    structured = documents.structure(
+        {section.field: [item]}, catalogue.Catalogue, "add"
+    )
+    match structured:
+        case result.Ok(partial):
+            added = getattr(partial, section.field)
         case result.Err(problem):
             return result.Err(outcomes.invalid(str(problem), "invalid_statement", 422))
     if _find(declared, section.field, added[0].name) is not None:
@@ -123,10 +126,10 @@
 
 def _retire(declared: catalogue.Catalogue, section: statements.Section, name: str):
     if _find(declared, section.field, name) is None:
-        return result.Err(_absent(section, name))
+        return result.Err(_not_declared(section, name))
     items = getattr(declared, section.field)
-    kept = tuple(item for item in items if item.name != name)
-    changes = {section.field: kept}
+    remaining = tuple(item for item in items if item.name != name)
+    changes = {section.field: remaining}
     if section is statements.Section.MODEL:
         changes["adapters"] = tuple(
             adapter for adapter in declared.adapters if adapter.model != name
@@ -136,7 +139,7 @@
 
 def _evolve(declared: catalogue.Catalogue, section: str, name: str, **fields):
     if _find(declared, section, name) is None:
-        return result.Err(_absent(section.removesuffix("s"), name))
+        return result.Err(_not_declared(section.removesuffix("s"), name))
     items = tuple(
         attrs.evolve(item, **fields) if item.name == name else item
         for item in getattr(declared, section)
@@ -146,7 +149,7 @@
 
 def _check(changed: catalogue.Catalogue):
     checked = catalogue_checks.check(changed, "catalogue").and_then(
-        lambda sound: catalogue_checks.fit(sound, "catalogue")
+        lambda consistent: catalogue_checks.fit(consistent, "catalogue")
     )
     return checked.map_err(
         lambda problem: outcomes.invalid(str(problem), "invalid_catalogue", 422)
@@ -158,7 +161,7 @@
     return next((item for item in items if item.name == name), None)
 
 
-def _absent(section: str, name: str) -> outcomes.Refusal:
+def _not_declared(section: str, name: str) -> outcomes.Refusal:
     return outcomes.invalid(f"no {section} is named {name!r}", "not_declared", 404)
 
 
@@ -170,12 +173,12 @@
     return [
         Difference(section, name, field.name, first, second)
         for field in attrs.fields(type(before))
-        for first, second in [_values(before, after, field.name)]
+        for first, second in [_shown_values(before, after, field.name)]
         if getattr(before, field.name) != getattr(after, field.name)
     ]
 
 
-def _values(before, after, field: str) -> tuple[str, str]:
+def _shown_values(before, after, field: str) -> tuple[str, str]:
     if field in HIDDEN_FIELDS:
         return "(hidden)", "(another)"
     return str(getattr(before, field)), str(getattr(after, field))
@@ -184,11 +187,11 @@
 def _summary(item) -> str | None:
     if item is None:
         return None
-    shown = [
+    shown_fields = [
         f"{field.name} {getattr(item, field.name)}"
         for field in attrs.fields(type(item))
         if field.name != "name"
         and field.name not in HIDDEN_FIELDS
         and getattr(item, field.name) != field.default
     ]
-    return ", ".join(shown) or "declared"
+    return ", ".join(shown_fields) or "declared"
--- a/packages/mothworks/src/mothworks/configuration_following.py
+++ b/packages/mothworks/src/mothworks/configuration_following.py
@@ -79,7 +79,7 @@
             next_cursor = self._wait_for_change(cursor)
             match next_cursor.and_then(lambda _: self.configuration.refresh()):
                 case result.Err(objects.Unavailable(reason)):
-                    log.warning("the head cannot be read: {}", reason)
+                    log.warning("cannot follow the head: {}", reason)
                     gevent.sleep(RETRY_PAUSE_S * random.uniform(0.5, 1.5))
                     cursor = ""
                 case _:
--- a/packages/mothworks/src/mothworks/operator_commands.py
+++ b/packages/mothworks/src/mothworks/operator_commands.py
@@ -70,7 +70,7 @@
             overtaken = _overtaken(statement, seen, declared, revision)
             if overtaken is not None:
                 return result.Err(overtaken)
-            match changes.change(declared, statement):
+            match changes.apply(declared, statement):
                 case result.Ok(changed):
                     pass
                 case result.Err(refusal):
@@ -151,7 +151,9 @@
     Without this check the later of two commands on one item would win, and
     the first operator's change would be gone without a word to either.
     """
-    difference = changes.item_difference(seen, declared, *changes.touched(statement))
+    difference = changes.item_difference(
+        seen, declared, *changes.changed_item(statement)
+    )
     if statement.revision not in (None, revision):
         return Rejected(_stale(statement.revision, revision), difference)
     if difference:
@@ -165,7 +167,7 @@
 
 def _description(statement: statements.Change) -> tuple[str, str]:
     """Return what a statement does, and the name of its item."""
-    section, name = changes.touched(statement)
+    section, name = changes.changed_item(statement)
     verb = type(statement).__name__.lower()
     return f"{verb} {section.removesuffix('s')} {name}", name
 
--- a/packages/mothworks/src/mothworks/questions.py
+++ b/packages/mothworks/src/mothworks/questions.py
@@ -50,7 +50,7 @@
         self.membership = node_kernel.get(membership.Membership)
         self.suspects = node_kernel.get(suspects.Suspects)
 
-    def answer(self, statement: statements.Question) -> answers.Outcome:
+    def answer(self, statement: statements.Query) -> answers.Outcome:
         """Answer a statement.
 
         :param statement: the statement.
--- a/packages/mothworks/src/mothworks/statements.py
+++ b/packages/mothworks/src/mothworks/statements.py
@@ -1,7 +1,8 @@
-"""Statements: what operators can ask and command, as typed classes.
+"""Statements: operators' queries and commands, as typed classes.
 
-``mothctl`` parses the language and sends a statement as JSON; its field
-``statement`` names the class. The node checks it again by these classes.
+``mothctl`` parses the language and sends a statement as JSON, whose field
+``statement`` is the name of the class. The node validates it against the same
+classes.
 """
 
 import enum
@@ -14,7 +15,7 @@
 
 
 class Collection(enum.StrEnum):
-    """What ``show`` and ``watch`` list."""
+    """Collections of rows that ``show`` and ``watch`` list."""
 
     MODELS = "models"
     ENDPOINTS = "endpoints"
@@ -44,7 +45,7 @@
 
 
 class Comparison(enum.StrEnum):
-    """How a condition compares a field with a value."""
+    """Comparison operators of conditions."""
 
     EQUAL = "="
     NOT_EQUAL = "!="
@@ -61,8 +62,8 @@
     """A condition on the rows of a collection.
 
     :param field: the row's field.
-    :param comparison: how it is compared.
-    :param value: what it is compared with.
+    :param comparison: the operator.
+    :param value: the value that the field is compared with.
     """
 
     field: str
@@ -74,8 +75,8 @@
 class Show:
     """``show COLLECTION where ...``: list rows.
 
-    :param collection: what to list.
-    :param conditions: all must hold.
+    :param collection: the collection to list.
+    :param conditions: conditions that each listed row meets.
     """
 
     collection: Collection
@@ -84,7 +85,7 @@
 
 @attrs.frozen
 class WhyModel:
-    """``why model M``: where a model is, where not, and what is pending.
+    """``why model M``: explain where a model is, where not, and pending moves.
 
     :param model: the model, adapter or service.
     """
@@ -94,7 +95,7 @@
 
 @attrs.frozen
 class WhyRequest:
-    """``why request R``: where a request is and how that was decided.
+    """``why request R``: explain where a request is and how it was routed.
 
     :param request: the request's id.
     """
@@ -109,8 +110,8 @@
     :param section: the kind of item.
     :param item: its fields, as in the catalogue.
     :param why: the reason, for the audit trail.
-    :param revision: the revision that the operator saw; None for the one in
-        force when the statement arrives.
+    :param revision: the revision that the statement is based on; None for the
+        one in force when the statement arrives.
     """
 
     section: Section
@@ -121,7 +122,7 @@
 
 @attrs.frozen
 class Retire:
-    """``retire SECTION N``: remove an item; a model's adapters go with it.
+    """``retire SECTION N``: remove an item, and a model's adapters with it.
 
     :param section: the kind of item.
     :param name: its name.
@@ -137,7 +138,7 @@
 
 @attrs.frozen
 class Drain:
-    """``drain endpoint N``: give it no new work.
+    """``drain endpoint N``: stop sending new requests to it.
 
     :param endpoint: the endpoint's name.
     :param why: see :class:`Add`.
@@ -165,10 +166,10 @@
 
 @attrs.frozen
 class Reprioritise:
-    """``reprioritise caller C to URGENCY``: change a caller's class.
+    """``reprioritise caller C to URGENCY``: change a caller's priority class.
 
     :param caller: the caller's name.
-    :param urgency: the new class of all its work.
+    :param urgency: the new class of all its requests.
     :param why: see :class:`Add`.
     :param revision: see :class:`Add`.
     """
@@ -184,8 +185,8 @@
     """``move model M from A to B``: relocate a replica.
 
     :param model: the model.
-    :param source: the endpoint that has it.
-    :param target: the endpoint that is to have it.
+    :param source: the endpoint that unloads it.
+    :param target: the endpoint that loads it.
     :param why: see :class:`Add`.
     """
 
@@ -197,9 +198,9 @@
 
 @attrs.frozen
 class Lift:
-    """``lift quarantine S``: let a request run again on every VM.
+    """``lift quarantine S``: allow a request to run again on every VM.
 
-    :param suspect: its hash, as ``show quarantine`` lists it.
+    :param suspect: the request's hash, as ``show quarantine`` lists it.
     :param why: the reason, for the audit trail.
     """
 
@@ -207,18 +208,21 @@
     why: str = ""
 
 
-#: Statements that read; the role viewer is enough.
-Question = Show | WhyModel | WhyRequest
+#: Read-only statements; the role viewer suffices.
+Query = Show | WhyModel | WhyRequest
 #: Statements that change the catalogue.
 Change = Add | Retire | Drain | Resume | Reprioritise
-#: Every statement that a node takes.
-Statement = Question | Change | Move | Lift
+#: Every statement that a node accepts.
+Statement = Query | Change | Move | Lift
 
-_class_by_name = {kind.__name__: kind for kind in typing.get_args(Statement)}
+_class_by_name = {
+    statement_class.__name__: statement_class
+    for statement_class in typing.get_args(Statement)
+}
 
 
 def plain(statement: Statement) -> dict[str, typing.Any]:
-    """Return a statement as plain values, ready for JSON.
+    """Return a statement as plain values that JSON can represent.
 
     :param statement: the statement.
 
@@ -229,19 +233,19 @@
 
 
 def read(value: typing.Any) -> result.Result[Statement, documents.DocumentError]:
-    """Check plain values and return the statement.
+    """Check plain values and return them as a statement.
 
-    :param value: what JSON held.
+    :param value: the decoded JSON.
     """
     if not isinstance(value, dict):
-        return _wrong("expected an object")
+        return _invalid("expected an object")
     fields = dict(value)
-    kind = _class_by_name.get(fields.pop("statement", None))
-    if kind is None:
+    statement_class = _class_by_name.get(fields.pop("statement", None))
+    if statement_class is None:
         names = ", ".join(_class_by_name)
-        return _wrong(f"$.statement: expected one of {names}")
-    return documents.structure(fields, kind, "statement")
+        return _invalid(f"$.statement: expected one of {names}")
+    return documents.structure(fields, statement_class, "statement")
 
 
-def _wrong(problem: str) -> result.Result:
+def _invalid(problem: str) -> result.Result:
     return result.Err(documents.DocumentError("statement", (problem,)))
