--- a/packages/mothworks/src/mothworks/operator_calls.py
+++ b/packages/mothworks/src/mothworks/operator_calls.py
@@ -1,9 +1,9 @@
-"""Caller protocol ``/operate/``: operators query and command the system.
+"""Caller protocol ``/operate/``: operators' queries and commands.
 
-``POST /operate/ask`` takes a typed statement (:mod:`mothworks.statements`).
+``POST /operate/ask`` runs a typed statement (:mod:`mothworks.statements`).
 ``GET /operate/catalogue`` returns the catalogue in force and its revision;
-``PUT`` replaces it where ``revision`` is still in force. ``GET
-/operate/show/<collection>`` lists rows as a plain array.
+``PUT`` replaces it if ``revision`` is still in force. ``GET
+/operate/show/<collection>`` returns the collection's rows as a JSON array.
 """
 
 import collections.abc
@@ -37,7 +37,7 @@
 
 @attrs.frozen
 class Change:
-    """A catalogue that is to take the place of another.
+    """The body of a PUT that replaces the catalogue.
 
     :param revision: the revision that the change is based on.
     :param why: the operator's reason.
@@ -66,14 +66,14 @@
         self.audit = node_kernel.get(audit.Audit)
 
     def serve(self, call: calls.Call) -> calls.Reply:
-        """Answer one call.
+        """Authenticate the operator and serve one call.
 
         :param call: the call.
         """
         operator = operator_keys.find(self.operators, call.bearer_hash() or "")
         if operator is None:
             refusal = outcomes.invalid(
-                "a valid operator's key is needed", "invalid_api_key", 401
+                "a valid operator key is required", "invalid_api_key", 401
             )
             return calls.refuse(refusal)
         match (call.method, call.path):
@@ -98,7 +98,7 @@
                 return calls.refuse(refusal)
         match statement:
             case statements.Show() | statements.WhyModel() | statements.WhyRequest():
-                return _reply(self.questions.answer(statement))
+                return _query_reply(self.questions.answer(statement))
             case _ if operator.role is not settings.Role.OPERATOR:
                 return _forbidden()
             case statements.Move():
@@ -106,17 +106,17 @@
             case statements.Lift():
                 return self._lift(statement, operator)
             case _:
-                ran = self.commands.run(statement, operator.name)
-                return _changed(ran, _done)
+                outcome = self.commands.run(statement, operator.name)
+                return _change_reply(outcome, _in_force_body)
 
     def _move(
         self, statement: statements.Move, operator: settings.Operator
     ) -> calls.Reply:
-        match self.moves.order(statement, operator.name):
+        match self.moves.request_move(statement, operator.name):
             case result.Ok(vm):
                 note = (
-                    f"accepted by the planner {vm}; {statement.source} gives "
-                    f"{statement.model!r} up once {statement.target} has it"
+                    f"accepted by the planner {vm}; {statement.source} unloads "
+                    f"{statement.model!r} once {statement.target} has loaded it"
                 )
                 answer = answers.Answer(self.configuration.revision, (), (note,))
                 return calls.json_reply(answer.plain())
@@ -127,7 +127,7 @@
         self, statement: statements.Lift, operator: settings.Operator
     ) -> calls.Reply:
         if not self.suspects.lift(statement.suspect):
-            message = f"nothing in quarantine has the hash {statement.suspect!r:.80}"
+            message = f"no quarantined request has the hash {statement.suspect!r:.80}"
             return calls.refuse(outcomes.invalid(message, "not_found", 404))
         self.audit.record(
             audit.Kind.QUARANTINE,
@@ -143,10 +143,12 @@
     def _show(self, name: str) -> calls.Reply:
         if name not in list(statements.Collection):
             return calls.refuse(
-                outcomes.invalid(f"there is no {name!r:.80}", "not_found", 404)
+                outcomes.invalid(
+                    f"no collection is named {name!r:.80}", "not_found", 404
+                )
             )
-        shown = statements.Show(statements.Collection(name))
-        match self.questions.answer(shown):
+        statement = statements.Show(statements.Collection(name))
+        match self.questions.answer(statement):
             case result.Ok(answer):
                 return calls.json_reply(answer.tables[0].plain()["rows"])
             case result.Err(refusal):
@@ -166,12 +168,12 @@
                 replaced = self.commands.replace(
                     change.catalogue, change.revision, operator.name, change.why
                 )
-                return _changed(replaced, lambda revision: {"revision": revision})
+                return _change_reply(replaced, lambda revision: {"revision": revision})
             case result.Err(refusal):
                 return calls.refuse(refusal)
 
 
-def _reply(outcome: answers.Outcome) -> calls.Reply:
+def _query_reply(outcome: answers.Outcome) -> calls.Reply:
     match outcome:
         case result.Ok(answer):
             return calls.json_reply(answer.plain())
@@ -179,12 +181,12 @@
             return calls.refuse(refusal)
 
 
-def _done(revision: int) -> dict:
+def _in_force_body(revision: int) -> dict:
     note = f"revision {revision} is in force"
     return answers.Answer(revision, (), (note,)).plain()
 
 
-def _changed(
+def _change_reply(
     outcome: operator_commands.Outcome,
     body: collections.abc.Callable[[int], dict],
 ) -> calls.Reply:
@@ -194,13 +196,13 @@
         case result.Err(operator_commands.Rejected(refusal, difference)):
             body = orjson.loads(refusal.body())
             body["difference"] = [documents.plain(item) for item in difference]
-            refused = calls.refuse(refusal)
-            return attrs.evolve(refused, body=[orjson.dumps(body)])
+            reply = calls.refuse(refusal)
+            return attrs.evolve(reply, body=[orjson.dumps(body)])
 
 
 def _forbidden() -> calls.Reply:
     return calls.refuse(
-        outcomes.invalid("this needs the role operator", "forbidden", 403)
+        outcomes.invalid("this requires the role operator", "forbidden", 403)
     )
 
 
@@ -222,7 +224,7 @@
     checked = documents.structure(value, Change, "change").and_then(
         lambda change: (
             catalogue_checks.check(change.catalogue, "catalogue")
-            .and_then(lambda sound: catalogue_checks.fit(sound, "catalogue"))
+            .and_then(lambda consistent: catalogue_checks.fit(consistent, "catalogue"))
             .map(lambda _: change)
         )
     )
--- a/packages/mothworks/src/mothworks/operator_commands.py
+++ b/packages/mothworks/src/mothworks/operator_commands.py
@@ -1,9 +1,9 @@
 """Commands: statements that change the catalogue, by conditional updates.
 
-Two operators never overwrite each other silently. A command is worked out
-again on a newer revision only if that left its item as the operator could
-have seen it; otherwise the later operator gets the difference, and nothing
-is changed.
+Two operators never overwrite each other silently. A command is recomputed on a
+newer revision only if that revision left the command's item as the operator
+could have seen it. Otherwise the later operator gets the difference, and
+nothing is changed.
 """
 
 import attrs
@@ -20,19 +20,21 @@
     statements,
 )
 
-#: How often a command is worked out again because others changed other items.
-ATTEMPTS = 5
-#: Hint to an operator while the object API does not answer, seconds.
-RETRY_S = 5.0
+#: Attempts of a command while other operators change other items.
+MAX_ATTEMPTS = 5
+#: Time after which an operator should retry if the object API is unavailable,
+#: seconds.
+RETRY_AFTER_S = 5.0
 
 
 @attrs.frozen
 class Rejected:
     """A command that changed nothing.
 
-    :param refusal: why.
-    :param difference: in what the catalogue in force differs from the one
-        that the command was based on, or would differ after it.
+    :param refusal: the reason.
+    :param difference: the fields in which the catalogue in force differs from
+        the one that the command is based on, or from the operator's catalogue
+        if this VM no longer retains that one.
     """
 
     refusal: outcomes.Refusal
@@ -43,7 +45,7 @@
 
 
 class Commands(kernel.Part):
-    """Carries out commands.
+    """Executes commands.
 
     :param node_kernel: the node's kernel.
     """
@@ -54,22 +56,22 @@
         self.configuration = node_kernel.get(configuration.Configuration)
 
     def run(self, statement: statements.Change, who: str) -> Outcome:
-        """Carry out a statement.
+        """Execute a statement that changes the catalogue.
 
-        :param statement: what to change.
+        :param statement: the change.
         :param who: the operator.
-        :returns: the new revision, or why nothing was changed.
+        :returns: the new revision, or the reason why nothing was changed.
         """
-        seen = self._seen(statement.revision)
-        for _ in range(ATTEMPTS):
+        base_catalogue = self._base_catalogue(statement.revision)
+        for _ in range(MAX_ATTEMPTS):
             refreshed = self.configuration.refresh()
             if refreshed.is_err():
-                return result.Err(_not_stored(refreshed.err()))
+                return result.Err(_store_error(refreshed.err()))
             revision = self.configuration.revision
             declared = self.configuration.index.catalogue
-            overtaken = _overtaken(statement, seen, declared, revision)
-            if overtaken is not None:
-                return result.Err(overtaken)
+            conflict = _find_conflict(statement, base_catalogue, declared, revision)
+            if conflict is not None:
+                return result.Err(conflict)
             match changes.apply(declared, statement):
                 case result.Ok(changed):
                     pass
@@ -81,8 +83,8 @@
                 case result.Err(configuration.Stale()):
                     continue
                 case _:
-                    return applied.map_err(_not_stored)
-        message = "others change the catalogue all the time; nothing was changed"
+                    return applied.map_err(_store_error)
+        message = "other operators keep changing the catalogue; nothing was changed"
         return result.Err(Rejected(outcomes.overloaded(message, 1.0, "contended")))
 
     def replace(
@@ -91,22 +93,22 @@
         """Put a whole catalogue in force.
 
         :param declared: the checked catalogue.
-        :param expected: the revision that it was compared with.
+        :param expected: the revision that it is based on.
         :param who: the operator.
         :param why: the operator's reason.
         """
         what = "replace the catalogue"
         match self._apply(declared, expected, who, "catalogue", what, why):
             case result.Err(configuration.Stale(revision, base, in_force)):
-                # Where this VM has forgotten the base, the difference is what
-                # the operator's catalogue would undo.
+                # If this VM no longer retains the base, the difference is what
+                # the operator's catalogue would revert.
                 difference = changes.difference(base or declared, in_force)
                 refusal = _stale(expected, revision)
                 return result.Err(Rejected(refusal, difference))
             case applied:
-                return applied.map_err(_not_stored)
+                return applied.map_err(_store_error)
 
-    def _seen(self, revision: int | None) -> catalogue.Catalogue:
+    def _base_catalogue(self, revision: int | None) -> catalogue.Catalogue:
         in_force = self.configuration.index.catalogue
         return self.configuration.earlier_by_revision.get(revision, in_force)
 
@@ -119,7 +121,7 @@
         what: str,
         why: str,
     ) -> result.Result[int, configuration.ApplyError]:
-        """Store a catalogue and record the change."""
+        """Store a catalogue and record the change in the audit trail."""
         applied = self.configuration.apply(changed, expected, who, why)
         match applied:
             case result.Ok(revision):
@@ -140,19 +142,19 @@
         return applied
 
 
-def _overtaken(
+def _find_conflict(
     statement: statements.Change,
-    seen: catalogue.Catalogue,
+    base_catalogue: catalogue.Catalogue,
     declared: catalogue.Catalogue,
     revision: int,
 ) -> Rejected | None:
-    """Return the rejection of a command that another operator's overtook.
+    """Return the rejection of a command whose item another operator changed.
 
-    Without this check the later of two commands on one item would win, and
-    the first operator's change would be gone without a word to either.
+    Without this check the later of two commands on one item would overwrite
+    the first one, and neither operator would notice.
     """
     difference = changes.item_difference(
-        seen, declared, *changes.changed_item(statement)
+        base_catalogue, declared, *changes.changed_item(statement)
     )
     if statement.revision not in (None, revision):
         return Rejected(_stale(statement.revision, revision), difference)
@@ -166,7 +168,7 @@
 
 
 def _description(statement: statements.Change) -> tuple[str, str]:
-    """Return what a statement does, and the name of its item."""
+    """Return what a statement does, and the name of its item, for the audit trail."""
     section, name = changes.changed_item(statement)
     verb = type(statement).__name__.lower()
     return f"{verb} {section.removesuffix('s')} {name}", name
@@ -180,21 +182,21 @@
     return outcomes.invalid(message, "stale", 409)
 
 
-def _not_stored(problem) -> Rejected:
+def _store_error(problem) -> Rejected:
     match problem:
         case objects.Unavailable(reason):
             message = f"the object API does not answer: {reason}"
-            refusal = outcomes.overloaded(message, RETRY_S, "object_api")
+            refusal = outcomes.overloaded(message, RETRY_AFTER_S, "object_api")
         case objects.TooLarge(key, size):
-            message = f"{key} would take {size} bytes, over the platform's bound"
+            message = f"{key} would take {size} bytes, over the platform's limit"
             refusal = outcomes.invalid(message, "too_large", 413)
         case configuration.Uncertain(revision, reason):
             message = (
                 f"whether revision {revision} was accepted is not known "
-                f"({reason}); look before you repeat the change"
+                f"({reason}); check the revision in force before repeating the change"
             )
             refusal = outcomes.unknown(message)
         case configuration.Unreadable(revision, problems):
-            message = f"revision {revision} can't be read by this VM: {problems}"
+            message = f"this VM can't read revision {revision}: {problems}"
             refusal = outcomes.invalid(message, "unreadable", 409)
     return Rejected(refusal)
--- a/packages/mothworks/src/mothworks/operator_keys.py
+++ b/packages/mothworks/src/mothworks/operator_keys.py
@@ -1,4 +1,4 @@
-"""Operators' keys: who holds a key, compared in constant time."""
+"""Operators' keys: finds an operator by key in constant time."""
 
 import hmac
 
@@ -8,16 +8,16 @@
 def find(
     operators: tuple[settings.Operator, ...], key_hash: str
 ) -> settings.Operator | None:
-    """Return the operator whose key has a hash, or None.
+    """Return the operator whose key has this hash, or None.
 
-    Every key is compared, in constant time, so that the time of the answer
-    says neither how much of a key was right nor whose it was.
+    The hash is compared with every operator's hash, each in constant time, so
+    that the response time reveals neither a partial match nor whose key it is.
 
-    :param operators: who may query and command.
+    :param operators: all operators.
     :param key_hash: SHA-256 hash of the presented key; empty for none.
     """
-    found = None
+    matching_operator = None
     for operator in operators:
         if hmac.compare_digest(operator.key_sha256, key_hash):
-            found = operator
-    return found
+            matching_operator = operator
+    return matching_operator
--- a/packages/mothworks/src/mothworks/operator_moves.py
+++ b/packages/mothworks/src/mothworks/operator_moves.py
@@ -1,4 +1,4 @@
-"""Moves that operators order, handed to the planner of the region."""
+"""Moves that operators request, forwarded to the region's planner."""
 
 import time
 
@@ -18,20 +18,21 @@
     statements,
 )
 
-#: Longest wait for the planner's answer, seconds.
-TIMEOUT_S = 2.0
-#: Hint to an operator whose order has no planner now, seconds.
-RETRY_S = 5.0
+#: Timeout of the call to the planner, seconds.
+PLANNER_TIMEOUT_S = 2.0
+#: Time after which an operator should retry if the region has no planner,
+#: seconds.
+RETRY_AFTER_S = 5.0
 
 
 @messages.message(82)
 @attrs.frozen
-class OrderMove:
-    """Asks a region's planner to relocate a model.
+class MoveRequest:
+    """Requests a region's planner to relocate a model.
 
     :param model: the model.
-    :param source: the endpoint that gives it up.
-    :param target: the endpoint that gets it.
+    :param source: the endpoint that unloads it.
+    :param target: the endpoint that loads it.
     :param who: the operator.
     :param why: the operator's reason.
     """
@@ -45,10 +46,10 @@
 
 @messages.message(83)
 @attrs.frozen
-class MoveAnswer:
-    """The planner's answer to :class:`OrderMove`.
+class MoveReply:
+    """The planner's reply to :class:`MoveRequest`.
 
-    :param problem: why nothing was begun; empty where the move was accepted.
+    :param problem: why the move was rejected; empty if it was accepted.
     """
 
     problem: str
@@ -56,7 +57,7 @@
 
 @plugins.register(plugins.PART, "operator_moves")
 class OperatorMoves(kernel.Part):
-    """Passes an operator's moves to the planner, or takes them where it is one.
+    """Forwards operators' moves to the planner, or accepts them on its VM.
 
     :param node_kernel: the node's kernel.
     """
@@ -67,56 +68,58 @@
         self.orders = node_kernel.get(orders.Orders)
         self.peers = node_kernel.get(peers.Peers)
         self.planner = node_kernel.get(planner.Planner)
-        self.peers.handle(OrderMove, self._serve)
+        self.peers.handle(MoveRequest, self._serve_request)
 
-    def order(
+    def request_move(
         self, statement: statements.Move, who: str
     ) -> result.Result[str, outcomes.Refusal]:
-        """Order a move.
+        """Request a move from the target's planner.
 
         :param statement: the operator's statement.
         :param who: the operator.
-        :returns: the VM that accepted it.
+        :returns: the VM whose planner accepted it.
         """
-        chosen = self.orders.planner(statement.target)
-        if chosen is None:
-            message = f"no VM plans for an endpoint {statement.target!r:.80}"
+        planner_vm = self.orders.planner(statement.target)
+        if planner_vm is None:
+            message = f"no planner is responsible for endpoint {statement.target!r:.80}"
             return result.Err(outcomes.invalid(message, "not_declared", 404))
-        order = OrderMove(
+        request = MoveRequest(
             statement.model, statement.source, statement.target, who, statement.why
         )
-        if chosen.name == self.kernel.settings.name:
-            answer = self._take(order)
+        if planner_vm.name == self.kernel.settings.name:
+            answer = self._start_move(request)
         else:
-            match self.peers.call(chosen.name, order, TIMEOUT_S):
-                case result.Ok(MoveAnswer() as answer):
+            match self.peers.call(planner_vm.name, request, PLANNER_TIMEOUT_S):
+                case result.Ok(MoveReply() as answer):
                     pass
                 case _:
-                    message = f"the planner {chosen.name} does not answer"
+                    message = f"the planner {planner_vm.name} does not answer"
                     return result.Err(outcomes.unknown(message, "planner"))
         if answer.problem:
             message = f"{answer.problem}; nothing was changed"
             return result.Err(outcomes.invalid(message, "not_possible", 409))
-        return result.Ok(chosen.name)
+        return result.Ok(planner_vm.name)
 
-    def _serve(self, _: str, order: OrderMove, answer: peers.Answer) -> None:
-        answer(self._take(order))
+    def _serve_request(
+        self, _: str, request: MoveRequest, answer: peers.Answer
+    ) -> None:
+        answer(self._start_move(request))
 
-    def _take(self, order: OrderMove) -> MoveAnswer:
+    def _start_move(self, request: MoveRequest) -> MoveReply:
         if self.planner.state is None:
-            return MoveAnswer("the planner has just changed; ask again")
-        wanted = relocations.Relocation(
-            order.model,
-            order.source,
-            order.target,
-            order.why,
+            return MoveReply("the planner has just changed; try again")
+        relocation = relocations.Relocation(
+            request.model,
+            request.source,
+            request.target,
+            request.why,
             time.monotonic() + relocations.PATIENCE_S,
         )
-        match self.planner.state.relocate(wanted):
+        match self.planner.state.relocate(relocation):
             case result.Err(problem):
-                return MoveAnswer(problem)
-        what = f"move {order.model} from {order.source} to {order.target}"
+                return MoveReply(problem)
+        what = f"move {request.model} from {request.source} to {request.target}"
         self.audit.record(
-            audit.Kind.COMMAND, order.model, what, order.why, who=order.who
+            audit.Kind.COMMAND, request.model, what, request.why, who=request.who
         )
-        return MoveAnswer("")
+        return MoveReply("")
