--- a/packages/mothworks/src/mothworks/fan_out.py
+++ b/packages/mothworks/src/mothworks/fan_out.py
@@ -1,8 +1,9 @@
-"""Fan-out: an operator's question to other VMs, for facts that only they have.
+"""Fan-out: queries other VMs for rows that only they have.
 
-The asked VM relays the question to its peers over their usual connections
-and gathers typed rows. Answers are bounded, and a VM that does not answer is
-named, so that a partial picture is never taken for the whole.
+The VM that an operator queries forwards the query to its peers over the
+existing connections and collects typed rows. Replies are limited in size. VMs
+that do not reply are listed, so that a partial result is never mistaken for a
+complete one.
 """
 
 import collections.abc
@@ -18,14 +19,14 @@
 
 log = logbook.Logger("fan_out")
 
-#: Longest wait for one VM, seconds.
-TIMEOUT_S = 1.0
-#: Most rows from one VM.
-MOST_ROWS = 200
+#: Timeout of the call to one VM, seconds.
+REPLY_TIMEOUT_S = 1.0
+#: Maximum number of rows from one VM.
+MAX_ROWS_PER_VM = 200
 
 
 class Topic(enum.StrEnum):
-    """What other VMs can be asked."""
+    """Kinds of rows that VMs can be queried for."""
 
     WAITING = "waiting"
     TRACE = "trace"
@@ -38,26 +39,26 @@
 
 @messages.message(80)
 @attrs.frozen
-class Question:
-    """Asks a peer for rows.
+class RowsRequest:
+    """Requests rows from a peer.
 
     :param topic: a :class:`Topic`.
-    :param argument: narrows the topic, as each topic defines.
-    :param most: most rows in the answer.
+    :param argument: filters the rows, as each topic defines.
+    :param max_rows: maximum number of rows in the reply.
     """
 
     topic: str
     argument: str
-    most: int
+    max_rows: int
 
 
 @messages.message(81)
 @attrs.frozen
-class Facts:
-    """The answer to :class:`Question`.
+class RowsReply:
+    """The reply to :class:`RowsRequest`.
 
     :param rows: each row's fields in the order of its class.
-    :param left_out: rows beyond the most asked for.
+    :param left_out: number of rows beyond the requested maximum.
     """
 
     rows: tuple[tuple, ...] = attrs.field(converter=tuple)
@@ -66,11 +67,11 @@
 
 @attrs.frozen
 class Wanted:
-    """A topic to ask several VMs about.
+    """A query of one topic.
 
     :param topic: the topic.
-    :param argument: narrows it.
-    :param vms: names of the VMs to ask; None for all live ones.
+    :param argument: filters the rows, as the topic defines.
+    :param vms: names of the VMs to query; None for all live ones.
     """
 
     topic: Topic
@@ -80,11 +81,11 @@
 
 @attrs.frozen
 class Gathered:
-    """What all asked VMs said.
+    """The rows of all queried VMs.
 
     :param rows: typed rows.
-    :param unanswered: VMs that did not answer in time.
-    :param left_out: rows that were beyond the bound.
+    :param unanswered: VMs that did not send a valid reply in time.
+    :param left_out: number of rows beyond the maximum per VM.
     """
 
     rows: tuple[typing.Any, ...]
@@ -93,18 +94,18 @@
 
 
 #: Returns this VM's rows for an argument; must not block.
-Source = collections.abc.Callable[[str], list]
+RowSource = collections.abc.Callable[[str], list]
 
 
 @attrs.frozen
-class _Served:
+class _Handler:
     row_class: type
-    source: Source
+    source: RowSource
 
 
 @plugins.register(plugins.PART, "fan_out")
 class FanOut(kernel.Part):
-    """Asks peers and answers theirs.
+    """Queries peers for rows and serves their queries.
 
     :param node_kernel: the node's kernel.
     """
@@ -113,17 +114,17 @@
         super().__init__(node_kernel)
         self.membership = node_kernel.get(membership.Membership)
         self.peers = node_kernel.get(peers.Peers)
-        self.served_by_topic: dict[str, _Served] = {}
-        self.peers.handle(Question, self._serve)
+        self.handler_by_topic: dict[str, _Handler] = {}
+        self.peers.handle(RowsRequest, self._serve_request)
 
-    def serve(self, topic: Topic, row_class: type, source: Source) -> None:
-        """Answer a topic from now on.
+    def serve(self, topic: Topic, row_class: type, source: RowSource) -> None:
+        """Register the source of a topic's rows on this VM.
 
         :param topic: the topic.
         :param row_class: class of its rows, the same on every VM.
         :param source: returns this VM's rows.
         """
-        self.served_by_topic[topic] = _Served(row_class, source)
+        self.handler_by_topic[topic] = _Handler(row_class, source)
 
     def ask(
         self,
@@ -131,71 +132,75 @@
         argument: str = "",
         vms: collections.abc.Collection[str] | None = None,
     ) -> Gathered:
-        """Ask VMs, this one among them, and wait for their rows.
+        """Query VMs, by default all including this one, and wait for their rows.
 
         :param topic: the topic.
-        :param argument: narrows it.
-        :param vms: names of the VMs to ask; None for all live ones.
+        :param argument: filters the rows, as the topic defines.
+        :param vms: names of the VMs to query; None for all live ones.
         """
         if vms is None:
             vms = [member.name for member in self.membership.live()]
-        question = Question(topic, argument, MOST_ROWS)
+        request = RowsRequest(topic, argument, MAX_ROWS_PER_VM)
         names = sorted(vms)
         pool = gevent.pool.Pool(max(1, len(names)))
-        facts = pool.map(lambda vm: self._ask_one(vm, question), names)
-        row_class = self.served_by_topic[topic].row_class
+        replies = pool.map(lambda vm: self._request_rows(vm, request), names)
+        row_class = self.handler_by_topic[topic].row_class
         rows, unanswered, left_out = [], [], 0
-        for vm, fact in zip(names, facts, strict=True):
-            read = None if fact is None else _rows(row_class, fact)
-            if read is None:
+        for vm, reply in zip(names, replies, strict=True):
+            vm_rows = None if reply is None else _rows(row_class, reply)
+            if vm_rows is None:
                 unanswered.append(vm)
                 continue
-            rows += read
-            left_out += fact.left_out
+            rows += vm_rows
+            left_out += reply.left_out
         return Gathered(tuple(rows), tuple(unanswered), left_out)
 
     def ask_each(self, *wanted: Wanted) -> list[Gathered]:
-        """Ask several topics at the same time; see :meth:`ask`.
+        """Run several queries concurrently; see :meth:`ask`.
 
-        One after the other, a VM that does not answer would cost its timeout
-        for every topic.
+        One after the other, each query would wait for the timeout of a VM that
+        does not reply.
 
-        :param wanted: what to ask.
+        :param wanted: the queries.
         """
         pool = gevent.pool.Pool(len(wanted))
         return pool.map(
-            lambda item: self.ask(item.topic, item.argument, item.vms), wanted
+            lambda query: self.ask(query.topic, query.argument, query.vms), wanted
         )
 
-    def _ask_one(self, vm: str, question: Question) -> Facts | None:
+    def _request_rows(self, vm: str, request: RowsRequest) -> RowsReply | None:
         if vm == self.kernel.settings.name:
-            return self._facts(question)
-        match self.peers.call(vm, question, TIMEOUT_S):
-            case result.Ok(Facts() as facts):
-                return facts
+            return self._local_rows(request)
+        match self.peers.call(vm, request, REPLY_TIMEOUT_S):
+            case result.Ok(RowsReply() as reply):
+                return reply
             case result.Ok(other):
-                log.warning("{} answered with {}", vm, type(other).__name__)
+                log.warning("{} replied with {}", vm, type(other).__name__)
                 return None
             case result.Err(failure):
-                log.info("{} did not answer: {}", vm, failure.reason)
+                log.info("{} did not reply: {}", vm, failure.reason)
                 return None
 
-    def _serve(self, _: str, question: Question, answer: peers.Answer) -> None:
-        answer(self._facts(question))
-
-    def _facts(self, question: Question) -> Facts:
-        served = self.served_by_topic.get(question.topic)
-        if served is None:
-            return Facts(())
-        rows = served.source(question.argument)
-        kept = [attrs.astuple(row, recurse=False) for row in rows[: question.most]]
-        return Facts(tuple(kept), len(rows) - len(kept))
-
-
-def _rows(row_class: type, facts: Facts) -> list | None:
-    """Return typed rows, or None where another version's fields do not fit."""
-    known = len(attrs.fields(row_class))
+    def _serve_request(
+        self, _: str, request: RowsRequest, answer: peers.Answer
+    ) -> None:
+        answer(self._local_rows(request))
+
+    def _local_rows(self, request: RowsRequest) -> RowsReply:
+        handler = self.handler_by_topic.get(request.topic)
+        if handler is None:
+            return RowsReply(())
+        rows = handler.source(request.argument)
+        returned = [
+            attrs.astuple(row, recurse=False) for row in rows[: request.max_rows]
+        ]
+        return RowsReply(tuple(returned), len(rows) - len(returned))
+
+
+def _rows(row_class: type, reply: RowsReply) -> list | None:
+    """Return typed rows, or None if the fields of another version do not match."""
+    field_count = len(attrs.fields(row_class))
     try:
-        return [row_class(*row[:known]) for row in facts.rows]
+        return [row_class(*row[:field_count]) for row in reply.rows]
     except TypeError:
         return None
--- a/packages/mothworks/src/mothworks/objects_http.py
+++ b/packages/mothworks/src/mothworks/objects_http.py
@@ -1,4 +1,4 @@
-"""Object API plug-in ``http``: versions in ETag, conditions in If-Match.
+"""Object API plug-in ``http``: ETag holds versions, If-Match conditions.
 
 ``GET /objects/KEY``, ``PUT`` and ``DELETE`` with ``If-Match`` (or
 ``If-None-Match: *`` to create), ``GET /objects?prefix=`` for a list and
@@ -13,11 +13,11 @@
 
 from mothworks import endpoints, objects, plugins, settings, transport
 
-#: Most connections to the object API.
-CONNECTIONS = 64
-#: Time that a long poll's reply may take beyond the wait, seconds.
+#: Maximum number of connections to the object API.
+MAX_CONNECTIONS = 64
+#: Timeout of a long poll's reply beyond its wait, seconds.
 WATCH_GRACE_S = 2.0
-#: Port of a URL that names none.
+#: Port of a URL without one.
 DEFAULT_PORT = 80
 
 
@@ -26,8 +26,8 @@
     """A complete reply of the object API.
 
     :param status: the HTTP status.
-    :param etag: the object's version, or empty.
-    :param body: the body.
+    :param etag: the object's version; empty if the reply has none.
+    :param body: the whole body.
     """
 
     status: int
@@ -37,21 +37,21 @@
 
 @plugins.register(plugins.OBJECT_API, "http")
 class HttpObjects(objects.Api):
-    """Client of an object API over HTTP; sends each call exactly once.
+    """Client of an object API over HTTP; it never repeats a request.
 
-    geventhttpclient's own client would send a PUT again after a broken
-    connection. Where the first had taken effect, the second is answered with
-    a conflict, and the writer would believe that nothing changed.
+    geventhttpclient's own client sends a PUT again after a broken connection.
+    If the first one took effect, the second gets a conflict, and the writer
+    wrongly concludes that nothing was written.
 
-    :param chosen: where it answers.
+    :param api_settings: the URL and the timeout of the object API.
     """
 
-    def __init__(self, chosen: settings.ObjectApi):
-        url = urllib.parse.urlsplit(chosen.url)
+    def __init__(self, api_settings: settings.ObjectApi):
+        url = urllib.parse.urlsplit(api_settings.url)
         self.address = (url.hostname, url.port or DEFAULT_PORT)
         self.base_path = url.path.rstrip("/")
-        self.chosen = chosen
-        self.transport = transport.Transport(chosen.timeout_s, CONNECTIONS)
+        self.api_settings = api_settings
+        self.transport = transport.Transport(api_settings.timeout_s, MAX_CONNECTIONS)
         self.watch_transport_by_wait: dict[float, transport.Transport] = {}
 
     def get(self, key: str) -> result.Result[objects.Stored, objects.ReadError]:
@@ -88,24 +88,28 @@
         query = urllib.parse.urlencode(
             {"prefix": prefix, "cursor": cursor, "wait": wait_s}
         )
-        chosen = self.watch_transport_by_wait.get(wait_s)
-        if chosen is None:
-            chosen = transport.Transport(wait_s + WATCH_GRACE_S, CONNECTIONS)
-            self.watch_transport_by_wait[wait_s] = chosen
-        return self._read_json(chosen, f"/watch?{query}").map(
-            lambda seen: objects.Changes(seen["cursor"], tuple(seen["keys"]))
+        watch_transport = self.watch_transport_by_wait.get(wait_s)
+        if watch_transport is None:
+            watch_transport = transport.Transport(
+                wait_s + WATCH_GRACE_S, MAX_CONNECTIONS
+            )
+            self.watch_transport_by_wait[wait_s] = watch_transport
+        return self._read_json(watch_transport, f"/watch?{query}").map(
+            lambda document: objects.Changes(
+                document["cursor"], tuple(document["keys"])
+            )
         )
 
     def _exchange(
         self,
-        chosen: transport.Transport,
+        http_transport: transport.Transport,
         method: str,
         path: str,
         headers: tuple[tuple[str, str], ...] = (),
         body: bytes = b"",
     ) -> result.Result[Reply, endpoints.SendFailure]:
         path = self.base_path + path
-        match chosen.exchange(self.address, method, path, headers, body):
+        match http_transport.exchange(self.address, method, path, headers, body):
             case result.Ok(answer):
                 pass
             case error:
@@ -117,13 +121,13 @@
                 return result.Err(endpoints.SendFailure(reason, True))
         return result.Ok(Reply(answer.status, answer.header("etag"), received))
 
-    def _read(self, chosen: transport.Transport, path: str):
-        return self._exchange(chosen, "GET", path).map_err(
+    def _read(self, http_transport: transport.Transport, path: str):
+        return self._exchange(http_transport, "GET", path).map_err(
             lambda failure: objects.Unavailable(failure.reason)
         )
 
-    def _read_json(self, chosen: transport.Transport, path: str):
-        match self._read(chosen, path):
+    def _read_json(self, http_transport: transport.Transport, path: str):
+        match self._read(http_transport, path):
             case result.Ok(Reply(200, _, body)):
                 pass
             case result.Ok(Reply(status)):
--- a/packages/mothworks/src/mothworks/questions.py
+++ b/packages/mothworks/src/mothworks/questions.py
@@ -1,6 +1,6 @@
-"""Questions: what ``show`` lists, and the way to what ``why`` explains.
+"""Runs operators' queries: ``show`` lists rows, ``why`` returns explanations.
 
-What every VM knows is answered from this one; the rest is asked of others.
+Rows that every VM has are read locally. The others are queried from all VMs.
 """
 
 import datetime
@@ -27,15 +27,15 @@
     suspects,
 )
 
-#: Days of the audit trail that are read where no condition says more.
-AUDIT_DAYS = 2
-#: Most days of the audit trail read for one question.
-MOST_AUDIT_DAYS = 31
+#: Days of the audit trail that are read unless a condition reaches further back.
+DEFAULT_AUDIT_DAYS = 2
+#: Maximum number of days of the audit trail that one query reads.
+MAX_AUDIT_DAYS = 31
 
 
 @plugins.register(plugins.PART, "questions")
 class Questions(kernel.Part):
-    """Answers statements that change nothing.
+    """Runs read-only statements.
 
     :param node_kernel: the node's kernel.
     """
@@ -51,7 +51,7 @@
         self.suspects = node_kernel.get(suspects.Suspects)
 
     def answer(self, statement: statements.Query) -> answers.Outcome:
-        """Answer a statement.
+        """Run a read-only statement.
 
         :param statement: the statement.
         """
@@ -68,21 +68,21 @@
         collection: statements.Collection,
         conditions: tuple[statements.Condition, ...],
     ) -> answers.Outcome:
-        match self._gather(collection, conditions):
-            case result.Ok(gathered):
+        match self._collect_rows(collection, conditions):
+            case result.Ok(collected):
                 pass
             case error:
                 return error
         row_class = row_classes.row_class(collection)
-        return row_filters.keep(gathered.rows, conditions).map(
+        return row_filters.keep(collected.rows, conditions).map(
             lambda rows: answers.gathered(
                 self.configuration.revision,
                 [answers.Table(collection, row_class, rows)],
-                [gathered],
+                [collected],
             )
         )
 
-    def _gather(
+    def _collect_rows(
         self,
         collection: statements.Collection,
         conditions: tuple[statements.Condition, ...],
@@ -114,16 +114,18 @@
         self, conditions: tuple[statements.Condition, ...]
     ) -> result.Result[fan_out.Gathered, outcomes.Refusal]:
         live = frozenset(member.name for member in self.membership.live())
-        read = audit_reading.read(self.audit.api, live, _audit_days(conditions))
-        match read:
+        trail_result = audit_reading.read(self.audit.api, live, _audit_days(conditions))
+        match trail_result:
             case result.Ok(trail):
-                # An entry may be stored while this VM still waits for the
-                # reply; it must not be shown twice.
-                known = {(entry.vm, entry.at, entry.number) for entry in trail.entries}
+                # A pending entry may be stored already while this VM waits for
+                # the reply. It must not be listed twice.
+                stored_ids = {
+                    (entry.vm, entry.at, entry.number) for entry in trail.entries
+                }
                 pending = [
                     entry
                     for entry in self.audit.pending
-                    if (entry.vm, entry.at, entry.number) not in known
+                    if (entry.vm, entry.at, entry.number) not in stored_ids
                 ]
                 rows = (*trail.entries, *pending)
                 return result.Ok(fan_out.Gathered(rows, left_out=len(trail.unread)))
@@ -145,14 +147,14 @@
         ]
 
     def _attainment(self) -> fan_out.Gathered:
-        gathered = self.fan_out.ask(fan_out.Topic.ATTAINMENT)
-        rows = attainment_rows.summed(gathered.rows, self.inventory.accelerators())
-        return attrs.evolve(gathered, rows=rows)
+        collected = self.fan_out.ask(fan_out.Topic.ATTAINMENT)
+        rows = attainment_rows.summed(collected.rows, self.inventory.accelerators())
+        return attrs.evolve(collected, rows=rows)
 
 
 def _audit_days(conditions: tuple[statements.Condition, ...]) -> int:
-    """Return how many days back the conditions on ``at`` reach."""
-    days = AUDIT_DAYS
+    """Return the number of days, up to today, that conditions on ``at`` cover."""
+    days = DEFAULT_AUDIT_DAYS
     today = datetime.datetime.now(datetime.UTC).date()
     for condition in conditions:
         if condition.field == "at":
@@ -161,10 +163,10 @@
             except ValueError:
                 continue
             days = max(days, (today - day).days + 1)
-    return min(days, MOST_AUDIT_DAYS)
+    return min(days, MAX_AUDIT_DAYS)
 
 
-def _iso(wall_ms: int) -> str:
-    """Return wall time as ISO time, UTC."""
-    at = datetime.datetime.fromtimestamp(wall_ms / 1000, datetime.UTC)
+def _iso(unix_ms: int) -> str:
+    """Return Unix time in milliseconds as ISO time, UTC."""
+    at = datetime.datetime.fromtimestamp(unix_ms / 1000, datetime.UTC)
     return at.isoformat(timespec="milliseconds")
--- a/packages/mothworks/tests/test_examples.py
+++ b/packages/mothworks/tests/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples are correct and as large as the deployments they stand for."""
+"""The examples are valid and as large as the deployments that they represent."""
 
 import pathlib
 
@@ -13,14 +13,14 @@
     ("name", "data_centres", "engines", "models", "adapters"),
     [("siamcrest.json", 4, 6, 15, 80), ("bandeja.json", 3, 9, 30, 100)],
 )
-def test_catalogue_is_correct(name, data_centres, engines, models, adapters):
+def test_catalogue_is_valid(name, data_centres, engines, models, adapters):
     text = (EXAMPLES / name).read_text(encoding="utf-8")
-    read = catalogue_checks.read(text, name).unwrap()
-    assert len(read.data_centres) == data_centres
-    assert sum(item.memory_mb > 0 for item in read.endpoints) == engines
-    assert len(read.models) == models
-    assert len(read.adapters) == adapters
+    declared = catalogue_checks.read(text, name).unwrap()
+    assert len(declared.data_centres) == data_centres
+    assert sum(item.memory_mb > 0 for item in declared.endpoints) == engines
+    assert len(declared.models) == models
+    assert len(declared.adapters) == adapters
 
 
-def test_settings_are_correct():
+def test_settings_are_valid():
     assert settings.load(EXAMPLES / "vm.json").unwrap().name == "vm-1"
--- a/packages/mothworks/tests/test_operator_calls.py
+++ b/packages/mothworks/tests/test_operator_calls.py
@@ -1,4 +1,4 @@
-"""Operators' statements against separate nodes: roles, fan-out, reasons."""
+"""Operators' statements to separate node processes: roles, fan-out, explanations."""
 
 import base64
 
@@ -18,8 +18,8 @@
 
 @pytest.fixture
 def deployment(bed):
-    slow = engine.Speed(step_s=0.2)
-    declared = bed.add_engine(builders.endpoint(slots=1), slow)
+    slow_speed = engine.Speed(step_s=0.2)
+    declared = bed.add_engine(builders.endpoint(slots=1), slow_speed)
     bed.fake_by_endpoint["engine-1"].place("menu", 16_000)
     operators = (
         settings.Operator(
@@ -29,8 +29,8 @@
     )
     for name in VMS:
         bed.add_node(name, "dc-1", "region-1", operators=operators)
-    patient = builders.caller(first_token_ms=60_000)
-    bed.apply(builders.declared(endpoints=(declared,), services=(), callers=(patient,)))
+    caller = builders.caller(first_token_ms=60_000)
+    bed.apply(builders.declared(endpoints=(declared,), services=(), callers=(caller,)))
     processes.wait_until(lambda: bed.all_open(["engine-1"]))
     return bed
 
@@ -53,7 +53,7 @@
     return reply.get("x-request-id"), reply.status_code, reply.read()
 
 
-def test_a_viewer_asks_but_does_not_command(deployment):
+def test_a_viewer_may_query_but_not_command(deployment):
     assert ask(deployment, "show models", key=VIEWER_KEY).is_ok()
     for text in ("drain endpoint engine-1", "move model menu from a to b"):
         refused = ask(deployment, text, key=VIEWER_KEY).unwrap_err()
@@ -88,8 +88,8 @@
     )
 
 
-def test_any_vm_tells_what_waits_and_why(deployment):
-    asked = [gevent.spawn(chat, deployment, "vm-2", 20) for _ in range(3)]
+def test_any_vm_lists_and_explains_waiting_requests(deployment):
+    requests = [gevent.spawn(chat, deployment, "vm-2", 20) for _ in range(3)]
     processes.wait_until(lambda: len(rows(deployment, "show waiting", "vm-3")) == 2)
     first, second = rows(deployment, "show waiting", "vm-3")
     assert (first["position"], second["position"]) == (1, 2)
@@ -102,10 +102,10 @@
     assert tables["waiting"][0]["position"] == 2
     assert any(step["endpoint"] == "engine-1" for step in tables["steps"])
     assert why["unanswered"] == []
-    gevent.killall(asked)
+    gevent.killall(requests)
 
 
-def test_why_request_tells_of_a_request_that_ended(deployment):
+def test_why_request_explains_an_ended_request(deployment):
     request_id, _, _ = chat(deployment, "vm-2", 1)
     why = ask(deployment, f"why request {request_id}", "vm-3").unwrap()
     tables = {table["title"]: table["rows"] for table in why["tables"]}
@@ -115,10 +115,10 @@
     assert absent.status == 404
 
 
-def test_a_vm_that_does_not_answer_is_named(deployment):
-    """An operator would take the queues of some VMs for all queues.
+def test_an_unresponsive_vm_is_listed_as_unanswered(deployment):
+    """Without the list, an operator would mistake a partial result for a complete one.
 
-    A VM is paused: it is still a member, but answers nothing.
+    A paused VM is still a member, but does not reply.
     """
     paused = deployment.node_by_name["vm-2"].process
     rows(deployment, "show waiting")
@@ -137,7 +137,7 @@
     return reply.status_code, reply.read().decode()
 
 
-def test_the_dashboard_needs_a_key_and_shows_what_show_does(deployment):
+def test_the_dashboard_requires_a_key_and_shows_the_rows_of_show(deployment):
     wrong = base64.b64encode(b"any:wrong").decode()
     for authorization in ("", f"Basic {wrong}", "Basic ?", "Bearer wrong"):
         status, text = page(deployment, authorization)
@@ -152,18 +152,18 @@
     assert testbed.key_hash(builders.CALLER_KEY) not in text
 
 
-def test_quarantine_is_shown_and_lifted(deployment):
-    """A caller whose request was judged wrongly would go on being refused.
+def test_quarantine_is_listed_and_lifted(deployment):
+    """A request that was wrongly blamed for a crash would stay refused.
 
-    It is in flight when its endpoint crashes and becomes a suspect; an
-    operator lifts it through another VM.
+    The request is in flight when its endpoint crashes, and becomes a suspect.
+    An operator lifts the quarantine through another VM.
     """
     engine_fake = deployment.fake_by_endpoint["engine-1"]
-    crashing = gevent.spawn(chat, deployment, "vm-1", 50)
+    crashed_request = gevent.spawn(chat, deployment, "vm-1", 50)
     processes.wait_until(lambda: engine_fake.running)
     engine_fake.restart_s = 2.0
     engine_fake.crash()
-    crashing.join()
+    crashed_request.join()
     processes.wait_until(lambda: rows(deployment, "show quarantine", "vm-3"))
     [row] = rows(deployment, "show quarantine", "vm-3")
     assert (row["state"], row["caller"], row["model"]) == ("suspect", "guest", "menu")
@@ -174,7 +174,7 @@
     processes.wait_until(lambda: not rows(deployment, "show quarantine"))
 
 
-def test_why_model_names_the_places(deployment):
+def test_why_model_lists_the_endpoints_verdicts(deployment):
     def verdicts():
         answer = ask(deployment, "why model menu", "vm-3").unwrap()
         tables = {table["title"]: table["rows"] for table in answer["tables"]}
--- a/packages/mothworks/tests/test_operator_commands.py
+++ b/packages/mothworks/tests/test_operator_commands.py
@@ -1,4 +1,4 @@
-"""Commands of operators: conditional, each refusal leaves nothing changed."""
+"""Operators' commands are conditional, and a refused one changes nothing."""
 
 import attrs
 import pytest
@@ -16,7 +16,7 @@
 
 
 class Vm:
-    """One VM's commands and trail on a shared object API."""
+    """The commands and the audit trail of one VM on a shared object API."""
 
     def __init__(self, api, name):
         self.kernel = builders.kernel_with_objects(api, name)
@@ -60,10 +60,10 @@
 
 
 def test_the_later_of_two_operators_on_one_item_is_refused(vms):
-    """A caller's class would silently become the one of the slower operator.
+    """The later command would silently overwrite the earlier one's class.
 
-    Both see the class bulk. Ana's command is accepted through one VM; Ben's
-    reaches another VM, which has not heard of hers.
+    Both operators see the class bulk. Ana's command is accepted by one VM. Ben's
+    reaches another VM, which has not received Ana's change yet.
     """
     first, second = vms
     urgent = statements.Reprioritise("batch", catalogue.Urgency.URGENT)
@@ -89,8 +89,8 @@
     assert first.configuration.index.endpoint_by_name["engine-1"].drain
 
 
-def test_a_whole_catalogue_over_an_older_revision_is_refused(vms):
-    """A drain would end because someone applied a file written before it."""
+def test_replacing_the_catalogue_at_an_older_revision_is_refused(vms):
+    """A file written before a drain would end the drain when it is applied."""
     first, second = vms
     first.commands.run(statements.Drain("engine-1"), "ana").unwrap()
     rejected = second.commands.replace(
@@ -129,7 +129,7 @@
         ),
     ],
 )
-def test_a_wrong_command_changes_nothing(vms, statement, status):
+def test_an_invalid_command_changes_nothing(vms, statement, status):
     before = vms[0].declared()
     rejected = vms[0].commands.run(statement, "ana").unwrap_err()
     assert rejected.refusal.status == status
@@ -160,7 +160,7 @@
 
 
 def test_a_difference_covers_every_section():
-    """An operator would not see that a file changes how moves are weighed."""
+    """An operator would not see that a file changes the weights of the planner."""
     before = builders.declared()
     for field in catalogue.Catalogue.__attrs_attrs__:
         value = getattr(before, field.name)
@@ -168,5 +168,8 @@
             name = value.__attrs_attrs__[0].name
             changed = attrs.evolve(value, **{name: getattr(value, name) + 1})
             after = attrs.evolve(before, **{field.name: changed})
-            [found] = changes.difference(before, after)
-            assert (found.section, found.field) == (field.name, name)
+            [item] = changes.difference(before, after)
+            assert (item.section, item.field) == (
+                field.name,
+                name,
+            )
--- a/packages/mothworks/tests/test_whole_path.py
+++ b/packages/mothworks/tests/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path between separate processes: apply, route, stream."""
+"""End to end between separate processes: apply, route and stream."""
 
 import geventhttpclient
 import orjson
@@ -21,14 +21,14 @@
     declared = builders.declared(endpoints=(engine, orders))
     change = {"revision": 0, "why": "", "catalogue": documents.plain(declared)}
     assert node.put("catalogue", change).unwrap() == {"revision": 1}
-    processes.wait_until(lambda: all(open_everywhere(bed)))
+    processes.wait_until(lambda: all(open_on_each_node(bed)))
     return bed
 
 
-def open_everywhere(bed):
+def open_on_each_node(bed):
     for node in bed.node_by_name.values():
-        shown = client.Client(node.url, testbed.OPERATOR_KEY).get("show/endpoints")
-        states = {row["endpoint"]: row["state"] for row in shown.unwrap()}
+        reply = client.Client(node.url, testbed.OPERATOR_KEY).get("show/endpoints")
+        states = {row["endpoint"]: row["state"] for row in reply.unwrap()}
         yield states.get("engine-1") == "open" and states.get("orders-1") == "open"
 
 
@@ -53,7 +53,7 @@
         assert answer.endswith(b"data: [DONE]\n\n")
 
 
-def test_each_node_answers_whole(deployment):
+def test_each_node_returns_a_complete_answer(deployment):
     for node in deployment.node_by_name.values():
         status, answer = post(node.url, "/v1/chat/completions", chat(max_tokens=3))
         assert status == 200
@@ -61,14 +61,14 @@
         assert len(content.split()) == 3
 
 
-def test_services_are_reached(deployment):
+def test_requests_to_services_are_routed(deployment):
     node = deployment.node_by_name["vm-2"]
     status, answer = post(node.url, "/services/orders/confirm?x=1", b"two trays")
     assert status == 200
     assert orjson.loads(answer) == {"path": "/confirm", "echo": "two trays"}
 
 
-def test_bad_requests_get_clear_refusals(deployment):
+def test_invalid_requests_get_specific_errors(deployment):
     url = deployment.node_by_name["vm-1"].url
     path = "/v1/chat/completions"
     cases = (
