--- a/packages/mothworks/tests/test_configuration.py
+++ b/packages/mothworks/tests/test_configuration.py
@@ -174,8 +174,8 @@
     assert vm.apply(declared("one"), 3, "ana", "").is_ok()
     garbage.collect(configuration_garbage.RETENTION_S / 2)
     garbage.collect(configuration_garbage.RETENTION_S)
-    kept = set(api.list(configuration_parts.KEY_PREFIX).unwrap())
-    assert first in kept and third in kept and second not in kept
+    remaining = set(api.list(configuration_parts.KEY_PREFIX).unwrap())
+    assert first in remaining and third in remaining and second not in remaining
     assert make_vm(api, name="vm-2").refresh().unwrap() == 4
 
 
