--- a/packages/mothworks/src/mothworks/operator_commands.py
+++ b/packages/mothworks/src/mothworks/operator_commands.py
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class Rejected:
-    """A command that changed nothing.
+    """A command that was refused, or whose outcome is unknown.
 
     :param refusal: the reason.
     :param difference: the fields in which the catalogue in force differs from
@@ -60,7 +60,7 @@
 
         :param statement: the change.
         :param who: the operator.
-        :returns: the new revision, or the reason why nothing was changed.
+        :returns: the new revision, or the rejection.
         """
         base_catalogue = self._base_catalogue(statement.revision)
         for _ in range(MAX_ATTEMPTS):
