--- a/packages/mothworks/src/mothworks/caller_protocol.py
+++ b/packages/mothworks/src/mothworks/caller_protocol.py
@@ -1,4 +1,4 @@
-"""Caller protocol: what all protocols that run callers' requests share."""
+"""Base class of the protocols that run callers' requests."""
 
 import collections.abc
 
@@ -19,7 +19,7 @@
 
 
 class CallerProtocol:
-    """Base of the protocols that turn calls into requests and run them.
+    """Decodes calls into requests and runs them; base of the caller protocols.
 
     :param node_kernel: the node's kernel.
     """
@@ -30,60 +30,62 @@
         self.deferred = node_kernel.get(deferred.Deferred)
 
     def serve(self, call: calls.Call) -> calls.Reply:
-        """Answer one call.
+        """Authenticate the caller and handle the call.
 
         :param call: the call.
         """
         match calls.authenticate(call, self.configuration.index):
             case result.Ok(caller):
-                return self.answer(call, caller)
+                return self.handle(call, caller)
             case result.Err(refusal):
                 return calls.refuse(refusal)
 
-    def answer(self, call: calls.Call, caller: catalogue.Caller) -> calls.Reply:
-        """Answer the call of a known caller.
+    def handle(self, call: calls.Call, caller: catalogue.Caller) -> calls.Reply:
+        """Handle the call of an authenticated caller.
 
         :param call: the call.
-        :param caller: who calls.
+        :param caller: the caller.
         """
         raise NotImplementedError
 
-    def read(
+    def decode_request(
         self, call: calls.Call, caller: catalogue.Caller, body: bytes
     ) -> result.Result[requests.Request, outcomes.Refusal]:
-        """Return the request that a call makes.
+        """Decode the request of a call.
 
         :param call: the call.
-        :param caller: who calls.
-        :param body: its whole body.
+        :param caller: the caller.
+        :param body: the complete body of the call.
         """
         raise NotImplementedError
 
-    def body_of(
+    def response_body(
         self, running: recorded.Running
     ) -> collections.abc.Iterable[bytes] | recorded.Running:
-        """Return what the caller is sent of an answer.
+        """Return the body of the response to the caller.
 
         :param running: the running request.
         """
         return running
 
     def run(self, call: calls.Call, caller: catalogue.Caller) -> calls.Reply:
-        """Read a call's body, and run or defer the request that it makes.
+        """Read a call's body, decode its request, and run or defer it.
 
         :param call: the call.
-        :param caller: who calls.
+        :param caller: the caller.
         """
-        read = call.body().and_then(lambda body: self.read(call, caller, body))
-        if read.is_ok() and deferred_calls.wanted(call):
-            return deferred_calls.accept(self.deferred, read.ok_value)
-        begun = read.and_then(
+        decoded = call.body().and_then(
+            lambda body: self.decode_request(call, caller, body)
+        )
+        if decoded.is_ok() and deferred_calls.wanted(call):
+            return deferred_calls.accept(self.deferred, decoded.ok_value)
+        started = decoded.and_then(
             lambda request: self.dispatch.begin(request, call.start_watch())
         )
-        match begun:
+        match started:
             case result.Ok(running):
                 answer = running.answer
-                body = self.body_of(running)
+                body = self.response_body(running)
                 return calls.Reply(answer.status, answer.headers, body)
             case result.Err(refusal):
                 return calls.refuse(refusal)
--- a/packages/mothworks/src/mothworks/openai_calls.py
+++ b/packages/mothworks/src/mothworks/openai_calls.py
@@ -1,4 +1,4 @@
-"""Caller protocol ``/v1/``: OpenAI's chat, completions and model list."""
+"""Caller protocol ``/v1/``: OpenAI's chat, completions and model list APIs."""
 
 import collections.abc
 
@@ -16,76 +16,78 @@
     requests,
 )
 
-#: Paths that generate, the same towards callers and engines.
-GENERATING_PATHS = frozenset(("/v1/chat/completions", "/v1/completions"))
-#: What comes before a model's name in the path of its own page.
-MODEL_PATH = "/v1/models/"
-#: Tokens assumed where the caller names no maximum.
-DEFAULT_TOKENS = 256
+#: Paths that generate tokens; callers and engines use the same ones.
+COMPLETION_PATHS = frozenset(("/v1/chat/completions", "/v1/completions"))
+#: Path prefix of the resource that describes one model.
+MODEL_PATH_PREFIX = "/v1/models/"
+#: Tokens that a request is assumed to generate where it sets no maximum.
+DEFAULT_MAX_TOKENS = 256
 
 
 @attrs.frozen
-class Fields:
-    """The fields of a request's body that decide its way.
+class RequestFields:
+    """The fields of a request's body that the node itself uses.
 
-    :param model: the model or adapter that is asked for.
-    :param stream: whether the answer is streamed.
-    :param tokens: most tokens to generate.
-    :param resumable: whether each run generates the same tokens.
+    :param model: name of the requested model or adapter.
+    :param stream: whether the response is streamed.
+    :param max_tokens: most tokens to generate.
+    :param resumable: whether every run generates the same tokens.
     """
 
     model: str
     stream: bool
-    tokens: int
+    max_tokens: int
     resumable: bool
 
 
 @plugins.register(plugins.CALLER_PROTOCOL, "/v1/")
 class OpenAi(caller_protocol.CallerProtocol):
-    """Serves the paths below ``/v1/``."""
+    """Handles calls to the paths under ``/v1/``."""
 
-    def answer(self, call: calls.Call, caller: catalogue.Caller) -> calls.Reply:
-        """Answer one call; see :meth:`caller_protocol.CallerProtocol.answer`."""
+    def handle(self, call: calls.Call, caller: catalogue.Caller) -> calls.Reply:
+        """Handle one call; see :meth:`caller_protocol.CallerProtocol.handle`."""
         match (call.method, call.path):
             case ("GET", "/v1/models"):
-                return self._models(caller)
-            case ("GET", path) if path.startswith(MODEL_PATH):
-                return self._model(caller, path.removeprefix(MODEL_PATH))
-            case ("POST", path) if path in GENERATING_PATHS:
+                return self._list_models(caller)
+            case ("GET", path) if path.startswith(MODEL_PATH_PREFIX):
+                return self._describe_model(
+                    caller, path.removeprefix(MODEL_PATH_PREFIX)
+                )
+            case ("POST", path) if path in COMPLETION_PATHS:
                 return self.run(call, caller)
-            case (_, path) if path in GENERATING_PATHS or path == "/v1/models":
+            case (_, path) if path in COMPLETION_PATHS or path == "/v1/models":
                 return calls.refuse(
                     outcomes.invalid("method not allowed", "method_not_allowed", 405)
                 )
             case (_, path):
                 return calls.refuse(
-                    outcomes.invalid(f"nothing is at {path}", "not_found", 404)
+                    outcomes.invalid(f"no resource at {path}", "not_found", 404)
                 )
 
-    def _models(self, caller: catalogue.Caller) -> calls.Reply:
+    def _list_models(self, caller: catalogue.Caller) -> calls.Reply:
         index = self.configuration.index
         names = [*index.model_by_name, *index.adapter_by_name]
-        data = [_listed(name) for name in names if _allowed(caller, name)]
+        data = [_model_entry(name) for name in names if _may_call(caller, name)]
         return calls.json_reply({"object": "list", "data": data})
 
-    def _model(self, caller: catalogue.Caller, name: str) -> calls.Reply:
+    def _describe_model(self, caller: catalogue.Caller, name: str) -> calls.Reply:
         index = self.configuration.index
-        known = name in index.model_by_name or name in index.adapter_by_name
-        if not known or not _allowed(caller, name):
-            return calls.refuse(_no_model(name))
-        return calls.json_reply(_listed(name))
+        declared = name in index.model_by_name or name in index.adapter_by_name
+        if not declared or not _may_call(caller, name):
+            return calls.refuse(_model_not_found(name))
+        return calls.json_reply(_model_entry(name))
 
-    def body_of(
+    def response_body(
         self, running: recorded.Running
     ) -> collections.abc.Iterable[bytes] | recorded.Running:
-        """Return an answer; a stream that breaks off ends with an error event."""
-        return _EndedStream(running) if running.stream else running
+        """Return the body; an interrupted stream ends with an error event."""
+        return _ErrorTerminatedStream(running) if running.stream else running
 
-    def read(
+    def decode_request(
         self, call: calls.Call, caller: catalogue.Caller, body: bytes
     ) -> result.Result[requests.Request, outcomes.Refusal]:
-        """Return a call's request, checked as far as its way depends on it."""
-        match _fields(body):
+        """Decode a call's request; checks only the fields that the node uses."""
+        match _parse_fields(body):
             case result.Ok(fields):
                 pass
             case error:
@@ -93,8 +95,8 @@
         index = self.configuration.index
         adapter = index.adapter_by_name.get(fields.model)
         model = adapter.model if adapter else fields.model
-        if model not in index.model_by_name or not _allowed(caller, fields.model):
-            return result.Err(_no_model(fields.model))
+        if model not in index.model_by_name or not _may_call(caller, fields.model):
+            return result.Err(_model_not_found(fields.model))
         return call.deadline().map(
             lambda deadline: requests.Request(
                 id=call.id,
@@ -109,7 +111,7 @@
                 repeatable=True,
                 arrived=call.arrived,
                 first_token_deadline=call.arrived + caller.first_token_ms / 1000,
-                tokens=fields.tokens,
+                tokens=fields.max_tokens,
                 idempotency_key=call.header("idempotency-key"),
                 deadline=deadline,
                 resumable=fields.resumable,
@@ -117,7 +119,7 @@
         )
 
 
-def _fields(body: bytes) -> result.Result[Fields, outcomes.Refusal]:
+def _parse_fields(body: bytes) -> result.Result[RequestFields, outcomes.Refusal]:
     try:
         value = orjson.loads(body)
     except orjson.JSONDecodeError as error:
@@ -131,36 +133,36 @@
     stream = value.get("stream")
     if stream not in (None, True, False):
         return result.Err(outcomes.invalid("'stream' must be true or false"))
-    tokens = value.get("max_completion_tokens", value.get("max_tokens"))
-    if tokens is None:
-        tokens = DEFAULT_TOKENS
-    if type(tokens) is not int or tokens < 1:
+    max_tokens = value.get("max_completion_tokens", value.get("max_tokens"))
+    if max_tokens is None:
+        max_tokens = DEFAULT_MAX_TOKENS
+    if type(max_tokens) is not int or max_tokens < 1:
         return result.Err(
             outcomes.invalid("'max_tokens' must be a whole number above 0")
         )
-    # Sampling is repeated exactly only from a seed or without temperature.
+    # Sampling is reproducible only with a seed or at temperature 0.
     resumable = type(value.get("seed")) is int or value.get("temperature") == 0
-    return result.Ok(Fields(model, bool(stream), tokens, resumable))
+    return result.Ok(RequestFields(model, bool(stream), max_tokens, resumable))
 
 
-def _listed(name: str) -> dict:
+def _model_entry(name: str) -> dict:
     return {"id": name, "object": "model", "created": 0, "owned_by": "mothworks"}
 
 
-def _no_model(name: str) -> outcomes.Refusal:
+def _model_not_found(name: str) -> outcomes.Refusal:
     message = f"no model is named {name!r:.80}"
     return outcomes.invalid(message, "model_not_found", 404)
 
 
-def _allowed(caller: catalogue.Caller, name: str) -> bool:
+def _may_call(caller: catalogue.Caller, name: str) -> bool:
     return not caller.models or name in caller.models
 
 
-class _EndedStream:
-    """A stream that ends with an error event where the answer breaks off.
+class _ErrorTerminatedStream:
+    """A stream that ends with an error event where the response is interrupted.
 
-    An answer that ends without ``[DONE]`` and without an error would look
-    complete to a caller that does not check.
+    A stream that ends without ``[DONE]`` and without an error looks complete
+    to a caller that does not check for ``[DONE]``.
 
     :param running: the running request.
     """
@@ -173,6 +175,6 @@
         try:
             yield from self.running
         except OSError as error:
-            message = f"the answer broke off: {error}"
+            message = f"the response was interrupted: {error}"
             refusal = outcomes.unknown(message, "broken_stream")
             yield b"data: " + refusal.body() + b"\n\n"
--- a/packages/mothworks/src/mothworks/service_calls.py
+++ b/packages/mothworks/src/mothworks/service_calls.py
@@ -1,4 +1,4 @@
-"""Caller protocol ``/services/``: calls to the plain services."""
+"""Caller protocol ``/services/``: HTTP calls to declared services."""
 
 import result
 
@@ -11,8 +11,8 @@
     requests,
 )
 
-#: Headers that are not passed on to a service.
-WITHHELD = frozenset(
+#: Headers, as WSGI variables, that are not forwarded to a service.
+UNFORWARDED_HEADERS = frozenset(
     (
         "HTTP_AUTHORIZATION",
         "HTTP_CONNECTION",
@@ -30,28 +30,28 @@
 
 @plugins.register(plugins.CALLER_PROTOCOL, "/services/")
 class Services(caller_protocol.CallerProtocol):
-    """Serves ``/services/<name>/<path>``."""
+    """Handles calls to ``/services/<name>/<path>``."""
 
-    def answer(self, call: calls.Call, caller: catalogue.Caller) -> calls.Reply:
-        """Answer one call; see :meth:`caller_protocol.CallerProtocol.answer`."""
+    def handle(self, call: calls.Call, caller: catalogue.Caller) -> calls.Reply:
+        """Handle one call; see :meth:`caller_protocol.CallerProtocol.handle`."""
         return self.run(call, caller)
 
-    def read(
+    def decode_request(
         self, call: calls.Call, caller: catalogue.Caller, body: bytes
     ) -> result.Result[requests.Request, outcomes.Refusal]:
-        """Return a call's request to its service."""
-        # The path goes on as it came: decoded, a line break inside it would
-        # start a request of its own at the service.
-        raw = call.raw_path
-        if not (raw.isascii() and raw.isprintable()):
+        """Return the request to forward to the service."""
+        # The path is forwarded undecoded. A decoded line break in it would
+        # inject a second request into the connection to the service.
+        raw_path = call.raw_path
+        if not (raw_path.isascii() and raw_path.isprintable()):
             return result.Err(outcomes.invalid("the path is not plain ASCII"))
-        name, _, rest = raw.removeprefix("/services/").partition("/")
+        name, _, subpath = raw_path.removeprefix("/services/").partition("/")
         service = self.configuration.index.service_by_name.get(name)
         if service is None or (caller.models and name not in caller.models):
             message = f"no service is named {name!r:.80}"
             return result.Err(outcomes.invalid(message, "service_not_found", 404))
         query = call.environ.get("QUERY_STRING")
-        path = f"/{rest}?{query}" if query else f"/{rest}"
+        path = f"/{subpath}?{query}" if query else f"/{subpath}"
         return call.deadline().map(
             lambda deadline: requests.Request(
                 id=call.id,
@@ -60,7 +60,7 @@
                 model="",
                 method=call.method,
                 path=path,
-                headers=_headers(call),
+                headers=_forwarded_headers(call),
                 body=body,
                 stream=False,
                 repeatable=service.repeatable,
@@ -72,13 +72,13 @@
         )
 
 
-def _headers(call: calls.Call) -> tuple[tuple[str, str], ...]:
-    passed = [
+def _forwarded_headers(call: calls.Call) -> tuple[tuple[str, str], ...]:
+    forwarded = [
         (name.removeprefix("HTTP_").replace("_", "-").title(), value)
         for name, value in call.environ.items()
-        if name.startswith("HTTP_") and name not in WITHHELD
+        if name.startswith("HTTP_") and name not in UNFORWARDED_HEADERS
     ]
     content_type = call.environ.get("CONTENT_TYPE")
     if content_type:
-        passed.append(("Content-Type", content_type))
-    return tuple(passed)
+        forwarded.append(("Content-Type", content_type))
+    return tuple(forwarded)
