--- a/packages/mothworks/src/mothworks/path_metrics.py
+++ b/packages/mothworks/src/mothworks/path_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of the way of a request: replies, refusals, first tokens, tokens."""
+"""Metrics of the request path: replies, refusals, token latencies and counts."""
 
 import collections.abc
 
@@ -6,7 +6,9 @@
 
 
 class PathMetrics:
-    """Counts what callers get; updated once a request, not once a chunk.
+    """Measures responses to callers.
+
+    The metrics are updated once per request, not once per chunk.
 
     :param node_metrics: the node's metrics.
     """
@@ -39,39 +41,39 @@
             "connections", "Open connections of callers."
         )
 
-    def replied(self, status: int, refusal: outcomes.Refusal | None) -> None:
+    def count_reply(self, status: int, refusal: outcomes.Refusal | None) -> None:
         """Count a reply.
 
         :param status: its HTTP status.
-        :param refusal: why it carries no answer, where it does not.
+        :param refusal: the refusal that it carries; None for any other reply.
         """
         self.replies_total.inc({"status": str(status)})
         if refusal is not None:
             self.refusals_total.inc({"code": refusal.code, "ran": refusal.ran.value})
 
     def answered(self, urgency: catalogue.Urgency, waited_s: float) -> None:
-        """Count an answer that the caller got, or the start of one.
+        """Record the time to the first bytes of a response.
 
-        :param urgency: the caller's.
-        :param waited_s: from arrival to the first bytes, seconds; below 0
-            where none came.
+        :param urgency: the caller's urgency class.
+        :param waited_s: time from arrival to the first bytes, seconds; below 0
+            where no bytes arrived, which is not recorded.
         """
         if waited_s > 0:
             self.first_token_seconds.observe({"urgency": urgency.value}, waited_s)
 
     def ended(self, urgency: catalogue.Urgency, end: slots.End) -> None:
-        """Count the end of an answer at an endpoint.
+        """Record the end of an endpoint's response.
 
-        :param urgency: the caller's.
-        :param end: what was measured.
+        :param urgency: the caller's urgency class.
+        :param end: its outcome and measurements.
         """
         self.ends_total.inc({"outcome": end.outcome.name.lower()})
-        by_urgency = {"urgency": urgency.value}
+        labels = {"urgency": urgency.value}
         if end.tokens:
-            self.tokens_total.add(by_urgency, end.tokens)
+            self.tokens_total.add(labels, end.tokens)
         if end.tokens > 1:
             seconds = end.between_tokens_ms / 1000
-            self.between_tokens_seconds.observe(by_urgency, seconds)
+            self.between_tokens_seconds.observe(labels, seconds)
 
     def repeated(self, what: str) -> None:
         """Count a retry or a resumed stream.
@@ -80,9 +82,9 @@
         """
         self.repeats_total.inc({"what": what})
 
-    def note_connections(self, open_now: collections.abc.Sized) -> None:
-        """Note how many connections are open.
+    def set_connections(self, open_connections: collections.abc.Sized) -> None:
+        """Set the gauge of open connections.
 
-        :param open_now: the connections.
+        :param open_connections: the connections.
         """
-        self.connections.set({}, len(open_now))
+        self.connections.set({}, len(open_connections))
