--- a/packages/mothworks/src/mothworks/builtin.py
+++ b/packages/mothworks/src/mothworks/builtin.py
@@ -1,4 +1,4 @@
-"""Imports the plug-ins that ship with the node, so that they register."""
+"""Imports the plug-ins that ship with the node, which registers them."""
 
 from mothworks import (  # noqa: F401
     application,
--- a/packages/mothworks/src/mothworks/cli.py
+++ b/packages/mothworks/src/mothworks/cli.py
@@ -1,4 +1,4 @@
-"""The command line of the binary ``mothworks``."""
+"""Command line of the program ``mothworks``."""
 
 import pathlib
 import sys
@@ -15,37 +15,37 @@
     settings,
 )
 
-#: Exit code for wrong settings or a wrong command line.
+#: Exit code for invalid files or an invalid command line.
 EXIT_USAGE = 2
 
 
 def run(*, settings_file: pathlib.Path, announce: bool = False) -> int:
-    """Run a node until it is told to stop.
+    """Run a node until a signal stops it.
 
     :param settings_file: the VM's settings, JSON with comments.
-    :param announce: write one JSON line with the ports in use to standard
-        output once the node serves, for tools that let the kernel choose.
+    :param announce: write one JSON line with the bound ports to standard output
+        before the node starts to serve, for tools that set ports to 0.
     """
     match settings.load(settings_file):
-        case result.Ok(checked):
+        case result.Ok(loaded_settings):
             pass
         case result.Err(problem):
             print(problem, file=sys.stderr)
             return EXIT_USAGE
-    logs.install(checked.logs, checked.name)
-    running = node.Node(checked)
+    logs.install(loaded_settings.logs, loaded_settings.name)
+    running = node.Node(loaded_settings)
     if announce:
-        chosen = running.kernel.settings
-        ports = {"port": chosen.port, "peer_port": chosen.peer_port}
-        print(orjson.dumps({"name": chosen.name, **ports}).decode(), flush=True)
+        bound_settings = running.kernel.settings
+        ports = {"port": bound_settings.port, "peer_port": bound_settings.peer_port}
+        print(orjson.dumps({"name": bound_settings.name, **ports}).decode(), flush=True)
     return running.run()
 
 
 def check(file: pathlib.Path, *, catalogue: bool = False) -> int:
-    """Check a file and say every problem in it.
+    """Check a file and print every problem in it.
 
     :param file: a VM's settings, JSON with comments.
-    :param catalogue: the file is a catalogue instead.
+    :param catalogue: the file is a catalogue, not settings.
     """
     match _load_catalogue(file) if catalogue else settings.load(file):
         case result.Ok(_):
@@ -67,8 +67,8 @@
 def main() -> None:
     """Run the command line: ``mothworks --settings FILE`` or ``check FILE``."""
     match sys.argv[1:]:
-        # The call of every VM. The command-line library would stay in the
-        # node's memory, 6 MB, for as long as the node runs.
+        # Every VM starts its node this way. Parsing by hand avoids importing
+        # defopt, which would occupy 6 MB of memory while the node runs.
         case ["--settings", path]:
             sys.exit(run(settings_file=pathlib.Path(path)))
         case ["--settings", path, "--announce"]:
@@ -80,7 +80,7 @@
 def _parse(arguments: list[str]) -> int:
     import defopt
 
-    # "mothworks --settings FILE" needs no subcommand.
+    # "mothworks --settings FILE" is short for "mothworks run --settings FILE".
     if arguments and arguments[0].startswith("--"):
         arguments = ["run", *arguments]
     arguments = [
--- a/packages/mothworks/src/mothworks/node.py
+++ b/packages/mothworks/src/mothworks/node.py
@@ -1,4 +1,4 @@
-"""The node: the one program that every VM runs."""
+"""The node: the process that every VM runs."""
 
 import signal
 
@@ -15,41 +15,42 @@
 class Node:
     """One node, in this process.
 
-    :param checked: the VM's settings.
+    :param loaded_settings: the VM's settings, checked.
 
-    >>> node = Node(checked)            # doctest: +SKIP
+    >>> node = Node(loaded_settings)    # doctest: +SKIP
     >>> node.start()                    # doctest: +SKIP
     >>> node.shut_down()                # doctest: +SKIP
     """
 
-    def __init__(self, checked: settings.Settings):
-        self.kernel = kernel.Kernel(checked)
+    def __init__(self, loaded_settings: settings.Settings):
+        self.kernel = kernel.Kernel(loaded_settings)
         self.peers = self.kernel.get(peers.Peers)
         self.server = self.kernel.get(server.Server)
-        # Ports that the kernel chose are from here on the VM's own.
+        # From here on the settings contain the ports that the operating system
+        # selected where they are 0.
         self.kernel.settings = attrs.evolve(
-            checked, port=self.server.port, peer_port=self.peers.port
+            loaded_settings, port=self.server.port, peer_port=self.peers.port
         )
 
     def start(self) -> None:
-        """Start every part and return."""
+        """Start every part."""
         self.kernel.start()
-        chosen = self.kernel.settings
+        bound_settings = self.kernel.settings
         log.info(
-            "{} serves callers on port {}, peers on port {}",
-            chosen.name,
-            chosen.port,
-            chosen.peer_port,
+            "{} listens on port {} for callers and on port {} for peers",
+            bound_settings.name,
+            bound_settings.port,
+            bound_settings.peer_port,
         )
 
     def shut_down(self) -> None:
-        """Shut down gracefully: no request in flight is cut off."""
+        """Shut down gracefully: finish the requests in flight first."""
         self.kernel.shut_down()
 
     def run(self) -> int:
-        """Run until a signal or a broken invariant.
+        """Run until a signal arrives or an invariant is violated.
 
-        :returns: the exit code; 0 after a graceful shutdown.
+        :returns: the exit code: 0 after a graceful shutdown, else 1.
         """
         for number in (signal.SIGTERM, signal.SIGINT):
             gevent.signal.signal(number, lambda *_: gevent.spawn(self.shut_down))
