--- a/packages/mothworks/src/mothworks/decisions.py
+++ b/packages/mothworks/src/mothworks/decisions.py
@@ -1,7 +1,8 @@
-"""Decisions: what this entry decided about its recent requests, and why.
+"""Decision traces of the requests that callers sent to this VM.
 
-``why request`` reads them while a request runs and for some time after it
-ended. The memory is bounded: one short trace a request, the oldest go first.
+``why request`` reads a trace while its request runs and for some time after
+its end. Memory is bounded: a trace has a limited number of steps, and the
+oldest traces of ended requests are evicted first.
 """
 
 import collections
@@ -11,9 +12,9 @@
 
 from mothworks import kernel, requests
 
-#: Ended requests that are remembered.
+#: Most traces kept of ended requests.
 RECENT = 512
-#: Most steps remembered of one request.
+#: Most steps kept in one trace; later ones are dropped.
 MOST_STEPS = 32
 
 
@@ -23,7 +24,7 @@
 
     :param at: monotonic time, seconds.
     :param endpoint: the endpoint concerned, or empty.
-    :param what: what happened there, with the decision's numbers.
+    :param what: the event or decision, with the figures behind it.
     """
 
     at: float
@@ -32,7 +33,7 @@
 
 
 class Trace:
-    """The steps of one request.
+    """Trace of one request: its steps and its outcome.
 
     :param request: the request.
     """
@@ -56,21 +57,21 @@
         self.arrived = request.arrived
         self.deadline = request.first_token_deadline
         self.steps: list[Step] = []
-        #: How it ended; empty while it runs.
+        #: The request's outcome; empty while it runs.
         self.outcome = ""
 
     def add(self, endpoint: str, what: str) -> None:
-        """Remember a step.
+        """Add a step, unless the trace is full.
 
         :param endpoint: the endpoint concerned, or empty.
-        :param what: what happened there.
+        :param what: the event or decision.
         """
         if len(self.steps) < MOST_STEPS:
             self.steps.append(Step(time.monotonic(), endpoint, what))
 
 
 class Decisions(kernel.Part):
-    """The traces of this VM's requests.
+    """Keeps the traces of running and recently ended requests.
 
     :param node_kernel: the node's kernel.
     """
@@ -81,7 +82,7 @@
         self.recent: collections.deque[Trace] = collections.deque(maxlen=RECENT)
 
     def open(self, request: requests.Request) -> Trace:
-        """Begin the trace of a request.
+        """Start the trace of a request.
 
         :param request: the request.
         """
@@ -90,21 +91,21 @@
         return trace
 
     def step(self, request_id: str, endpoint: str, what: str) -> None:
-        """Remember a step of a request whose trace is open.
+        """Add a step to the trace of a running request.
 
-        :param request_id: the request's id.
+        :param request_id: the request's ID.
         :param endpoint: the endpoint concerned, or empty.
-        :param what: what happened there.
+        :param what: the event or decision.
         """
         trace = self.trace_by_request.get(request_id)
         if trace is not None:
             trace.add(endpoint, what)
 
     def close(self, request_id: str, outcome: str) -> None:
-        """End the trace of a request; closing it again does nothing.
+        """End the trace of a request; a repeated call has no effect.
 
-        :param request_id: the request's id.
-        :param outcome: how the request ended.
+        :param request_id: the request's ID.
+        :param outcome: the request's outcome.
         """
         trace = self.trace_by_request.pop(request_id, None)
         if trace is not None:
@@ -112,12 +113,12 @@
             self.recent.append(trace)
 
     def find(self, request_id: str) -> Trace | None:
-        """Return a request's trace, or None where it isn't remembered.
+        """Return the newest trace of a request; None where none is kept.
 
-        :param request_id: the request's id.
+        :param request_id: the request's ID.
         """
-        running = self.trace_by_request.get(request_id)
-        if running is not None:
-            return running
+        running_trace = self.trace_by_request.get(request_id)
+        if running_trace is not None:
+            return running_trace
         newest_first = reversed(self.recent)
         return next((item for item in newest_first if item.id == request_id), None)
