--- a/packages/mothworks/src/mothworks/answers.py
+++ b/packages/mothworks/src/mothworks/answers.py
@@ -1,4 +1,4 @@
-"""Answers to operators' statements: tables, and what is missing in them."""
+"""Answers to operators' statements: tables, and which VMs they lack."""
 
 import collections.abc
 import typing
@@ -13,8 +13,8 @@
 class Table:
     """Rows of one class.
 
-    :param title: what the rows are.
-    :param row_class: their class; its fields are the columns.
+    :param title: the heading.
+    :param row_class: class of the rows; its fields are the columns.
     :param rows: the rows.
     """
 
@@ -23,7 +23,7 @@
     rows: tuple[typing.Any, ...]
 
     def plain(self) -> dict[str, typing.Any]:
-        """Return the table as plain values, ready for JSON."""
+        """Return the table as values that JSON can encode."""
         columns = [field.name for field in attrs.fields(self.row_class)]
         rows = [documents.plain(row) for row in self.rows]
         return {"title": self.title, "columns": columns, "rows": rows}
@@ -33,10 +33,10 @@
 class Answer:
     """The answer to one statement.
 
-    :param revision: the configuration's revision on the asked VM.
-    :param tables: what was asked for.
-    :param notes: sentences for people.
-    :param unanswered: VMs that were asked and did not answer in time.
+    :param revision: revision of the configuration on the VM that answers.
+    :param tables: the requested rows.
+    :param notes: remarks for the operator, in sentences.
+    :param unanswered: VMs that were queried and did not respond in time.
     """
 
     revision: int
@@ -45,7 +45,7 @@
     unanswered: tuple[str, ...] = ()
 
     def plain(self) -> dict[str, typing.Any]:
-        """Return the answer as plain values, ready for JSON."""
+        """Return the answer as values that JSON can encode."""
         return {
             "revision": self.revision,
             "tables": [table.plain() for table in self.tables],
@@ -54,7 +54,7 @@
         }
 
 
-#: What a question brings.
+#: The answer to a query, or why it is refused.
 Outcome = result.Result[Answer, outcomes.Refusal]
 
 
@@ -64,16 +64,16 @@
     parts: collections.abc.Iterable[fan_out.Gathered],
     notes: tuple[str, ...] = (),
 ) -> Answer:
-    """Return an answer that says what is missing in it.
+    """Return an answer that names unresponsive VMs and counts omitted items.
 
-    :param revision: the configuration's revision on the asked VM.
-    :param tables: what was asked for.
-    :param parts: what other VMs said.
-    :param notes: sentences for people.
+    :param revision: revision of the configuration on the VM that answers.
+    :param tables: the requested rows.
+    :param parts: results of the queries to other VMs.
+    :param notes: remarks for the operator, in sentences.
     """
     parts = list(parts)
     unanswered = sorted({vm for part in parts for vm in part.unanswered})
     left_out = sum(part.left_out for part in parts)
     if left_out:
-        notes = (*notes, f"{left_out} more were left out; narrow the question")
+        notes = (*notes, f"{left_out} more were left out; narrow the query")
     return Answer(revision, tuple(tables), notes, tuple(unanswered))
--- a/packages/mothworks/src/mothworks/explanations.py
+++ b/packages/mothworks/src/mothworks/explanations.py
@@ -1,7 +1,7 @@
-"""Explanations: what ``why`` answers, gathered where it was decided.
+"""Explanations: answers to ``why model`` and ``why request``.
 
-Queues are asked of the endpoints' owners, the way of a request of the VM
-that it reached.
+The rows come from the VMs that made the decisions: queues from the owners of
+the endpoints, the trace of a request from the VM that received it.
 """
 
 import result
@@ -20,14 +20,14 @@
     row_classes,
 )
 
-#: Waiting requests that ``why model`` lists.
-FIRST_WAITING = 10
-#: Endpoints that ``why model`` lists as places, those with most memory first.
-FIRST_PLACES = 20
-#: What a batch row says of an endpoint that nobody asked its owner for.
-IDLE = row_classes.BatchRow("", "", 0, 0, 0, 0, 0, 0, 0)
-#: What a batch row says of an endpoint whose owner did not answer.
-UNKNOWN = row_classes.BatchRow("", "", -1, -1, -1, -1, -1, -1, -1)
+#: Most queued requests that ``why model`` lists.
+MAX_WAITING_LISTED = 10
+#: Most endpoints that ``why model`` lists as load targets, by free memory.
+MAX_LOAD_TARGETS_LISTED = 20
+#: Batch of an endpoint whose owner responded without a row for it.
+IDLE_BATCH = row_classes.BatchRow("", "", 0, 0, 0, 0, 0, 0, 0)
+#: Batch of an endpoint that has no owner or whose owner did not respond.
+UNKNOWN_BATCH = row_classes.BatchRow("", "", -1, -1, -1, -1, -1, -1, -1)
 
 
 class Explanations(kernel.Part):
@@ -44,7 +44,7 @@
         self.placement = node_kernel.get(placement.Placement)
 
     def model(self, name: str) -> answers.Outcome:
-        """Say where a model is, why it takes work there or not, and what waits.
+        """Return where a model is resident, whether it takes work, and its queue.
 
         :param name: the model, adapter or service.
         """
@@ -54,22 +54,26 @@
             message = f"no model, adapter or service is named {name!r:.80}"
             return result.Err(outcomes.invalid(message, "not_declared", 404))
         candidates = self._candidates(name)
-        batches, waiting, moves, places = self._ask_of_model(name, candidates)
+        batches, waiting, moves, load_targets = self._query_model(name, candidates)
         replicas = self._replicas(candidates, batches)
         tables = [
             answers.Table("replicas", reason_rows.ReplicaRow, tuple(replicas)),
-            answers.Table("waiting", row_classes.WaitingRow, _first(waiting.rows)),
+            answers.Table(
+                "waiting", row_classes.WaitingRow, _next_waiting(waiting.rows)
+            ),
             answers.Table("moves", row_classes.MoveRow, moves.rows),
         ]
         if item is not None:
             row = self.inventory.model(item)
             tables.insert(0, answers.Table("model", row_classes.ModelRow, (row,)))
-            found = places.rows[:FIRST_PLACES]
-            tables.append(answers.Table("places", reason_rows.PlaceRow, found))
+            listed_targets = load_targets.rows[:MAX_LOAD_TARGETS_LISTED]
+            tables.append(
+                answers.Table("places", reason_rows.LoadTargetRow, listed_targets)
+            )
         notes = _replica_notes(name, replicas)
-        if len(waiting.rows) > FIRST_WAITING:
-            more = len(waiting.rows) - FIRST_WAITING
-            notes = (*notes, f"{more} more wait: show waiting where model = {name}")
+        if len(waiting.rows) > MAX_WAITING_LISTED:
+            omitted = len(waiting.rows) - MAX_WAITING_LISTED
+            notes = (*notes, f"{omitted} more wait: show waiting where model = {name}")
         return result.Ok(
             answers.gathered(
                 self.configuration.revision, tables, [batches, waiting, moves], notes
@@ -77,9 +81,9 @@
         )
 
     def request(self, request_id: str) -> answers.Outcome:
-        """Say where a request is and how that was decided.
+        """Return a request's trace, its steps and its positions in queues.
 
-        :param request_id: the request's id.
+        :param request_id: the request's ID.
         """
         topics = (fan_out.Topic.TRACE, fan_out.Topic.STEPS, fan_out.Topic.WAITING)
         trace, steps, waiting = self.fan_out.ask_each(
@@ -87,8 +91,8 @@
         )
         if not trace.rows and not waiting.rows and not trace.unanswered:
             message = (
-                f"no VM remembers a request {request_id!r:.80}; each VM remembers "
-                f"its last {decisions.RECENT} and what runs or waits"
+                f"no VM has a trace of request {request_id!r:.80}; each VM keeps "
+                f"its last {decisions.RECENT} and those that run or wait"
             )
             return result.Err(outcomes.invalid(message, "not_found", 404))
         tables = [
@@ -103,14 +107,14 @@
         )
 
     def _candidates(self, name: str) -> list[catalogue.Endpoint]:
-        by_name = self.configuration.index.endpoint_by_name
-        found = self.placement.candidates(name)
-        return [by_name[endpoint] for endpoint in found if endpoint in by_name]
+        endpoint_by_name = self.configuration.index.endpoint_by_name
+        names = self.placement.candidates(name)
+        return [endpoint_by_name[item] for item in names if item in endpoint_by_name]
 
-    def _ask_of_model(
+    def _query_model(
         self, name: str, candidates: list[catalogue.Endpoint]
     ) -> list[fan_out.Gathered]:
-        """Ask owners for queues, and all VMs for orders and places."""
+        """Query owners for queues, and all VMs for orders and load targets."""
         rows = [self.inventory.endpoint(endpoint) for endpoint in candidates]
         owners = frozenset(row.owner for row in rows) - {""}
         topics = fan_out.Topic
@@ -137,8 +141,10 @@
         unanswered: tuple[str, ...],
     ) -> reason_rows.ReplicaRow:
         row = self.inventory.endpoint(item)
-        unknown = row.owner in unanswered or not row.owner
-        batch = batch_by_endpoint.get(item.name, UNKNOWN if unknown else IDLE)
+        batch_unknown = row.owner in unanswered or not row.owner
+        batch = batch_by_endpoint.get(
+            item.name, UNKNOWN_BATCH if batch_unknown else IDLE_BATCH
+        )
         return reason_rows.ReplicaRow(
             endpoint=item.name,
             data_centre=item.data_centre,
@@ -155,15 +161,17 @@
     name: str, replicas: list[reason_rows.ReplicaRow]
 ) -> tuple[str, ...]:
     if not replicas:
-        return (f"no endpoint has {name!r}: its callers are refused until one does",)
+        return (
+            f"no endpoint serves {name!r}: requests for it are refused until one does",
+        )
     if all(row.takes_work != "yes" for row in replicas):
-        return (f"no endpoint that has {name!r} takes new work",)
+        return (f"no endpoint that serves {name!r} takes new work",)
     return ()
 
 
-def _first(
+def _next_waiting(
     waiting: tuple[row_classes.WaitingRow, ...],
 ) -> tuple[row_classes.WaitingRow, ...]:
-    """Return the requests that are next, over all queues."""
+    """Return the requests that are next to run, over all queues."""
     in_order = sorted(waiting, key=lambda row: (row.position, row.endpoint))
-    return tuple(in_order[:FIRST_WAITING])
+    return tuple(in_order[:MAX_WAITING_LISTED])
--- a/packages/mothworks/src/mothworks/local_facts.py
+++ b/packages/mothworks/src/mothworks/local_facts.py
@@ -46,7 +46,7 @@
         serve(topics.BATCHES, row_classes.BatchRow, self._batches)
         serve(topics.ATTAINMENT, reason_rows.CountRow, self._counts)
         serve(topics.MOVES, row_classes.MoveRow, self._moves)
-        serve(topics.PLACES, reason_rows.PlaceRow, self._places)
+        serve(topics.PLACES, reason_rows.LoadTargetRow, self._places)
         serve(topics.TRACE, reason_rows.TraceRow, self._trace)
         serve(topics.STEPS, reason_rows.StepRow, self._steps)
 
@@ -77,7 +77,7 @@
         """Return unfinished orders; the argument is empty or a model."""
         return [row for row in self.orders.under_way() if target in ("", row.model)]
 
-    def _places(self, model: str) -> list[reason_rows.PlaceRow]:
+    def _places(self, model: str) -> list[reason_rows.LoadTargetRow]:
         """Return where a model could be loaded; empty on VMs that do not plan."""
         state = self.planner.state
         wanted = state.fleet.demanded_by_name.get(model) if state else None
@@ -87,7 +87,7 @@
             state.fleet.site_by_name.values(), key=lambda item: -item.free_mb
         )
         return [
-            reason_rows.PlaceRow(
+            reason_rows.LoadTargetRow(
                 endpoint=site.name,
                 planner=self.kernel.settings.name,
                 free_mb=site.free_mb,
--- a/packages/mothworks/src/mothworks/reason_rows.py
+++ b/packages/mothworks/src/mothworks/reason_rows.py
@@ -1,15 +1,15 @@
-"""Rows of what ``why`` explains, and of counts between VMs."""
+"""Rows of the answers to ``why``, and of the counts that VMs exchange."""
 
 import attrs
 
 
 @attrs.frozen
 class CountRow:
-    """How many requests of one class ended in one way, on one VM.
+    """Requests of one class that ended with one verdict on one VM.
 
-    :param urgency: the class.
+    :param urgency: the urgency class.
     :param verdict: an :class:`attainment.Verdict`.
-    :param count: requests of the last minute.
+    :param count: number of requests in the last minute.
     """
 
     urgency: str
@@ -19,17 +19,17 @@
 
 @attrs.frozen
 class TraceRow:
-    """A request at the VM that it reached.
+    """A request, as traced by the VM that received it.
 
-    :param request: its id.
-    :param entry: the VM that it reached.
+    :param request: its ID.
+    :param entry: the VM that received it from the caller.
     :param caller: the caller's name.
-    :param urgency: class of the request.
-    :param model: the model, adapter or service asked for.
-    :param state: running, or how it ended.
+    :param urgency: urgency class of the request.
+    :param model: the requested model, adapter or service.
+    :param state: running, or the outcome.
     :param age_ms: time since it arrived, milliseconds.
-    :param deadline_ms: time left to the first token's target, milliseconds;
-        below 0 where it has passed.
+    :param deadline_ms: time left until the first-token target, milliseconds;
+        below 0 where the target has passed.
     """
 
     request: str
@@ -44,11 +44,11 @@
 
 @attrs.frozen
 class StepRow:
-    """A step of a request, or an endpoint that it may yet go to.
+    """A step of a request, or the state of a candidate endpoint.
 
     :param at_ms: time since the request arrived, milliseconds.
     :param endpoint: the endpoint concerned; empty for none.
-    :param what: what happened or was decided there.
+    :param what: the event, decision or state.
     """
 
     at_ms: int
@@ -57,14 +57,14 @@
 
 
 @attrs.frozen
-class PlaceRow:
-    """An endpoint as a place for a model, in its planner's numbers.
+class LoadTargetRow:
+    """An endpoint that a model could be loaded on, as its planner sees it.
 
     :param endpoint: the endpoint.
-    :param planner: the VM that plans for it.
-    :param free_mb: memory that a load may take now, MB.
-    :param needed_mb: memory that the model needs there, MB.
-    :param verdict: why it can't be loaded there, or that it can.
+    :param planner: the VM that plans for the endpoint.
+    :param free_mb: memory available to a load now, MB.
+    :param needed_mb: memory that the model requires there, MB.
+    :param verdict: ``fits``, or why the model can't be loaded there now.
     """
 
     endpoint: str
@@ -76,16 +76,16 @@
 
 @attrs.frozen
 class ReplicaRow:
-    """An endpoint that has a model, and why it takes work or not.
+    """An endpoint that serves a model, and whether it takes work.
 
     :param endpoint: the endpoint.
-    :param data_centre: where it runs.
+    :param data_centre: its data centre.
     :param owner: the VM that owns it.
-    :param takes_work: ``yes``, or why not.
-    :param running: requests in its batch; -1 where its owner did not answer.
-    :param slots: most requests in the batch now.
-    :param queued: requests that wait for it.
-    :param longest_ms: longest wait of them, milliseconds.
+    :param takes_work: ``yes``, or why it takes no work.
+    :param running: requests in its batch; -1 where its owner did not respond.
+    :param slots: current limit of requests in the batch.
+    :param queued: requests queued for it.
+    :param longest_ms: longest time in the queue so far, milliseconds.
     """
 
     endpoint: str
