--- a/packages/mothworks/src/mothworks/row_filters.py
+++ b/packages/mothworks/src/mothworks/row_filters.py
@@ -1,4 +1,4 @@
-"""Conditions on rows: what follows ``where`` in a statement."""
+"""Filters rows by the conditions after ``where`` in a statement."""
 
 import collections.abc
 import operator
@@ -27,10 +27,10 @@
     :param rows: instances of one attrs class.
     :param conditions: the conditions.
     """
-    kept = []
+    matching = []
     for row in rows:
         for condition in conditions:
-            match _holds(row, condition):
+            match _evaluate(row, condition):
                 case result.Ok(True):
                     continue
                 case result.Ok(_):
@@ -38,44 +38,44 @@
                 case error:
                     return error
         else:
-            kept.append(row)
-    return result.Ok(tuple(kept))
+            matching.append(row)
+    return result.Ok(tuple(matching))
 
 
-def _holds(
+def _evaluate(
     row: typing.Any, condition: statements.Condition
 ) -> result.Result[bool, outcomes.Refusal]:
     if not hasattr(row, condition.field):
-        return _wrong(f"there is no field {condition.field!r}")
-    found = getattr(row, condition.field)
+        return _invalid(f"unknown field {condition.field!r}")
+    actual = getattr(row, condition.field)
     if condition.comparison is statements.Comparison.CONTAINS:
-        parts = found if isinstance(found, tuple | list) else (found,)
+        parts = actual if isinstance(actual, tuple | list) else (actual,)
         return result.Ok(any(condition.value in str(part) for part in parts))
     compare = _FUNCTION_BY_COMPARISON[condition.comparison]
-    match found:
+    match actual:
         case tuple() | list():
-            return _compare_with_list(found, condition)
+            return _compare_with_list(actual, condition)
         case bool():
-            return result.Ok(compare(str(found).lower(), condition.value))
+            return result.Ok(compare(str(actual).lower(), condition.value))
         case int() | float():
             try:
-                return result.Ok(compare(found, float(condition.value)))
+                return result.Ok(compare(actual, float(condition.value)))
             except ValueError:
                 message = f"{condition.field}: expected a number"
-                return _wrong(f"{message}, found {condition.value!r}")
+                return _invalid(f"{message}, found {condition.value!r}")
         case None:
             return result.Ok(condition.comparison is statements.Comparison.NOT_EQUAL)
-    return result.Ok(compare(str(found), condition.value))
+    return result.Ok(compare(str(actual), condition.value))
 
 
-def _compare_with_list(found, condition: statements.Condition):
+def _compare_with_list(actual, condition: statements.Condition):
     match condition.comparison:
         case statements.Comparison.EQUAL:
-            return result.Ok(condition.value in found)
+            return result.Ok(condition.value in actual)
         case statements.Comparison.NOT_EQUAL:
-            return result.Ok(condition.value not in found)
-    return _wrong(f"{condition.field} is a list: use =, != or ~")
+            return result.Ok(condition.value not in actual)
+    return _invalid(f"{condition.field} is a list: use =, != or ~")
 
 
-def _wrong(message: str) -> result.Result:
+def _invalid(message: str) -> result.Result:
     return result.Err(outcomes.invalid(message, "invalid_statement", 422))
