--- a/packages/mothworks/src/mothworks/local_facts.py
+++ b/packages/mothworks/src/mothworks/local_facts.py
@@ -1,7 +1,7 @@
-"""Local facts: what this VM tells others that ask, topic by topic.
+"""Rows that this VM contributes to fan-out queries, by topic.
 
-Queues and orders come from what the VM owns, traces from its callers'
-requests.
+Rows of queues and orders cover the endpoints that the VM owns, traces the
+requests that it received from callers.
 """
 
 import time
@@ -26,7 +26,7 @@
 
 @plugins.register(plugins.PART, "local_facts")
 class LocalFacts(kernel.Part):
-    """Serves every topic of :class:`fan_out.Topic`.
+    """Returns this VM's rows for every :class:`fan_out.Topic`.
 
     :param node_kernel: the node's kernel.
     """
@@ -42,62 +42,65 @@
         self.slots = node_kernel.get(slot_owner.SlotOwner)
         topics = fan_out.Topic
         serve = node_kernel.get(fan_out.FanOut).serve
-        serve(topics.WAITING, row_classes.WaitingRow, self._waiting)
-        serve(topics.BATCHES, row_classes.BatchRow, self._batches)
-        serve(topics.ATTAINMENT, reason_rows.CountRow, self._counts)
-        serve(topics.MOVES, row_classes.MoveRow, self._moves)
-        serve(topics.PLACES, reason_rows.LoadTargetRow, self._places)
-        serve(topics.TRACE, reason_rows.TraceRow, self._trace)
-        serve(topics.STEPS, reason_rows.StepRow, self._steps)
-
-    def _waiting(self, argument: str) -> list[row_classes.WaitingRow]:
-        """Return queued requests; the argument is empty, a request or a model."""
+        serve(topics.WAITING, row_classes.WaitingRow, self._waiting_rows)
+        serve(topics.BATCHES, row_classes.BatchRow, self._batch_rows)
+        serve(topics.ATTAINMENT, reason_rows.CountRow, self._attainment_rows)
+        serve(topics.MOVES, row_classes.MoveRow, self._order_rows)
+        serve(topics.PLACES, reason_rows.LoadTargetRow, self._load_target_rows)
+        serve(topics.TRACE, reason_rows.TraceRow, self._trace_rows)
+        serve(topics.STEPS, reason_rows.StepRow, self._step_rows)
+
+    def _waiting_rows(self, argument: str) -> list[row_classes.WaitingRow]:
+        """Return queued requests of a request ID or model; of all where empty."""
         return [
             row
             for row in slot_rows.waiting(self.slots)
             if argument in ("", row.request, row.model)
         ]
 
-    def _batches(self, target: str) -> list[row_classes.BatchRow]:
-        """Return endpoints' queues; the argument is empty or a model."""
+    def _batch_rows(self, target: str) -> list[row_classes.BatchRow]:
+        """Return batches and queues of a model's endpoints; all where empty."""
         rows = slot_rows.running(self.slots)
         if not target:
             return rows
         names = frozenset(self.placement.candidates(target))
         return [row for row in rows if row.endpoint in names]
 
-    def _counts(self, _: str) -> list[reason_rows.CountRow]:
+    def _attainment_rows(self, _: str) -> list[reason_rows.CountRow]:
         counts = self.attainment.last_minute()
         return [
             reason_rows.CountRow(urgency, verdict.value, count)
             for (urgency, verdict), count in sorted(counts.items())
         ]
 
-    def _moves(self, target: str) -> list[row_classes.MoveRow]:
-        """Return unfinished orders; the argument is empty or a model."""
+    def _order_rows(self, target: str) -> list[row_classes.MoveRow]:
+        """Return unfinished orders of a model; all where empty."""
         return [row for row in self.orders.under_way() if target in ("", row.model)]
 
-    def _places(self, model: str) -> list[reason_rows.LoadTargetRow]:
-        """Return where a model could be loaded; empty on VMs that do not plan."""
+    def _load_target_rows(self, model: str) -> list[reason_rows.LoadTargetRow]:
+        """Return where a model could be loaded; empty on VMs that do not plan.
+
+        Endpoints with the most free memory come first.
+        """
         state = self.planner.state
-        wanted = state.fleet.demanded_by_name.get(model) if state else None
-        if wanted is None:
+        demanded = state.fleet.demanded_by_name.get(model) if state else None
+        if demanded is None:
             return []
-        sites = sorted(
+        views = sorted(
             state.fleet.site_by_name.values(), key=lambda item: -item.free_mb
         )
         return [
             reason_rows.LoadTargetRow(
-                endpoint=site.name,
+                endpoint=view.name,
                 planner=self.kernel.settings.name,
-                free_mb=site.free_mb,
-                needed_mb=wanted.need.room_mb,
-                verdict=verdict(site, wanted.need),
+                free_mb=view.free_mb,
+                needed_mb=demanded.need.room_mb,
+                verdict=verdict(view, demanded.need),
             )
-            for site in sites
+            for view in views
         ]
 
-    def _trace(self, request_id: str) -> list[reason_rows.TraceRow]:
+    def _trace_rows(self, request_id: str) -> list[reason_rows.TraceRow]:
         trace = self.decisions.find(request_id)
         if trace is None:
             return []
@@ -114,7 +117,7 @@
         )
         return [row]
 
-    def _steps(self, request_id: str) -> list[reason_rows.StepRow]:
+    def _step_rows(self, request_id: str) -> list[reason_rows.StepRow]:
         trace = self.decisions.find(request_id)
         if trace is None:
             return []
@@ -125,38 +128,38 @@
             for step in trace.steps
         ]
         if not trace.outcome:
-            rows += self._considered(trace)
+            rows += self._candidate_rows(trace)
         return rows
 
-    def _considered(self, trace: decisions.Trace) -> list[reason_rows.StepRow]:
-        """Return how a running request's endpoints look to its entry now."""
+    def _candidate_rows(self, trace: decisions.Trace) -> list[reason_rows.StepRow]:
+        """Return the present state of the endpoints that the request may use."""
         now_ms = round((time.monotonic() - trace.arrived) * 1000)
         running_by_endpoint = self.dispatch.policy.running_by_endpoint
         rows = []
         for name in self.placement.candidates(trace.target):
-            closed = self.placement.why_closed(name)
+            reason = self.placement.why_closed(name)
             running = running_by_endpoint[name]
-            what = closed or f"open; {running} of this VM's requests are there"
+            what = reason or f"open; runs {running} of this VM's requests"
             rows.append(reason_rows.StepRow(now_ms, name, f"now {what}"))
         return rows
 
 
-def verdict(site: fleet.Site, need: fleet.Need) -> str:
-    """Return why a planner would not load a model at an endpoint now.
+def verdict(view: fleet.Site, need: fleet.Need) -> str:
+    """Return why a planner would not load a model on an endpoint, or ``fits``.
 
-    :param site: the endpoint as its planner sees it.
-    :param need: the model.
+    :param view: the endpoint, as its planner sees it.
+    :param need: the model, with the memory that it requires.
     """
-    if need.key in site.loading:
+    if need.key in view.loading:
         return "is being loaded there"
-    if need.key in site.leaving:
+    if need.key in view.leaving:
         return "is being unloaded there"
-    if need.key in site.memory_by_key:
+    if need.key in view.memory_by_key:
         return "is resident there"
-    if not site.open:
+    if not view.open:
         return "takes no new work"
-    if site.memory_mb < need.room_mb:
-        return f"never fits: {site.memory_mb} MB in all"
-    if site.free_mb < need.room_mb:
-        return f"{need.room_mb - site.free_mb} MB are missing"
+    if view.memory_mb < need.room_mb:
+        return f"never fits: {view.memory_mb} MB in all"
+    if view.free_mb < need.room_mb:
+        return f"{need.room_mb - view.free_mb} MB are missing"
     return "fits"
