--- a/packages/mothworks/src/mothworks/audit.py
+++ b/packages/mothworks/src/mothworks/audit.py
@@ -1,12 +1,13 @@
-"""Audit trail: who changed what, when and why, kept in the object API.
+"""Audit trail: who changed what, when and why, stored in the object API.
 
 :meth:`Audit.record` only appends to a bounded buffer, so that a slow or
-absent object API never delays serving. A task writes the buffer in batches
-into objects of this VM: one writer an object, so no write is contended. An
-object is rewritten until it is full or the day ends; then a new one starts.
+unavailable object API never delays serving. A task writes the buffer in
+batches to objects of this VM. Each object has a single writer, so writes never
+conflict. An object is rewritten until it is full or the day ends; then a new
+one is started.
 
-A gap is visible: an overflowed buffer leaves an entry with the count of lost
-entries, and a VM that died left no closing entry (see :mod:`audit_reading`).
+Gaps are visible: after a buffer overflow an entry counts the lost entries, and
+a VM that crashed leaves no closing entry (see :mod:`audit_reading`).
 """
 
 import collections
@@ -26,27 +27,28 @@
 
 log = logbook.Logger("audit")
 
-#: Objects are named PREFIX + day + "/" + VM + "/" + start of life + "-" + number.
+#: Objects are named PREFIX + day + "/" + VM + "/" + start time + "-" + number.
 PREFIX = "audit/"
-#: Size at which an object is closed. Far under the platform's 1 MB, because
-#: every batch writes the whole object again.
-OBJECT_BYTES = 64 << 10
-#: Most entries that wait to be written; more are counted and dropped.
-BUFFER_ENTRIES = 2000
-#: Shortest time between writes of one VM, seconds.
-PERIOD_S = 1.0
-#: Share of the object API's writes that all VMs' trails may take, writes/s.
-WRITES_PER_S = 50.0
-#: What the last entry of a VM that shut down gracefully says.
+#: Size at which a new object is started, bytes. It is far below the platform's
+#: limit of 1 MB, because every batch rewrites the whole object.
+ROTATION_BYTES = 64 << 10
+#: Most entries buffered for writing; further ones are dropped and counted.
+MAX_BUFFERED_ENTRIES = 2000
+#: Shortest time between the writes of one VM, seconds.
+MIN_WRITE_INTERVAL_S = 1.0
+#: Limit on the rate of writes to the object API by the trails of all VMs,
+#: writes/s.
+MAX_WRITES_PER_S = 50.0
+#: Text of the last entry of a VM that shut down gracefully.
 CLOSED = "closed"
-#: Bytes shown of a line that can't be read.
-SHOWN_BYTES = 200
+#: Most bytes quoted of a line that can't be parsed.
+MAX_EXCERPT_BYTES = 200
 #: Longest time that a graceful shutdown spends on the last write, seconds.
-CLOSE_S = 5.0
+MAX_CLOSING_S = 5.0
 
 
 class Kind(enum.StrEnum):
-    """What sort of change an entry tells of."""
+    """The kind of change that an entry records."""
 
     CONFIGURATION = "configuration"
     COMMAND = "command"
@@ -54,7 +56,7 @@
     MOVE = "move"
     QUARANTINE = "quarantine"
     OWNERSHIP = "ownership"
-    #: About the trail itself: started, closed, or entries were lost.
+    #: The trail itself: it started, was closed, or lost entries.
     TRAIL = "trail"
 
 
@@ -62,16 +64,17 @@
 class Entry:
     """One accepted change.
 
-    :param at: ISO time, UTC, on the recording VM's clock.
+    :param at: time by the recording VM's clock, ISO 8601, UTC.
     :param vm: the VM that recorded it.
-    :param number: counts the VM's entries since its start, from 1.
-    :param kind: the sort of change.
-    :param who: the operator, or the VM that decided by itself.
+    :param number: number of the entry since the VM's start, from 1.
+    :param kind: the kind of change.
+    :param who: the operator, or the VM where it decided by itself.
     :param subject: the model, endpoint, caller or request concerned.
     :param what: what was done.
     :param why: the reason.
-    :param before: revision or fencing number before; None where none applies.
-    :param after: revision or fencing number after.
+    :param before: revision or fencing number before the change; None where
+        none applies.
+    :param after: revision or fencing number after the change.
     """
 
     at: str
@@ -88,7 +91,7 @@
 
 @plugins.register(plugins.PART, "audit")
 class Audit(kernel.Part):
-    """Records this VM's changes.
+    """Records the changes that this VM makes.
 
     :param node_kernel: the node's kernel.
 
@@ -103,30 +106,30 @@
         self.vm = node_kernel.settings.name
         self.started_ms = time.time_ns() // 1_000_000
         self.pending: collections.deque[Entry] = collections.deque()
-        self.lost = 0
+        self.dropped = 0
         self.number = 0
         self.segment = Segment("", "")
-        self.segments = 0
-        self.waiting = gevent.event.Event()
-        self.writing = gevent.lock.RLock()
+        self.segment_count = 0
+        self.has_pending = gevent.event.Event()
+        self.write_lock = gevent.lock.RLock()
         self.lost_total = node_kernel.metrics.counter(
             "audit_lost_total", "Audit entries dropped because the buffer was full."
         )
 
     def start(self) -> None:
-        """Start to write; the first entry tells of the VM's start."""
+        """Start the writing task; the first entry records the VM's start."""
         self.record(Kind.TRAIL, self.vm, "started", "")
         self.tasks.spawn(self._write_forever)
 
     def drain(self, deadline: float) -> None:
-        """Close the trail, so that a reader knows it is whole.
+        """Write the closing entry, which shows readers that the trail is complete.
 
-        :param deadline: time on the monotonic clock by which to return.
+        :param deadline: monotonic time by which to return, seconds.
         """
         self.record(Kind.TRAIL, self.vm, CLOSED, "graceful shutdown")
-        deadline = min(deadline, time.monotonic() + CLOSE_S)
+        deadline = min(deadline, time.monotonic() + MAX_CLOSING_S)
         while self.pending and time.monotonic() < deadline:
-            if not self._write():
+            if not self._write_pending():
                 gevent.sleep(0.2)
 
     def record(
@@ -140,28 +143,28 @@
         before: int | None = None,
         after: int | None = None,
     ) -> None:
-        """Add an entry to the trail; returns at once.
+        """Add an entry to the trail; never blocks.
 
-        :param kind: the sort of change.
+        :param kind: the kind of change.
         :param subject: the model, endpoint, caller or request concerned.
         :param what: what was done.
-        :param why: the reason, with the numbers of the decision.
+        :param why: the reason, with the figures behind the decision.
         :param who: the operator; empty where this VM decided by itself.
-        :param before: revision or fencing number before.
-        :param after: revision or fencing number after.
+        :param before: revision or fencing number before the change.
+        :param after: revision or fencing number after the change.
         """
-        if len(self.pending) >= BUFFER_ENTRIES:
-            self.lost += 1
+        if len(self.pending) >= MAX_BUFFERED_ENTRIES:
+            self.dropped += 1
             self.lost_total.inc({})
             return
-        self._mark_gap()
+        self._record_gap()
         self._append(kind, subject, what, why, who, before, after)
-        self.waiting.set()
+        self.has_pending.set()
 
-    def period_s(self) -> float:
-        """Return the time between writes that keeps all VMs in their share."""
+    def write_interval_s(self) -> float:
+        """Return the interval that keeps the writes of all VMs within the limit."""
         vms = len(self.kernel.get(membership.Membership).live())
-        return max(PERIOD_S, vms / WRITES_PER_S)
+        return max(MIN_WRITE_INTERVAL_S, vms / MAX_WRITES_PER_S)
 
     def _append(self, kind, subject, what, why, who, before, after) -> None:
         self.number += 1
@@ -181,28 +184,30 @@
             )
         )
 
-    def _mark_gap(self) -> None:
-        if not self.lost:
+    def _record_gap(self) -> None:
+        if not self.dropped:
             return
-        lost, self.lost = self.lost, 0
-        why = f"the buffer of {BUFFER_ENTRIES} entries was full"
-        self._append(Kind.TRAIL, self.vm, f"lost {lost} entries", why, "", None, None)
+        dropped, self.dropped = self.dropped, 0
+        why = f"the buffer of {MAX_BUFFERED_ENTRIES} entries was full"
+        self._append(
+            Kind.TRAIL, self.vm, f"lost {dropped} entries", why, "", None, None
+        )
 
     def _write_forever(self) -> None:
         while True:
-            self.waiting.wait()
-            self._write()
-            gevent.sleep(self.period_s())
-
-    def _write(self) -> bool:
-        """Write one batch; returns whether it was stored."""
-        # The closing write of a shutdown may meet the task's last one.
-        with self.writing:
+            self.has_pending.wait()
+            self._write_pending()
+            gevent.sleep(self.write_interval_s())
+
+    def _write_pending(self) -> bool:
+        """Write one batch, if any; returns False where the write failed."""
+        # drain() may write at the same time as the writing task.
+        with self.write_lock:
             return not self.pending or self._write_batch()
 
     def _write_batch(self) -> bool:
         self._rotate()
-        batch = self._batch()
+        batch = self._next_batch()
         segment = self.segment.extended(batch)
         match self.api.put(segment.key, segment.body, segment.version):
             case result.Ok(version):
@@ -210,51 +215,51 @@
                 for _ in batch:
                     self.pending.popleft()
                 if not self.pending:
-                    self.waiting.clear()
+                    self.has_pending.clear()
                 return True
             case result.Err(objects.Unavailable(reason)):
-                log.warning("the audit trail waits: {}", reason)
+                log.warning("audit entries stay buffered: {}", reason)
             case result.Err(_):
                 self._read_version()
         return False
 
     def _rotate(self) -> None:
         day = self.pending[0].at[:10] if self.pending else self.segment.day
-        full = len(self.segment.body) >= OBJECT_BYTES
+        full = len(self.segment.body) >= ROTATION_BYTES
         if full or day != self.segment.day:
-            self.segments += 1
-            name = f"{day}/{self.vm}/{self.started_ms}-{self.segments:06}"
+            self.segment_count += 1
+            name = f"{day}/{self.vm}/{self.started_ms}-{self.segment_count:06}"
             self.segment = Segment(day, PREFIX + name)
 
-    def _batch(self) -> list[Entry]:
-        """Return the entries that fit into the open object, at least one."""
-        room = OBJECT_BYTES - len(self.segment.body)
+    def _next_batch(self) -> list[Entry]:
+        """Return the buffered entries that fit into the open object, at least one."""
+        remaining = ROTATION_BYTES - len(self.segment.body)
         batch = []
         for entry in self.pending:
-            if batch and (room <= 0 or entry.at[:10] != self.segment.day):
+            if batch and (remaining <= 0 or entry.at[:10] != self.segment.day):
                 break
-            room -= len(line(entry))
+            remaining -= len(line(entry))
             batch.append(entry)
         return batch
 
     def _read_version(self) -> None:
-        # The reply to a write was lost. Only this VM writes the object, and
-        # always whole, so writing it again over the version found is right
+        # The response to a write was lost. Only this VM writes the object, and
+        # always as a whole, so overwriting the stored version is correct
         # whether or not the lost write took effect.
         match self.api.get(self.segment.key):
             case result.Ok(stored):
                 self.segment = attrs.evolve(self.segment, version=stored.version)
             case result.Err(problem):
-                log.warning("the audit trail waits: {}", problem)
+                log.warning("audit entries stay buffered: {}", problem)
 
 
 @attrs.frozen
 class Segment:
-    """The object that a VM's trail is being written to.
+    """The object that a VM currently writes its trail to.
 
-    :param day: the ISO date of its entries.
-    :param key: its key.
-    :param body: its content, one JSON entry a line.
+    :param day: date of its entries, ISO 8601.
+    :param key: its key in the object API.
+    :param body: its content, one JSON entry per line.
     :param version: its version in the object API; None before it exists.
     """
 
@@ -264,15 +269,15 @@
     version: str | None = None
 
     def extended(self, entries: list[Entry]) -> "Segment":
-        """Return the segment with more entries.
+        """Return the segment with entries appended.
 
-        :param entries: what to append.
+        :param entries: the entries to append.
         """
         return attrs.evolve(self, body=self.body + b"".join(map(line, entries)))
 
 
 def line(entry: Entry) -> bytes:
-    """Return an entry as it is stored, one line of JSON.
+    """Encode an entry for storage, as one line of JSON.
 
     :param entry: the entry.
     """
@@ -282,30 +287,32 @@
 def parse(body: bytes) -> list[Entry]:
     """Return the entries of a stored object, oldest first.
 
-    A line that can't be read, because it is corrupt or of a later version,
-    becomes an entry that says so; fields that are not known are left out.
+    A line that can't be parsed, because it is corrupt or written by a later
+    version, yields an entry that quotes it. Unknown fields are ignored.
 
     :param body: the object's content.
     """
     entries: list[Entry] = []
-    for item in body.splitlines():
+    for text in body.splitlines():
         number = entries[-1].number + 1 if entries else 1
-        entries.append(_read(item, number))
+        entries.append(_parse_line(text, number))
     return entries
 
 
-def _read(item: bytes, number: int) -> Entry:
+def _parse_line(text: bytes, number: int) -> Entry:
     try:
-        value = orjson.loads(item)
+        value = orjson.loads(text)
     except orjson.JSONDecodeError:
         value = {}
     value = value if isinstance(value, dict) else {}
     names = [field.name for field in attrs.fields(Entry)]
-    known = {name: value[name] for name in names if name in value}
-    match documents.structure(known, Entry, "audit"):
+    known_fields = {name: value[name] for name in names if name in value}
+    match documents.structure(known_fields, Entry, "audit"):
         case result.Ok(entry):
             return entry
     vm = str(value.get("vm", ""))
-    text = item[:SHOWN_BYTES].decode(errors="replace")
+    excerpt = text[:MAX_EXCERPT_BYTES].decode(errors="replace")
     what = "an entry that this version can't read"
-    return Entry(str(value.get("at", "")), vm, number, Kind.TRAIL, vm, vm, what, text)
+    return Entry(
+        str(value.get("at", "")), vm, number, Kind.TRAIL, vm, vm, what, excerpt
+    )
--- a/packages/mothworks/src/mothworks/audit_reading.py
+++ b/packages/mothworks/src/mothworks/audit_reading.py
@@ -1,8 +1,8 @@
-"""Reads the audit trail of all VMs back from the object API.
+"""Reads the audit trails of all VMs from the object API.
 
-Objects are named by day first, so that a question about the last days lists
-only these. A trail whose VM is gone without a closing entry, and numbers
-that are missing, are shown as entries of their own.
+The names of objects start with the day, so that a query for the last days
+lists only their objects. Missing numbers, and a trail without a closing entry
+whose VM no longer runs, are shown as entries of their own.
 """
 
 import collections
@@ -14,18 +14,18 @@
 
 from mothworks import audit, objects
 
-#: Reads in flight at a time.
-PARALLEL_READS = 8
-#: Most objects read for one question; the newest go first.
-MOST_OBJECTS = 400
+#: Most concurrent reads.
+MAX_PARALLEL_READS = 8
+#: Most objects read for one query, the newest first.
+MAX_OBJECTS = 400
 
 
 @attrs.frozen
 class Trail:
-    """What was read.
+    """Entries of all VMs.
 
     :param entries: oldest first, with an entry for each gap.
-    :param unread: keys of older objects that were left out.
+    :param unread: keys of older objects that were not read.
     """
 
     entries: tuple[audit.Entry, ...]
@@ -39,33 +39,33 @@
 
     :param api: the object API.
     :param live: names of the VMs that run now.
-    :param days: how many days back, today included.
+    :param days: number of days to read, today included.
     """
     keys = []
     for day in _last_days(days):
         match api.list(f"{audit.PREFIX}{day}/"):
             case result.Ok(version_by_key):
-                keys += sorted(version_by_key, key=_start_of, reverse=True)
+                keys += sorted(version_by_key, key=_base_name, reverse=True)
             case error:
                 return error
-    newest = keys[:MOST_OBJECTS]
-    pool = gevent.pool.Pool(PARALLEL_READS)
+    newest = keys[:MAX_OBJECTS]
+    pool = gevent.pool.Pool(MAX_PARALLEL_READS)
     stored = pool.map(api.get, newest)
-    entries_by_life = collections.defaultdict(list)
-    for key, found in zip(newest, stored, strict=True):
-        match found:
+    entries_by_run = collections.defaultdict(list)
+    for key, response in zip(newest, stored, strict=True):
+        match response:
             case result.Ok(item):
-                entries_by_life[_life_of(key)] += audit.parse(item.body)
+                entries_by_run[_run_of(key)] += audit.parse(item.body)
             case result.Err(objects.Missing()):
                 continue
             case error:
                 return error
     entries = []
-    for found in entries_by_life.values():
-        found.sort(key=lambda entry: entry.number)
-        entries += _with_gaps(found, live)
+    for trail in entries_by_run.values():
+        trail.sort(key=lambda entry: entry.number)
+        entries += _with_gap_entries(trail, live)
     entries.sort(key=lambda entry: (entry.at, entry.vm, entry.number))
-    return result.Ok(Trail(tuple(entries), tuple(keys[MOST_OBJECTS:])))
+    return result.Ok(Trail(tuple(entries), tuple(keys[MAX_OBJECTS:])))
 
 
 def _last_days(days: int) -> list[str]:
@@ -73,36 +73,38 @@
     return [str(today - datetime.timedelta(days=back)) for back in range(days)]
 
 
-def _start_of(key: str) -> str:
+def _base_name(key: str) -> str:
     return key.rpartition("/")[2]
 
 
-def _life_of(key: str) -> str:
-    """Return the VM and its start, which all objects of one life share."""
+def _run_of(key: str) -> str:
+    """Return VM and start time, which all objects of one process run share."""
     _, _, vm, name = key.split("/")
     return f"{vm}/{name.partition('-')[0]}"
 
 
-def _with_gaps(found: list[audit.Entry], live: frozenset[str]) -> list[audit.Entry]:
-    whole = found[:1]
-    for earlier, later in zip(found, found[1:], strict=False):
+def _with_gap_entries(
+    trail: list[audit.Entry], live: frozenset[str]
+) -> list[audit.Entry]:
+    with_gaps = trail[:1]
+    for earlier, later in zip(trail, trail[1:], strict=False):
         if later.number > earlier.number + 1:
             missing = later.number - earlier.number - 1
-            whole.append(_gap(earlier, f"{missing} entries are missing"))
-        whole.append(later)
-    last = found[-1]
+            with_gaps.append(_gap_entry(earlier, f"{missing} entries are missing"))
+        with_gaps.append(later)
+    last = trail[-1]
     closed = last.kind is audit.Kind.TRAIL and last.what == audit.CLOSED
     if not closed and last.vm not in live:
-        whole.append(_gap(last, "the VM ended without closing its trail"))
-    return whole
+        with_gaps.append(_gap_entry(last, "the VM ended without closing its trail"))
+    return with_gaps
 
 
-def _gap(after: audit.Entry, what: str) -> audit.Entry:
+def _gap_entry(previous: audit.Entry, what: str) -> audit.Entry:
     return attrs.evolve(
-        after,
+        previous,
         kind=audit.Kind.TRAIL,
-        who=after.vm,
-        subject=after.vm,
+        who=previous.vm,
+        subject=previous.vm,
         what=what,
         why="entries that followed may be lost",
         before=None,
--- a/packages/mothworks/src/mothworks/audit_retention.py
+++ b/packages/mothworks/src/mothworks/audit_retention.py
@@ -1,4 +1,7 @@
-"""Deletes audit objects whose time is over; one VM of all does it."""
+"""Deletes audit objects that have passed their retention time.
+
+One VM of the deployment, selected by rendezvous hashing, does this.
+"""
 
 import datetime
 
@@ -18,18 +21,19 @@
 log = logbook.Logger("audit")
 
 #: Seconds between passes.
-PERIOD_S = 3600.0
-#: Days before the oldest kept day that a pass looks at, for the case that no
-#: VM made a pass for that long.
-DAYS = 14
-#: Most deletions of one pass, so that they stay a small share of the writes.
-MOST = 500
-DAY_S = 86_400.0
+PASS_INTERVAL_S = 3600.0
+#: Number of days before the oldest retained day whose objects a pass deletes.
+#: It covers times without any pass, of up to as many days.
+LOOKBACK_DAYS = 14
+#: Most deletions per pass, so that they stay a small share of the object API's
+#: writes.
+MAX_DELETIONS = 500
+SECONDS_PER_DAY = 86_400.0
 
 
 @plugins.register(plugins.PART, "audit_retention")
 class AuditRetention(kernel.Part):
-    """Makes a pass each hour where this VM is the one to do it.
+    """Deletes expired objects each hour while this VM is the selected one.
 
     :param node_kernel: the node's kernel.
     """
@@ -41,33 +45,36 @@
         self.membership = node_kernel.get(membership.Membership)
 
     def start(self) -> None:
-        """Start to make passes."""
-        self.tasks.every(PERIOD_S, self._pass_if_chosen)
+        """Start the hourly passes."""
+        self.tasks.every(PASS_INTERVAL_S, self._delete_if_selected)
 
-    def clean(self, today: datetime.date) -> int:
-        """Delete what is older than the catalogue's retention.
+    def delete_expired(self, today: datetime.date) -> int:
+        """Delete the objects that are older than the catalogue's retention time.
 
-        :param today: the present day, UTC.
-        :returns: how many objects were deleted.
+        :param today: the current date, UTC.
+        :returns: the number of deleted objects.
         """
-        kept_s = self.configuration.index.catalogue.retention.audit_s
-        oldest = today - datetime.timedelta(days=int(kept_s // DAY_S))
+        retention_s = self.configuration.index.catalogue.retention.audit_s
+        oldest_retained = today - datetime.timedelta(
+            days=int(retention_s // SECONDS_PER_DAY)
+        )
         deleted = 0
-        for back in range(1, DAYS + 1):
-            day = oldest - datetime.timedelta(days=back)
-            listed = self.api.list(f"{audit.PREFIX}{day}/")
-            if listed.is_err():
-                log.info("old audit objects stay: {}", listed.err())
+        for days_back in range(1, LOOKBACK_DAYS + 1):
+            day = oldest_retained - datetime.timedelta(days=days_back)
+            listing = self.api.list(f"{audit.PREFIX}{day}/")
+            if listing.is_err():
+                log.info("expired audit objects were not deleted: {}", listing.err())
                 return deleted
-            for key, version in listed.ok().items():
-                if deleted >= MOST:
+            for key, version in listing.ok().items():
+                if deleted >= MAX_DELETIONS:
                     return deleted
-                # One that is gone or changed already is met again next time.
+                # An object that was deleted or changed meanwhile is left to a later
+                # pass.
                 if isinstance(self.api.delete(key, version), result.Ok):
                     deleted += 1
         return deleted
 
-    def _pass_if_chosen(self) -> None:
-        chosen = ownership.highest("audit", self.membership.live())
-        if chosen is not None and chosen.name == self.kernel.settings.name:
-            self.clean(datetime.datetime.now(datetime.UTC).date())
+    def _delete_if_selected(self) -> None:
+        selected = ownership.highest("audit", self.membership.live())
+        if selected is not None and selected.name == self.kernel.settings.name:
+            self.delete_expired(datetime.datetime.now(datetime.UTC).date())
--- a/packages/mothworks/src/mothworks/row_classes.py
+++ b/packages/mothworks/src/mothworks/row_classes.py
@@ -1,6 +1,6 @@
-"""Rows that ``show`` lists: one class for each collection.
+"""Rows of the collections that ``show`` lists, one class for each.
 
-The fields are what ``where`` can name, and the columns of the table.
+The fields are the columns of the table and the names allowed in ``where``.
 """
 
 import attrs
@@ -13,12 +13,12 @@
     """A model or adapter.
 
     :param model: its name.
-    :param base: the model that an adapter adapts; empty for a model.
+    :param base: the base model of an adapter; empty for a model.
     :param version: the declared version of its weights.
-    :param memory_mb: its accelerator memory, MB.
-    :param replicas: endpoints that have it.
-    :param open: of these, how many take new work.
-    :param endpoints: their names.
+    :param memory_mb: accelerator memory that it occupies, MB.
+    :param replicas: number of endpoints that serve it.
+    :param open: number of these that take new work.
+    :param endpoints: names of the endpoints that serve it.
     """
 
     model: str
@@ -32,17 +32,17 @@
 
 @attrs.frozen
 class EndpointRow:
-    """An endpoint, as the asked VM knows it.
+    """An endpoint, as known to the VM that answers.
 
     :param endpoint: its name.
-    :param kind: the plug-in that speaks its protocol.
-    :param data_centre: where it runs.
+    :param kind: the plug-in that implements its protocol.
+    :param data_centre: its data centre.
     :param owner: the VM that owns it; empty where its region has none.
     :param state: open, draining, down or unknown.
-    :param drain: an operator drained it.
-    :param leaving: the platform lists its VM as leaving.
+    :param drain: whether an operator drained it.
+    :param leaving: whether the platform lists its VM as leaving.
     :param memory_mb: its accelerator memory for models, MB.
-    :param models: its resident models and adapters.
+    :param models: the models and adapters resident on it.
     """
 
     endpoint: str
@@ -61,11 +61,12 @@
     """A caller.
 
     :param caller: its name.
-    :param urgency: class of all its work.
-    :param first_token_ms: target for the first token, milliseconds.
-    :param between_tokens_ms: target between tokens, milliseconds.
-    :param models: what it may call; empty for all.
-    :param share: largest share of any queue that it may fill.
+    :param urgency: urgency class of all its requests.
+    :param first_token_ms: target for the time to the first token, milliseconds.
+    :param between_tokens_ms: target for the mean time between tokens,
+        milliseconds.
+    :param models: models, adapters and services that it may call; empty for all.
+    :param share: largest share of any queue that its requests may occupy.
     """
 
     caller: str
@@ -80,18 +81,18 @@
 class WaitingRow:
     """A request in the queue of an endpoint's owner.
 
-    :param request: its id.
+    :param request: its ID.
     :param endpoint: the endpoint that it waits for.
-    :param owner: the VM that holds the queue.
-    :param position: place in the order of service, from 1.
-    :param queued: how many wait for the endpoint.
+    :param owner: the VM that owns the endpoint and its queue.
+    :param position: position in the queue, from 1.
+    :param queued: number of requests queued for the endpoint.
     :param running: requests in the endpoint's batch.
-    :param slots: most requests in the batch now.
-    :param urgency: class of the request.
+    :param slots: current limit of requests in the batch.
+    :param urgency: urgency class of the request.
     :param caller: the caller's name.
-    :param model: the model, adapter or service asked for.
+    :param model: the requested model, adapter or service.
     :param waited_ms: time in the queue, milliseconds.
-    :param deadline_ms: time left until the queue gives it up, milliseconds.
+    :param deadline_ms: time left until the queue drops it, milliseconds.
     """
 
     request: str
@@ -110,16 +111,16 @@
 
 @attrs.frozen
 class MoveRow:
-    """An order to an endpoint that is not finished.
+    """An unfinished order to an endpoint.
 
-    :param endpoint: the endpoint that has the order.
+    :param endpoint: the endpoint.
     :param model: the model or adapter.
     :param order: load, unload or role.
     :param state: sent, or waiting behind another order.
     :param number: the order's fencing number; 0 while it waits.
-    :param owner: the VM that gives the order.
-    :param reserved_mb: memory held for it, MB; 0 while it waits.
-    :param why: the planner's reason, while it waits.
+    :param owner: the VM that sends the order.
+    :param reserved_mb: memory reserved for it, MB; 0 while it waits.
+    :param why: the planner's reason; only while it waits.
     """
 
     endpoint: str
@@ -137,13 +138,13 @@
     """A VM that runs a node.
 
     :param vm: its name.
-    :param address: its IP number.
+    :param address: its IP address.
     :param port: its port for callers.
-    :param peer_port: its port for peers.
-    :param data_centre: where it runs.
-    :param region: that data centre's region.
-    :param leaving: it is shutting down.
-    :param endpoints: how many endpoints it owns.
+    :param peer_port: its port for other VMs.
+    :param data_centre: its data centre.
+    :param region: the region of the data centre.
+    :param leaving: whether it is shutting down.
+    :param endpoints: number of endpoints that it owns.
     """
 
     vm: str
@@ -158,14 +159,14 @@
 
 @attrs.frozen
 class QuarantineRow:
-    """A request that endpoints crashed on.
+    """A request that is suspected of crashing endpoints.
 
-    :param suspect: hash of caller, model and body, as ``lift`` takes it.
+    :param suspect: hash of caller, model and body; the argument of ``lift``.
     :param state: suspect (runs alone) or quarantined (refused).
-    :param points: 2 for a crash, 1 for a connection that broke alone.
+    :param points: 2 for each crash, 1 for each single broken connection.
     :param caller: the caller's name.
     :param model: the model, adapter or service.
-    :param at: ISO time of the last change, UTC.
+    :param at: time of the last change, ISO 8601, UTC.
     """
 
     suspect: str
@@ -178,18 +179,18 @@
 
 @attrs.frozen
 class AttainmentRow:
-    """What became of a class' requests in the last minute, over all VMs.
+    """Outcomes of a class' requests in the last minute, over all VMs.
 
-    :param urgency: the class, or all.
+    :param urgency: the urgency class, or all.
     :param requests: requests that ended.
-    :param met: whole answers within the caller's targets.
-    :param late: whole answers later than a target.
-    :param failed: answers that broke off, and requests that may have run.
+    :param met: complete responses within the caller's targets.
+    :param late: complete responses that missed a target.
+    :param failed: interrupted responses, and failed requests that may have run.
     :param refused: requests refused without having run.
-    :param cancelled: requests whose caller left.
-    :param in_target: share of met requests, cancelled ones aside, 0 to 1.
+    :param cancelled: requests whose caller disconnected.
+    :param in_target: share of met among requests not cancelled, 0 to 1.
     :param accelerators: accelerators of the endpoints that take work.
-    :param met_a_minute: met requests a minute and accelerator.
+    :param met_a_minute: met requests per minute and accelerator.
     """
 
     urgency: str
@@ -206,17 +207,17 @@
 
 @attrs.frozen
 class BatchRow:
-    """An endpoint's batch and queue, at its owner.
+    """An endpoint's batch and queue, as kept by its owner.
 
     :param endpoint: the endpoint.
     :param owner: the VM that owns it.
     :param running: requests in its batch.
-    :param slots: most requests in the batch now.
-    :param queued: requests that wait for it.
-    :param urgent: of these, the urgent ones.
-    :param standard: the standard ones.
-    :param bulk: the bulk ones.
-    :param longest_ms: longest wait of them, milliseconds.
+    :param slots: current limit of requests in the batch.
+    :param queued: requests queued for it.
+    :param urgent: queued requests of class urgent.
+    :param standard: queued requests of class standard.
+    :param bulk: queued requests of class bulk.
+    :param longest_ms: longest time in the queue so far, milliseconds.
     """
 
     endpoint: str
@@ -247,14 +248,14 @@
 def row_class(collection: statements.Collection) -> type:
     """Return the class of a collection's rows.
 
-    :param collection: what is listed.
+    :param collection: the collection.
     """
     return _class_by_collection[collection]
 
 
 def fields(collection: statements.Collection) -> tuple[str, ...]:
-    """Return the fields of a collection's rows, in the order of columns.
+    """Return the fields of a collection's rows, in the order of the columns.
 
-    :param collection: what is listed.
+    :param collection: the collection.
     """
     return tuple(field.name for field in attrs.fields(row_class(collection)))
