--- a/packages/mothworks/src/mothworks/dashboard.py
+++ b/packages/mothworks/src/mothworks/dashboard.py
@@ -1,9 +1,9 @@
-"""Caller protocol ``/dashboard``: one page of plain HTML for people.
+"""Caller protocol ``/dashboard``: one static HTML page for browsers.
 
-It shows what ``show`` does, for a browser: attainment per accelerator,
-queues, moves, endpoints and VMs. An operator's key is asked for as the
-password of HTTP's basic authentication, since browsers send no bearer keys;
-the name may be anything. The page changes nothing and holds no secrets.
+It lists the collections of ``show``: attainment per accelerator, queues,
+moves, models, endpoints and VMs. The operator's key is the password of HTTP
+basic authentication, because browsers send no bearer tokens; any user name is
+accepted. The page is read-only and contains no secrets.
 """
 
 import base64
@@ -32,10 +32,10 @@
     statements,
 )
 
-#: Most rows of one table; the rest is counted below it.
-MOST_ROWS = 60
-#: States and verdicts that are shown as alarms.
-ALARMS = frozenset(("down", "unknown", "no"))
+#: Most rows shown of one table; the others are counted below it.
+MAX_ROWS = 60
+#: Cell texts that are highlighted as alarms.
+ALARM_TEXTS = frozenset(("down", "unknown", "no"))
 
 C = statements.Collection
 
@@ -45,15 +45,15 @@
     """A table of the page.
 
     :param title: its heading.
-    :param collection: what it shows.
-    :param columns: the fields shown.
-    :param order: sorts the rows.
+    :param collection: the collection that it lists.
+    :param columns: the fields that it shows.
+    :param sort_key: sort key of the rows.
     """
 
     title: str
     collection: statements.Collection
     columns: tuple[str, ...]
-    order: collections.abc.Callable[[typing.Any], typing.Any]
+    sort_key: collections.abc.Callable[[typing.Any], typing.Any]
 
 
 SECTIONS = (
@@ -117,7 +117,7 @@
 
 @plugins.register(plugins.CALLER_PROTOCOL, "/dashboard")
 class Dashboard:
-    """Serves the page.
+    """Renders and serves the page.
 
     :param node_kernel: the node's kernel.
     """
@@ -134,12 +134,12 @@
         """
         if call.path.rstrip("/") != "/dashboard" or call.method != "GET":
             return calls.refuse(
-                outcomes.invalid(f"nothing is at {call.path!r:.80}", "not_found", 404)
+                outcomes.invalid(f"no resource at {call.path!r:.80}", "not_found", 404)
             )
         operators = self.kernel.settings.operators
         if operator_keys.find(operators, _password_hash(call)) is None:
             challenge = ("WWW-Authenticate", 'Basic realm="mothworks operator key"')
-            return calls.Reply(401, [challenge], [b"an operator's key is needed"])
+            return calls.Reply(401, [challenge], [b"an operator's key is required"])
         headers = [
             ("Content-Type", "text/html; charset=utf-8"),
             ("Cache-Control", "no-store"),
@@ -148,14 +148,14 @@
                 "default-src 'none'; style-src 'unsafe-inline'",
             ),
         ]
-        return calls.Reply(200, headers, [self._page().encode()])
+        return calls.Reply(200, headers, [self._render_page().encode()])
 
-    def _page(self) -> str:
+    def _render_page(self) -> str:
         warnings, sections = [], []
         for section in SECTIONS:
             match self.questions.answer(statements.Show(section.collection)):
                 case result.Ok(answer):
-                    sections.append(_section(section, answer.tables[0]))
+                    sections.append(_render_section(section, answer.tables[0]))
                     if answer.unanswered:
                         names = ", ".join(answer.unanswered)
                         warnings.append(f"{section.title}: no answer from {names}")
@@ -167,7 +167,7 @@
             vm=html.escape(self.kernel.settings.name),
             revision=self.configuration.revision,
             time=now.isoformat(timespec="seconds"),
-            warnings="\n".join(_warning(text) for text in warnings),
+            warnings="\n".join(_render_warning(text) for text in warnings),
             sections="\n".join(sections),
         )
 
@@ -190,26 +190,28 @@
     return hashlib.sha256(password).hexdigest()
 
 
-def _warning(text: str) -> str:
+def _render_warning(text: str) -> str:
     return f'<p class="warning">{html.escape(text)}</p>'
 
 
-def _section(section: Section, table: answers.Table) -> str:
+def _render_section(section: Section, table: answers.Table) -> str:
     title = f"<h2>{html.escape(section.title)}</h2>"
-    rows = sorted(table.rows, key=section.order)
+    rows = sorted(table.rows, key=section.sort_key)
     if not rows:
         return f"{title}\n<p>none</p>"
-    head = "".join(
+    header = "".join(
         f"<th{_number_class(getattr(rows[0], column))}>{column.replace('_', ' ')}</th>"
         for column in section.columns
     )
-    lines = [f"<tr>{head}</tr>"]
-    for row in rows[:MOST_ROWS]:
-        cells = "".join(_cell(getattr(row, column)) for column in section.columns)
+    lines = [f"<tr>{header}</tr>"]
+    for row in rows[:MAX_ROWS]:
+        cells = "".join(
+            _render_cell(getattr(row, column)) for column in section.columns
+        )
         lines.append(f"<tr>{cells}</tr>")
-    more = len(rows) - MOST_ROWS
-    rest = f"\n<p>and {more} more</p>" if more > 0 else ""
-    return f"{title}\n<table>\n" + "\n".join(lines) + f"\n</table>{rest}"
+    omitted = len(rows) - MAX_ROWS
+    footer = f"\n<p>and {omitted} more</p>" if omitted > 0 else ""
+    return f"{title}\n<table>\n" + "\n".join(lines) + f"\n</table>{footer}"
 
 
 def _number_class(value: typing.Any) -> str:
@@ -217,7 +219,7 @@
     return ' class="number"' if is_number else ""
 
 
-def _cell(value: typing.Any) -> str:
+def _render_cell(value: typing.Any) -> str:
     match value:
         case bool():
             text = "yes" if value else ""
@@ -225,5 +227,5 @@
             text = ", ".join(map(str, value))
         case _:
             text = str(value)
-    css = ' class="alarm"' if text in ALARMS else _number_class(value)
+    css = ' class="alarm"' if text in ALARM_TEXTS else _number_class(value)
     return f"<td{css}>{html.escape(text)}</td>"
