--- a/packages/mothworks/src/mothworks/attainment.py
+++ b/packages/mothworks/src/mothworks/attainment.py
@@ -1,7 +1,7 @@
-"""Attainment: requests that meet their caller's targets, counted as they end.
+"""Attainment: counts ended requests by whether they met their latency targets.
 
-Counting is plain arithmetic on the request's path; a task writes the counts
-to the metrics. The last minute is kept in buckets for ``show attainment``.
+On the request path only counters are incremented; a task copies them to the
+metrics. Time buckets keep the last minute for ``show attainment``.
 """
 
 import collections
@@ -10,67 +10,68 @@
 
 from mothworks import kernel, plugins, progress, requests, slots
 
-#: Length of one bucket of the last minute, seconds.
+#: Length of one time bucket, seconds.
 BUCKET_S = 10
-#: Buckets kept: the last minute, and the one that is being filled.
-BUCKETS = 7
-#: Seconds between updates of the metrics.
-METRICS_S = 5.0
+#: Number of buckets kept: those of the last minute and the current one.
+BUCKET_COUNT = 7
+#: Interval between updates of the metrics, seconds.
+METRICS_INTERVAL_S = 5.0
 
 
 class Verdict(enum.StrEnum):
-    """How a request ended, for the attainment."""
+    """Verdict on an ended request."""
 
-    #: A whole answer within the targets.
+    #: A complete response within the targets.
     MET = "met"
-    #: A whole answer, but later than a target.
+    #: A complete response that missed a target.
     LATE = "late"
-    #: The answer broke off, or the endpoint failed.
+    #: The response was interrupted, or none was received although the request
+    #: may have run.
     FAILED = "failed"
     #: Refused without having run.
     REFUSED = "refused"
-    #: The caller left.
+    #: The caller disconnected.
     CANCELLED = "cancelled"
 
 
-#: Names a count.
-Key = tuple[str, Verdict]
+#: CountKey of a count: urgency class and verdict.
+CountKey = tuple[str, Verdict]
 
 
 @plugins.register(plugins.PART, "attainment")
 class Attainment(kernel.Part):
-    """Counts this VM's requests.
+    """Counts the requests that this VM received from callers, by verdict.
 
     :param node_kernel: the node's kernel.
     """
 
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
-        self.total: collections.Counter[Key] = collections.Counter()
-        self.counts_by_bucket: dict[int, collections.Counter[Key]] = {}
+        self.total: collections.Counter[CountKey] = collections.Counter()
+        self.counts_by_bucket: dict[int, collections.Counter[CountKey]] = {}
         self.requests_total = node_kernel.metrics.counter(
             "requests_total", "Ended requests by urgency and whether in target."
         )
 
     def start(self) -> None:
-        """Start to update the metrics."""
-        self.tasks.every(METRICS_S, self._write_metrics)
+        """Start the task that updates the metrics."""
+        self.tasks.every(METRICS_INTERVAL_S, self._update_metrics)
 
     def ended(
         self,
         request: requests.Request,
         outcome: slots.Outcome,
-        seen: progress.Progress,
+        answer_progress: progress.Progress,
     ) -> None:
-        """Count a request whose answer had begun.
+        """Count a request whose response had started.
 
         :param request: the request.
-        :param outcome: how it ended.
-        :param seen: when its bytes came.
+        :param outcome: the outcome of its response.
+        :param answer_progress: arrival times and number of the response's events.
         """
         match outcome:
             case slots.Outcome.OK:
-                met = _in_target(request, seen)
+                met = _in_target(request, answer_progress)
                 verdict = Verdict.MET if met else Verdict.LATE
             case slots.Outcome.CANCELLED:
                 verdict = Verdict.CANCELLED
@@ -79,20 +80,20 @@
         self._count(request, verdict)
 
     def refused(self, request: requests.Request, ran: bool) -> None:
-        """Count a request that got no answer.
+        """Count a request that received no response from an endpoint.
 
         :param request: the request.
         :param ran: whether an endpoint may have run it.
         """
         self._count(request, Verdict.FAILED if ran else Verdict.REFUSED)
 
-    def last_minute(self) -> collections.Counter[Key]:
-        """Return the counts of the last full minute."""
+    def last_minute(self) -> collections.Counter[CountKey]:
+        """Return the counts of the last minute, without the current bucket."""
         now = int(time.monotonic() // BUCKET_S)
-        counts: collections.Counter[Key] = collections.Counter()
-        for bucket, found in self.counts_by_bucket.items():
-            if now - BUCKETS < bucket < now:
-                counts += found
+        counts: collections.Counter[CountKey] = collections.Counter()
+        for bucket, bucket_counts in self.counts_by_bucket.items():
+            if now - BUCKET_COUNT < bucket < now:
+                counts += bucket_counts
         return counts
 
     def _count(self, request: requests.Request, verdict: Verdict) -> None:
@@ -102,28 +103,28 @@
         counts = self.counts_by_bucket.get(bucket)
         if counts is None:
             counts = self.counts_by_bucket[bucket] = collections.Counter()
-            for old in [
-                item for item in self.counts_by_bucket if item <= bucket - BUCKETS
+            for expired in [
+                item for item in self.counts_by_bucket if item <= bucket - BUCKET_COUNT
             ]:
-                del self.counts_by_bucket[old]
+                del self.counts_by_bucket[expired]
         counts[key] += 1
 
-    def _write_metrics(self) -> None:
+    def _update_metrics(self) -> None:
         for (urgency, verdict), count in self.total.items():
             labels = {"urgency": urgency, "verdict": verdict.value}
             self.requests_total.set(labels, count)
 
 
-def _in_target(request: requests.Request, seen: progress.Progress) -> bool:
-    """Return whether a whole answer met its caller's targets.
+def _in_target(request: requests.Request, answer_progress: progress.Progress) -> bool:
+    """Return whether a complete response met its caller's targets.
 
-    The first token counts from the request's arrival here, since the time in
-    a queue is what its caller notices most.
+    The time to the first token is measured from the request's arrival at this
+    VM, so that it includes the time in queues, which callers notice most.
     """
-    if seen.begun > request.first_token_deadline:
+    if answer_progress.begun > request.first_token_deadline:
         return False
-    gaps = seen.events - 1
+    gaps = answer_progress.events - 1
     if gaps < 1:
         return True
-    between_ms = (seen.last - seen.begun) * 1000 / gaps
+    between_ms = (answer_progress.last - answer_progress.begun) * 1000 / gaps
     return between_ms <= request.caller.between_tokens_ms
--- a/packages/mothworks/tests/test_attainment.py
+++ b/packages/mothworks/tests/test_attainment.py
@@ -1,4 +1,4 @@
-"""Attainment: what counts as met, and the sums over VMs."""
+"""Attainment: verdicts on requests, and the sums over VMs."""
 
 import time
 
@@ -22,12 +22,12 @@
     return attainment.Attainment(kernel.Kernel(builders.settings()))
 
 
-def seen(request, first_s, between_s, events=11):
-    made = progress.Progress(True, request.arrived)
-    made.begun = request.arrived + first_s
-    made.last = made.begun + between_s * (events - 1)
-    made.events = events
-    return made
+def make_progress(request, first_s, between_s, events=11):
+    answer_progress = progress.Progress(True, request.arrived)
+    answer_progress.begun = request.arrived + first_s
+    answer_progress.last = answer_progress.begun + between_s * (events - 1)
+    answer_progress.events = events
+    return answer_progress
 
 
 @pytest.mark.parametrize(
@@ -42,19 +42,19 @@
 )
 def test_verdicts(counts, first_s, between_s, outcome, verdict):
     request = builders.request()
-    counts.ended(request, outcome, seen(request, first_s, between_s))
+    counts.ended(request, outcome, make_progress(request, first_s, between_s))
     assert counts.total == {("urgent", verdict): 1}
 
 
-def test_only_the_last_full_minute_is_shown(counts, monkeypatch):
+def test_counts_cover_only_the_last_minute(counts, monkeypatch):
     request = builders.request()
     start = time.monotonic()
     for seconds in (0, 30, 60, 90):
-        monkeypatch.setattr(time, "monotonic", lambda at=seconds: start + at)
+        monkeypatch.setattr(time, "monotonic", lambda elapsed=seconds: start + elapsed)
         counts.refused(request, ran=False)
     monkeypatch.setattr(time, "monotonic", lambda: start + 100)
     assert counts.last_minute() == {("urgent", V.REFUSED): 2}
-    assert len(counts.counts_by_bucket) <= attainment.BUCKETS
+    assert len(counts.counts_by_bucket) <= attainment.BUCKET_COUNT
 
 
 def test_sums_over_vms_and_classes():
