--- a/packages/mothworks/tests/conftest.py
+++ b/packages/mothworks/tests/conftest.py
@@ -5,6 +5,6 @@
 
 @pytest.fixture
 def bed(tmp_path):
-    made = testbed.Testbed(tmp_path)
-    yield made
-    made.stop()
+    test_bed = testbed.Testbed(tmp_path)
+    yield test_bed
+    test_bed.stop()
--- a/packages/mothworks/tests/test_decisions.py
+++ b/packages/mothworks/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Traces of requests: bounded, and kept after the end."""
+"""Decision traces: bounded, and kept after a request's end."""
 
 import pytest
 
@@ -11,19 +11,19 @@
     return decisions.Decisions(kernel.Kernel(builders.settings()))
 
 
-def test_a_trace_is_found_while_it_runs_and_after_its_end(traces):
+def test_trace_is_found_while_its_request_runs_and_after_its_end(traces):
     traces.open(builders.request("r1"))
     traces.step("r1", "engine-1", "down")
     assert traces.find("r1").outcome == ""
     traces.close("r1", "refused: no_endpoint")
-    found = traces.find("r1")
-    assert found.outcome == "refused: no_endpoint"
-    assert [(step.endpoint, step.what) for step in found.steps] == [
+    ended = traces.find("r1")
+    assert ended.outcome == "refused: no_endpoint"
+    assert [(step.endpoint, step.what) for step in ended.steps] == [
         ("engine-1", "down")
     ]
 
 
-def test_memory_is_bounded(traces):
+def test_traces_and_steps_are_bounded(traces):
     for number in range(decisions.RECENT + 10):
         trace = traces.open(builders.request(f"r{number}"))
         for _ in range(decisions.MOST_STEPS + 5):
--- a/packages/mothworks/tests/test_openai_client.py
+++ b/packages/mothworks/tests/test_openai_client.py
@@ -1,6 +1,7 @@
-"""The official client works by changing only its base URL.
+"""OpenAI's official Python client works with only its base URL changed.
 
-The client uses blocking sockets, so it runs in threads beside the node.
+The client uses blocking sockets, so it runs in threads beside the node's event
+loop.
 """
 
 import gevent
@@ -16,12 +17,12 @@
 
 @pytest.fixture(scope="module")
 def node():
-    made = served.Served()
-    yield made
-    made.stop()
+    serving_node = served.Served()
+    yield serving_node
+    serving_node.stop()
 
 
-def client(node, key=builders.CALLER_KEY):
+def make_client(node, key=builders.CALLER_KEY):
     url = f"http://127.0.0.1:{node.port}/v1"
     return openai.OpenAI(base_url=url, api_key=key, max_retries=0)
 
@@ -31,23 +32,23 @@
 
 
 def complete(node, model="menu", key=builders.CALLER_KEY, **options):
-    made = client(node, key)
+    client = make_client(node, key)
     return in_thread(
-        lambda: made.chat.completions.create(
+        lambda: client.chat.completions.create(
             model=model, messages=MESSAGES, max_tokens=5, **options
         )
     )
 
 
-def test_whole_answer(node):
-    answer = complete(node)
-    assert len(answer.choices[0].message.content.split()) == 5
-    assert answer.usage.completion_tokens == 5
+def test_complete_response(node):
+    response = complete(node)
+    assert len(response.choices[0].message.content.split()) == 5
+    assert response.usage.completion_tokens == 5
 
 
-def test_streamed_answer_with_usage(node):
-    def read():
-        stream = client(node).chat.completions.create(
+def test_streamed_response_with_usage(node):
+    def read_stream():
+        stream = make_client(node).chat.completions.create(
             model="menu",
             messages=MESSAGES,
             max_tokens=5,
@@ -56,29 +57,29 @@
         )
         return list(stream)
 
-    chunks = in_thread(read)
+    chunks = in_thread(read_stream)
     texts = [chunk.choices[0].delta.content for chunk in chunks if chunk.choices]
     assert len(texts) == 5
     assert chunks[-1].usage.completion_tokens == 5
 
 
 def test_legacy_completion(node):
-    made = client(node)
-    answer = in_thread(
-        lambda: made.completions.create(model="menu", prompt="hi", max_tokens=2)
+    client = make_client(node)
+    response = in_thread(
+        lambda: client.completions.create(model="menu", prompt="hi", max_tokens=2)
     )
-    assert len(answer.choices[0].text.split()) == 2
+    assert len(response.choices[0].text.split()) == 2
 
 
 def test_models(node):
-    made = client(node)
-    assert [model.id for model in in_thread(made.models.list)] == ["menu"]
-    assert in_thread(lambda: made.models.retrieve("menu")).id == "menu"
+    client = make_client(node)
+    assert [model.id for model in in_thread(client.models.list)] == ["menu"]
+    assert in_thread(lambda: client.models.retrieve("menu")).id == "menu"
     with pytest.raises(openai.NotFoundError):
-        in_thread(lambda: made.models.retrieve("absent"))
+        in_thread(lambda: client.models.retrieve("absent"))
 
 
-def test_errors_become_the_clients_exceptions(node):
+def test_errors_raise_the_exceptions_of_the_client(node):
     with pytest.raises(openai.AuthenticationError) as raised:
         complete(node, key="wrong")
     assert raised.value.code == "invalid_api_key"
@@ -90,18 +91,18 @@
         complete(node, stream="yes")
 
 
-def test_a_stream_that_broke_off_raises():
-    # The engine dies mid-answer. A client that just sees the stream end
-    # would show the guest half a sentence as the whole answer.
+def test_interrupted_stream_raises():
+    # The engine fails in the middle of its response. Without an error event the
+    # client would take the truncated text for the complete response.
     event = b'data: {"id": "1", "choices": [], "created": 0, "model": "menu"}\n\n'
     engine = served.ScriptedEngine(lambda _: served.stream_reply(event))
     node = served.Served(engines=[engine])
     try:
-        made = client(node)
+        client = make_client(node)
         with pytest.raises(openai.APIError) as raised:
             in_thread(
                 lambda: list(
-                    made.chat.completions.create(
+                    client.chat.completions.create(
                         model="menu", messages=MESSAGES, stream=True
                     )
                 )
--- a/packages/mothworks/tests/test_row_filters.py
+++ b/packages/mothworks/tests/test_row_filters.py
@@ -1,4 +1,4 @@
-"""Conditions of ``where`` on each kind of field."""
+"""Conditions of ``where`` on each type of field."""
 
 import pytest
 
@@ -14,12 +14,12 @@
 )
 
 
-def keep(*conditions):
-    made = tuple(
+def filter_rows(*conditions):
+    parsed = tuple(
         statements.Condition(field, statements.Comparison(comparison), value)
         for field, comparison, value in conditions
     )
-    return row_filters.keep(ROWS, made)
+    return row_filters.keep(ROWS, parsed)
 
 
 @pytest.mark.parametrize(
@@ -37,13 +37,13 @@
         ([("endpoint", "~", "-2"), ("owner", "=", "vm-1")], []),
     ],
 )
-def test_conditions(conditions, expected):
-    assert [row.endpoint for row in keep(*conditions).unwrap()] == expected
+def test_rows_that_meet_the_conditions_are_returned(conditions, expected):
+    assert [row.endpoint for row in filter_rows(*conditions).unwrap()] == expected
 
 
 @pytest.mark.parametrize(
     "condition",
     [("memory_mb", "=", "big"), ("models", "<", "menu"), ("size", "=", "1")],
 )
-def test_wrong_conditions_are_refused(condition):
-    assert keep(condition).unwrap_err().status == 422
+def test_invalid_conditions_are_refused(condition):
+    assert filter_rows(condition).unwrap_err().status == 422
