--- a/packages/mothworks/src/mothworks/claiming.py
+++ b/packages/mothworks/src/mothworks/claiming.py
@@ -53,18 +53,18 @@
         #: Whether the claim may have been written although it failed.
         self.maybe_written = False
 
-    def find(self) -> DuplicateResult | None:
+    def find_duplicate(self) -> DuplicateResult | None:
         """Look for a duplicate, and wait for its outcome if it is running.
 
         :returns: None if there is none.
         """
         return self._interpret(self._request_decision(claim=False))
 
-    def take(self) -> result.Result[None, outcomes.Refusal]:
+    def acquire(self) -> result.Result[None, outcomes.Refusal]:
         """Claim the key; to be called right before the request is sent.
 
         :returns: an error if the request must not be sent; if a duplicate
-            claimed the key first, :meth:`wait` returns its outcome.
+            claimed the key first, :meth:`wait_for_winner` returns its outcome.
         """
         if self.acquired:
             return result.Ok(None)
@@ -84,11 +84,11 @@
             result.Ok(None) if self.request.repeatable else result.Err(_unavailable())
         )
 
-    def wait(self) -> DuplicateResult:
+    def wait_for_winner(self) -> DuplicateResult:
         """Wait for the outcome of the duplicate that claimed the key first."""
-        return self.find() or result.Err(_still_running())
+        return self.find_duplicate() or result.Err(_still_running())
 
-    def end(
+    def store_outcome(
         self,
         state: claim_records.State,
         answer: claim_records.StoredAnswer | None = None,
--- a/packages/mothworks/src/mothworks/claims.py
+++ b/packages/mothworks/src/mothworks/claims.py
@@ -72,7 +72,7 @@
         self.peers.handle(claim_messages.ActivityRequest, self._serve_activity)
         self.membership.on_change.append(self._drop_unowned_shards)
 
-    def open(self, request: requests.Request) -> claiming.Claim | None:
+    def new_claim(self, request: requests.Request) -> claiming.Claim | None:
         """Return a claim for a request, not yet acquired; None if it has no key.
 
         :param request: the request.
--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -79,7 +79,7 @@
         self.retries.add_request()
         self.demand.arrived(request.target)
         trace = self.decisions.open(request)
-        claim = self.claims.open(request)
+        claim = self.claims.new_claim(request)
         try:
             if claim is None:
                 started = self._try_endpoints(request, trace, watch, None)
@@ -105,26 +105,26 @@
         claim: claiming.Claim,
     ) -> result.Result[recorded.Running, outcomes.Refusal]:
         """Run a request with an idempotency key unless a copy runs or has run."""
-        previous = claim.find()
+        previous = claim.find_duplicate()
         if previous is not None:
             self.decisions.close(request.id, "resend")
             return previous.map(recorded.Replay)
         try:
             started = self._try_endpoints(request, trace, watch, claim)
         except BaseException:
-            claim.end(claim_records.State.UNKNOWN)
+            claim.store_outcome(claim_records.State.UNKNOWN)
             raise
         if claim.lost:
-            return claim.wait().map(recorded.Replay)
+            return claim.wait_for_winner().map(recorded.Replay)
         match started:
             case result.Ok(running_request):
                 return result.Ok(
                     recorded.Recorded(running_request, claim, self.claims.tasks)
                 )
             case result.Err(outcomes.Refusal(ran=outcomes.Ran.NO)):
-                claim.end(claim_records.State.RELEASED)
+                claim.store_outcome(claim_records.State.RELEASED)
             case result.Err(_):
-                claim.end(claim_records.State.UNKNOWN)
+                claim.store_outcome(claim_records.State.UNKNOWN)
         return started
 
     def _try_endpoints(
@@ -259,7 +259,7 @@
         if watch is not None and (claim or not request.repeatable):
             watch.stop()
         try:
-            claimed = claim.take() if claim else result.Ok(None)
+            claimed = claim.acquire() if claim else result.Ok(None)
             sent = claimed.map_err(attempts.before_send).and_then(
                 lambda _: self._send(request, grant)
             )
--- a/packages/mothworks/src/mothworks/recorded.py
+++ b/packages/mothworks/src/mothworks/recorded.py
@@ -102,11 +102,11 @@
             pass
         self.running.close()
         if not self.complete:
-            self.claim.end(claim_records.State.UNKNOWN)
+            self.claim.store_outcome(claim_records.State.UNKNOWN)
         elif self.size > MAX_STORED_BYTES:
-            self.claim.end(claim_records.State.DONE)
+            self.claim.store_outcome(claim_records.State.DONE)
         else:
             body = b"".join(self.chunks)
             headers = tuple(self.answer.headers)
             answer = claim_records.StoredAnswer(self.answer.status, headers, body)
-            self.claim.end(claim_records.State.DONE, answer)
+            self.claim.store_outcome(claim_records.State.DONE, answer)
