--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -186,9 +186,9 @@
         self.release(running_request.grant, end)
         match outcome:
             case slots.Outcome.OK:
-                self.suspects.ran_well(running_request.request)
+                self.suspects.clear(running_request.request)
             case slots.Outcome.CRASHED:
-                self.suspects.report(
+                self.suspects.report_broken(
                     running_request.request, running_request.grant.endpoint
                 )
 
@@ -220,9 +220,9 @@
         if will_retry:
             # A poison request would crash the next endpoint too, so a retry waits
             # for the check of the endpoint.
-            self.suspects.broke(request, endpoint)
+            self.suspects.report_broken_and_wait(request, endpoint)
         else:
-            self.suspects.report(request, endpoint)
+            self.suspects.report_broken(request, endpoint)
 
     def _trace_closed(self, request: requests.Request, trace: decisions.Trace) -> None:
         for name in self.placement.candidates(request.target):
--- a/packages/mothworks/src/mothworks/resumption.py
+++ b/packages/mothworks/src/mothworks/resumption.py
@@ -45,7 +45,7 @@
             return False
         # Wait for the check of the endpoint first: a poison request would crash the
         # next endpoint too.
-        self.dispatch.suspects.broke(request, broken.grant.endpoint)
+        self.dispatch.suspects.report_broken_and_wait(request, broken.grant.endpoint)
         acquired = self.dispatch.suspects.check(request).and_then(
             lambda exclusive: self.dispatch.acquire(request, candidates, exclusive)
         )
@@ -68,7 +68,7 @@
             outcome = attempts.from_send_failure(resumed.err_value).outcome
             self.dispatch.release(grant, slots.End(outcome))
             if outcome is slots.Outcome.CRASHED:
-                self.dispatch.suspects.report(broken.request, grant.endpoint)
+                self.dispatch.suspects.report_broken(broken.request, grant.endpoint)
             return False
         self.dispatch.metrics.repeated("resumed")
         log.info("resumed at {} after {} events", grant.endpoint.name, offset)
--- a/packages/mothworks/src/mothworks/suspects.py
+++ b/packages/mothworks/src/mothworks/suspects.py
@@ -94,7 +94,9 @@
         message = "this request crashed the endpoints that ran it and is quarantined"
         return result.Err(outcomes.invalid(message, "quarantined", 422))
 
-    def broke(self, request: requests.Request, endpoint: catalogue.Endpoint) -> None:
+    def report_broken_and_wait(
+        self, request: requests.Request, endpoint: catalogue.Endpoint
+    ) -> None:
         """Report a connection that broke, and wait for the verdict.
 
         :param request: the request that it carried.
@@ -112,15 +114,17 @@
         if owned or self.peers.call(owner.name, broken, VERDICT_TIMEOUT_S).is_err():
             self._judge(broken)
 
-    def report(self, request: requests.Request, endpoint: catalogue.Endpoint) -> None:
+    def report_broken(
+        self, request: requests.Request, endpoint: catalogue.Endpoint
+    ) -> None:
         """Report a connection that broke, without waiting.
 
         :param request: the request that it carried.
         :param endpoint: where it ran.
         """
-        self.tasks.spawn(self.broke, request, endpoint)
+        self.tasks.spawn(self.report_broken_and_wait, request, endpoint)
 
-    def ran_well(self, request: requests.Request) -> None:
+    def clear(self, request: requests.Request) -> None:
         """Clear a suspect that completed, unless it is quarantined.
 
         :param request: the request.
--- a/packages/mothworks/tests/test_suspects.py
+++ b/packages/mothworks/tests/test_suspects.py
@@ -27,7 +27,10 @@
 def break_together(part, *requests, endpoint_name="engine-1"):
     endpoint = builders.endpoint(endpoint_name)
     gevent.joinall(
-        [gevent.spawn(part.broke, request, endpoint) for request in requests]
+        [
+            gevent.spawn(part.report_broken_and_wait, request, endpoint)
+            for request in requests
+        ]
     )
 
 
@@ -39,7 +42,7 @@
     poison, innocent = make_request("poison"), make_request("innocent")
     break_together(part, poison, innocent)
     assert part.check(poison).unwrap() and part.check(innocent).unwrap()
-    part.ran_well(innocent)
+    part.clear(innocent)
     assert not part.check(innocent).unwrap()
     assert [suspect.target for suspect in part.listed()] == ["menu"]
 
