--- a/packages/mothworks/src/mothworks/recorded.py
+++ b/packages/mothworks/src/mothworks/answer_recording.py
@@ -14,7 +14,7 @@
 MAX_STORED_BYTES = 32 << 10
 
 
-class Running(typing.Protocol):
+class RunningRequest(typing.Protocol):
     """A request whose answer has begun, as dispatch returns it."""
 
     answer: endpoints.Answer
@@ -29,7 +29,7 @@
 
 
 class Replay:
-    """A stored answer with the interface of :class:`Running`.
+    """A stored answer with the interface of :class:`RunningRequest`.
 
     :param stored: the stored answer.
     """
@@ -47,8 +47,8 @@
         """Do nothing: there is no slot or connection to release."""
 
 
-class Recorded:
-    """A running request under a claim, with the interface of :class:`Running`.
+class RecordedRequest:
+    """A running request under a claim, with the interface of :class:`RunningRequest`.
 
     It is its own iterator: when a caller disconnects, the iterator is closed,
     and the rest of the answer must still be read then.
@@ -59,7 +59,7 @@
     """
 
     def __init__(
-        self, running: Running, claim: claiming.Claim, node_tasks: tasks.Tasks
+        self, running: RunningRequest, claim: claiming.Claim, node_tasks: tasks.Tasks
     ):
         self.running = running
         self.answer = running.answer
@@ -72,7 +72,7 @@
         self.closed = False
         self.unread = self._read()
 
-    def __iter__(self) -> "Recorded":
+    def __iter__(self) -> "RecordedRequest":
         """Return the body's iterator."""
         return self
 
--- a/packages/mothworks/src/mothworks/caller_protocol.py
+++ b/packages/mothworks/src/mothworks/caller_protocol.py
@@ -5,6 +5,7 @@
 import result
 
 from mothworks import (
+    answer_recording,
     calls,
     catalogue,
     configuration,
@@ -13,7 +14,6 @@
     dispatch,
     kernel,
     outcomes,
-    recorded,
     requests,
 )
 
@@ -60,8 +60,8 @@
         raise NotImplementedError
 
     def response_body(
-        self, running: recorded.Running
-    ) -> collections.abc.Iterable[bytes] | recorded.Running:
+        self, running: answer_recording.RunningRequest
+    ) -> collections.abc.Iterable[bytes] | answer_recording.RunningRequest:
         """Return the body of the response to the caller.
 
         :param running: the running request.
--- a/packages/mothworks/src/mothworks/deferred_runs.py
+++ b/packages/mothworks/src/mothworks/deferred_runs.py
@@ -7,13 +7,13 @@
 import result
 
 from mothworks import (
+    answer_recording,
     calls,
     configuration,
     deferred_records,
     dispatch,
     objects,
     outcomes,
-    recorded,
 )
 
 log = logbook.Logger("deferred")
@@ -117,7 +117,7 @@
 
 
 def _read_answer(
-    work: deferred_records.Work, running: recorded.Running
+    work: deferred_records.Work, running: answer_recording.RunningRequest
 ) -> deferred_records.Finished:
     chunks, size = [], 0
     for chunk in running:
--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -11,6 +11,7 @@
 import result
 
 from mothworks import (
+    answer_recording,
     attainment,
     attempts,
     caller_watch,
@@ -28,12 +29,11 @@
     path_metrics,
     placement,
     plugins,
-    recorded,
     requests,
     resumption,
     retries,
     routing,
-    running,
+    running_request,
     slots,
     suspects,
 )
@@ -68,7 +68,7 @@
 
     def begin(
         self, request: requests.Request, watch: caller_watch.Watch | None = None
-    ) -> result.Result[recorded.Running, outcomes.Refusal]:
+    ) -> result.Result[answer_recording.RunningRequest, outcomes.Refusal]:
         """Send a request and wait for the first bytes of its response.
 
         :param request: the request.
@@ -93,7 +93,7 @@
                 self.decisions.close(request.id, f"refused: {refusal.code}")
                 ran = refusal.ran is outcomes.Ran.UNKNOWN
                 self.attainment.refused(request, ran)
-            case result.Ok(recorded.Replay()):
+            case result.Ok(answer_recording.Replay()):
                 self.decisions.close(request.id, "answered from its claim")
         return started
 
@@ -103,23 +103,23 @@
         trace: decisions.Trace,
         watch: caller_watch.Watch | None,
         claim: claiming.Claim,
-    ) -> result.Result[recorded.Running, outcomes.Refusal]:
+    ) -> result.Result[answer_recording.RunningRequest, outcomes.Refusal]:
         """Run a request with an idempotency key unless a copy runs or has run."""
         previous = claim.find_duplicate()
         if previous is not None:
             self.decisions.close(request.id, "resend")
-            return previous.map(recorded.Replay)
+            return previous.map(answer_recording.Replay)
         try:
             started = self._try_endpoints(request, trace, watch, claim)
         except BaseException:
             claim.store_outcome(claim_records.State.UNKNOWN)
             raise
         if claim.lost:
-            return claim.wait_for_winner().map(recorded.Replay)
+            return claim.wait_for_winner().map(answer_recording.Replay)
         match started:
-            case result.Ok(running_request):
+            case result.Ok(running):
                 return result.Ok(
-                    recorded.Recorded(running_request, claim, self.claims.tasks)
+                    answer_recording.RecordedRequest(running, claim, self.claims.tasks)
                 )
             case result.Err(outcomes.Refusal(ran=outcomes.Ran.NO)):
                 claim.store_outcome(claim_records.State.RELEASED)
@@ -133,7 +133,7 @@
         trace: decisions.Trace,
         watch: caller_watch.Watch | None,
         claim: claiming.Claim | None,
-    ) -> result.Result[running.Running, outcomes.Refusal]:
+    ) -> result.Result[running_request.RunningRequest, outcomes.Refusal]:
         tried: set[str] = set()
         refusal = attempts.no_endpoint(request)
         while len(tried) < MAX_ATTEMPTS:
@@ -168,42 +168,38 @@
             self.metrics.repeated("retried")
         return result.Err(refusal)
 
-    def resume(self, broken: running.Running) -> bool:
+    def resume(self, broken: running_request.RunningRequest) -> bool:
         """Continue a broken stream at another endpoint; see :mod:`resumption`."""
         return self.resumption.resume(broken)
 
     def release_endpoint(
-        self, running_request: running.Running, outcome: slots.Outcome
+        self, running: running_request.RunningRequest, outcome: slots.Outcome
     ) -> None:
         """Release the slot of a request at its current endpoint.
 
-        :param running_request: the request.
+        :param running: the request.
         :param outcome: how the request ended there.
         """
-        self.demand.ended(running_request.request.target, running_request.progress.sent)
-        end = running_request.progress.summary(outcome)
-        self.metrics.ended(running_request.request.caller.urgency, end)
-        self.release(running_request.grant, end)
+        self.demand.ended(running.request.target, running.progress.sent)
+        end = running.progress.summary(outcome)
+        self.metrics.ended(running.request.caller.urgency, end)
+        self.release(running.grant, end)
         match outcome:
             case slots.Outcome.OK:
-                self.suspects.clear(running_request.request)
+                self.suspects.clear(running.request)
             case slots.Outcome.CRASHED:
-                self.suspects.report_broken(
-                    running_request.request, running_request.grant.endpoint
-                )
+                self.suspects.report_broken(running.request, running.grant.endpoint)
 
-    def finish(self, running_request: running.Running) -> None:
+    def finish(self, running: running_request.RunningRequest) -> None:
         """Record the end of a request whose response had begun.
 
-        :param running_request: the request.
+        :param running: the request.
         """
-        request = running_request.request
-        waited_s = running_request.progress.begun - request.arrived
+        request = running.request
+        waited_s = running.progress.begun - request.arrived
         self.metrics.answered(request.caller.urgency, waited_s)
-        self.attainment.ended(
-            request, running_request.outcome, running_request.progress
-        )
-        self.decisions.close(request.id, running_request.outcome.name.lower())
+        self.attainment.ended(request, running.outcome, running.progress)
+        self.decisions.close(request.id, running.outcome.name.lower())
 
     def _report_crash(
         self,
@@ -247,7 +243,7 @@
         candidates: list[catalogue.Endpoint],
         watch: caller_watch.Watch | None,
         claim: claiming.Claim | None,
-    ) -> result.Result[running.Running, attempts.FailedAttempt]:
+    ) -> result.Result[running_request.RunningRequest, attempts.FailedAttempt]:
         acquired = self.suspects.check(request).and_then(
             lambda exclusive: self.acquire(request, candidates, exclusive)
         )
@@ -293,7 +289,7 @@
 
     def _send(
         self, request: requests.Request, grant: slots.Grant
-    ) -> result.Result[running.Running, attempts.FailedAttempt]:
+    ) -> result.Result[running_request.RunningRequest, attempts.FailedAttempt]:
         adapter = self.health.adapters.get(grant.endpoint.kind)
         sent = time.monotonic()
         match adapter.send(grant.endpoint, request):
@@ -301,7 +297,7 @@
                 pass
             case result.Err(failure):
                 return result.Err(attempts.from_send_failure(failure))
-        started = running.Running(request, grant, answer, self, sent)
+        started = running_request.RunningRequest(request, grant, answer, self, sent)
         try:
             started.read_start()
         except OSError as error:
--- a/packages/mothworks/src/mothworks/openai_calls.py
+++ b/packages/mothworks/src/mothworks/openai_calls.py
@@ -7,12 +7,12 @@
 import result
 
 from mothworks import (
+    answer_recording,
     caller_protocol,
     calls,
     catalogue,
     outcomes,
     plugins,
-    recorded,
     requests,
 )
 
@@ -78,8 +78,8 @@
         return calls.json_reply(_model_entry(name))
 
     def response_body(
-        self, running: recorded.Running
-    ) -> collections.abc.Iterable[bytes] | recorded.Running:
+        self, running: answer_recording.RunningRequest
+    ) -> collections.abc.Iterable[bytes] | answer_recording.RunningRequest:
         """Return the body; an interrupted stream ends with an error event."""
         return _ErrorTerminatedStream(running) if running.stream else running
 
@@ -167,7 +167,7 @@
     :param running: the running request.
     """
 
-    def __init__(self, running: recorded.Running):
+    def __init__(self, running: answer_recording.RunningRequest):
         self.running = running
         self.close = running.close
 
--- a/packages/mothworks/src/mothworks/resumption.py
+++ b/packages/mothworks/src/mothworks/resumption.py
@@ -10,7 +10,7 @@
 import logbook
 import result
 
-from mothworks import attempts, running, slots
+from mothworks import attempts, running_request, slots
 
 if typing.TYPE_CHECKING:
     from mothworks import dispatch
@@ -27,7 +27,7 @@
     def __init__(self, dispatch: "dispatch.Dispatch"):
         self.dispatch = dispatch
 
-    def resume(self, broken: running.Running) -> bool:
+    def resume(self, broken: running_request.RunningRequest) -> bool:
         """Continue a broken stream at another endpoint, if one can.
 
         :param broken: the request, whose slot was released.
@@ -55,7 +55,9 @@
             case _:
                 return False
 
-    def _resume_at(self, broken: running.Running, grant: slots.Grant) -> bool:
+    def _resume_at(
+        self, broken: running_request.RunningRequest, grant: slots.Grant
+    ) -> bool:
         adapter = self.dispatch.health.adapters.get(grant.endpoint.kind)
         sent = time.monotonic()
         offset = broken.progress.events
--- a/packages/mothworks/src/mothworks/running.py
+++ b/packages/mothworks/src/mothworks/running_request.py
@@ -17,19 +17,19 @@
 class Dispatch(typing.Protocol):
     """Interface of dispatch that a running request uses."""
 
-    def resume(self, running_request: "Running") -> bool:
+    def resume(self, running: "RunningRequest") -> bool:
         """Attach another endpoint that continues the response, if one can."""
 
     def release_endpoint(
-        self, running_request: "Running", outcome: slots.Outcome
+        self, running: "RunningRequest", outcome: slots.Outcome
     ) -> None:
         """Release the slot at the current endpoint."""
 
-    def finish(self, running_request: "Running") -> None:
+    def finish(self, running: "RunningRequest") -> None:
         """Record the end of the request."""
 
 
-class Running:
+class RunningRequest:
     """A request whose response has begun.
 
     Iterating yields the response body. :meth:`close` must always be called; it
