--- a/packages/mothworks/src/mothworks/caller_protocol.py
+++ b/packages/mothworks/src/mothworks/caller_protocol.py
@@ -77,7 +77,7 @@
         decoded = call.body().and_then(
             lambda body: self.decode_request(call, caller, body)
         )
-        if decoded.is_ok() and deferred_calls.wanted(call):
+        if decoded.is_ok() and deferred_calls.is_requested(call):
             return deferred_calls.accept(self.deferred, decoded.ok_value)
         started = decoded.and_then(
             lambda request: self.dispatch.begin(request, call.start_watch())
--- a/packages/mothworks/src/mothworks/deferred_calls.py
+++ b/packages/mothworks/src/mothworks/deferred_calls.py
@@ -49,7 +49,7 @@
                 return calls.refuse(refusal)
 
 
-def wanted(call: calls.Call) -> bool:
+def is_requested(call: calls.Call) -> bool:
     """Return whether a call requests deferral, by its ``Prefer`` header.
 
     :param call: the call.
--- a/packages/mothworks/src/mothworks/health.py
+++ b/packages/mothworks/src/mothworks/health.py
@@ -66,7 +66,7 @@
         #: Resident models and adapters that are about to be unloaded.
         self.withheld_by_endpoint: dict[str, frozenset[str]] = {}
         #: Functions called without arguments after :meth:`owned` changed.
-        self.on_owned: list = []
+        self.on_owned_changed: list = []
         self.configuration.on_change.append(self.update_owned)
         self.membership.on_change.append(self.update_owned)
 
@@ -97,7 +97,7 @@
         if report is not None:
             self._publish(name, report)
 
-    def refresh(self, name: str) -> bool:
+    def report_now(self, name: str) -> bool:
         """Fetch an owned endpoint's report now and publish its state.
 
         :param name: an owned endpoint.
@@ -132,7 +132,7 @@
             self.task_by_endpoint[name] = self.tasks.spawn(self._poll, name)
             self._record_ownership(name, "took ownership")
         if owned != previously_owned:
-            for notify in self.on_owned:
+            for notify in self.on_owned_changed:
                 notify()
 
     def _record_ownership(self, name: str, what: str) -> None:
--- a/packages/mothworks/src/mothworks/local_facts.py
+++ b/packages/mothworks/src/mothworks/local_facts.py
@@ -54,13 +54,13 @@
         """Return queued requests of a request ID or model; of all where empty."""
         return [
             row
-            for row in slot_rows.waiting(self.slots)
+            for row in slot_rows.queued_rows(self.slots)
             if argument in ("", row.request, row.model)
         ]
 
     def _batch_rows(self, target: str) -> list[row_classes.BatchRow]:
         """Return batches and queues of a model's endpoints; all where empty."""
-        rows = slot_rows.running(self.slots)
+        rows = slot_rows.batch_rows(self.slots)
         if not target:
             return rows
         names = frozenset(self.placement.candidates(target))
--- a/packages/mothworks/src/mothworks/offering.py
+++ b/packages/mothworks/src/mothworks/offering.py
@@ -75,7 +75,7 @@
         The last periodic report may still list a model that was just
         unloaded; requests routed by it would be refused.
         """
-        refreshed = self.health.refresh(self.endpoint)
+        refreshed = self.health.report_now(self.endpoint)
         if refreshed and self.has_withheld():
             self.slots.withhold(self.endpoint, frozenset())
 
@@ -90,7 +90,7 @@
         return frozenset([resident.name, *adapter_names])
 
     def _running(self, names: frozenset[str]) -> frozenset[str]:
-        running = [self.slots.running(self.endpoint, name) for name in names]
+        running = [self.slots.running_requests(self.endpoint, name) for name in names]
         return frozenset().union(*running)
 
 
--- a/packages/mothworks/src/mothworks/orders.py
+++ b/packages/mothworks/src/mothworks/orders.py
@@ -53,7 +53,7 @@
             "moves_total", "Orders carried out, by kind and outcome."
         )
         self.planner_name = ""
-        self.health.on_owned.append(self.update_tasks)
+        self.health.on_owned_changed.append(self.update_tasks)
         self.membership.on_change.append(self._update_planner)
         self.peers.handle(move_messages.Move, self._receive)
 
--- a/packages/mothworks/src/mothworks/slot_owner.py
+++ b/packages/mothworks/src/mothworks/slot_owner.py
@@ -63,7 +63,7 @@
         self.peers.handle(slot_messages.SlotRequest, self._serve_request)
         self.peers.handle(slot_messages.SlotRelease, self._serve_release)
         self.peers.handle(slot_messages.UnknownSlots, self._serve_unknown)
-        self.health.on_owned.append(self._hand_over)
+        self.health.on_owned_changed.append(self._hand_over)
         self.membership.on_change.append(self._release_dead_entries)
 
     def start(self) -> None:
@@ -143,7 +143,7 @@
             batch.pause()
         batch.release(key, message.first_token_ms)
 
-    def running(self, endpoint: str, target: str) -> frozenset[str]:
+    def running_requests(self, endpoint: str, target: str) -> frozenset[str]:
         """Return the requests in flight for a target at an owned endpoint.
 
         :param endpoint: the endpoint's name.
--- a/packages/mothworks/src/mothworks/slot_rows.py
+++ b/packages/mothworks/src/mothworks/slot_rows.py
@@ -5,19 +5,19 @@
 from mothworks import batches, catalogue, queues, row_classes, slot_owner
 
 
-def waiting(owner: slot_owner.SlotOwner) -> list[row_classes.WaitingRow]:
+def queued_rows(owner: slot_owner.SlotOwner) -> list[row_classes.WaitingRow]:
     """Return the queued requests of a VM's endpoints, in order of service.
 
     :param owner: the VM's slot owner.
     """
     return [
-        _waiting(owner.name, endpoint, batch, position, item)
+        _queued_row(owner.name, endpoint, batch, position, item)
         for endpoint, batch in sorted(owner.batch_by_endpoint.items())
         for position, item in enumerate(batch.queue.ordered(), start=1)
     ]
 
 
-def running(owner: slot_owner.SlotOwner) -> list[row_classes.BatchRow]:
+def batch_rows(owner: slot_owner.SlotOwner) -> list[row_classes.BatchRow]:
     """Return one row for each endpoint whose slots a VM tracks.
 
     :param owner: the VM's slot owner.
@@ -38,7 +38,7 @@
     ]
 
 
-def _waiting(
+def _queued_row(
     owner: str,
     endpoint: str,
     batch: batches.Batch,
--- a/packages/mothworks/src/mothworks/slots.py
+++ b/packages/mothworks/src/mothworks/slots.py
@@ -138,9 +138,12 @@
             )
             self._send_release(reservation, message)
 
-    def running(self, endpoint: str, target: str) -> frozenset[str]:
-        """Return the requests in flight; see :meth:`slot_owner.SlotOwner.running`."""
-        return self.owner.running(endpoint, target)
+    def running_requests(self, endpoint: str, target: str) -> frozenset[str]:
+        """Return the requests in flight.
+
+        See :meth:`slot_owner.SlotOwner.running_requests`.
+        """
+        return self.owner.running_requests(endpoint, target)
 
     def withhold(self, endpoint: str, models: frozenset[str]) -> None:
         """Grant no slots for some models; see :meth:`slot_owner.SlotOwner.withhold`."""
--- a/packages/mothworks/tests/test_callers.py
+++ b/packages/mothworks/tests/test_callers.py
@@ -274,9 +274,9 @@
     gate.reached.wait()
     second.sendall(served.chat(stream=True, max_tokens=99))
     part = node.part(slot_owner.SlotOwner)
-    processes.wait_until(lambda: len(slot_rows.waiting(part)) == 1)
+    processes.wait_until(lambda: len(slot_rows.queued_rows(part)) == 1)
     second.close()
-    processes.wait_until(lambda: len(slot_rows.waiting(part)) == 0)
+    processes.wait_until(lambda: len(slot_rows.queued_rows(part)) == 0)
     gate.opened.set()
     assert served.read_answer(first).events[-1] == b"data: [DONE]"
     assert len(node.engines[0].runs) == 1
--- a/packages/mothworks/tests/test_orders.py
+++ b/packages/mothworks/tests/test_orders.py
@@ -34,7 +34,7 @@
     part.configuration.index = catalogue.Index(declared)
     part.health.adapters.get.return_value = world.adapter
     part.health.withheld_by_endpoint = {"engine-1": frozenset(["menu"])}
-    part.slots.running.return_value = frozenset()
+    part.slots.running_requests.return_value = frozenset()
     part.store = ledger_store.LedgerStore(world.api, patience_s=0.0)
     stub_by_class = {
         configuration.Configuration: part.configuration,
--- a/packages/mothworks/tests/test_slots.py
+++ b/packages/mothworks/tests/test_slots.py
@@ -321,7 +321,7 @@
     endpoint_owner.request("bulk", BULK, target_ms=500)
     endpoint_owner.request("late", target_ms=900)
     endpoint_owner.request("soon", target_ms=400)
-    rows: list[row_classes.WaitingRow] = slot_rows.waiting(owner)
+    rows: list[row_classes.WaitingRow] = slot_rows.queued_rows(owner)
     assert [(row.request, row.position) for row in rows] == [
         ("soon", 1),
         ("late", 2),
