--- a/packages/mothworks/src/mothworks/attainment.py
+++ b/packages/mothworks/src/mothworks/attainment.py
@@ -61,7 +61,7 @@
         self,
         request: requests.Request,
         outcome: slots.Outcome,
-        answer_progress: progress.Progress,
+        answer_progress: progress.AnswerProgress,
     ) -> None:
         """Count a request whose response had started.
 
@@ -115,16 +115,22 @@
             self.requests_total.set(labels, count)
 
 
-def _in_target(request: requests.Request, answer_progress: progress.Progress) -> bool:
+def _in_target(
+    request: requests.Request, answer_progress: progress.AnswerProgress
+) -> bool:
     """Return whether a complete response met its caller's targets.
 
     The time to the first token is measured from the request's arrival at this
     VM, so that it includes the time in queues, which callers notice most.
     """
-    if answer_progress.begun > request.first_token_deadline:
+    if answer_progress.caller_first_token_at > request.first_token_deadline:
         return False
-    gaps = answer_progress.events - 1
+    gaps = answer_progress.event_count - 1
     if gaps < 1:
         return True
-    between_ms = (answer_progress.last - answer_progress.begun) * 1000 / gaps
+    between_ms = (
+        (answer_progress.last_token_at - answer_progress.caller_first_token_at)
+        * 1000
+        / gaps
+    )
     return between_ms <= request.caller.between_tokens_ms
--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -180,7 +180,7 @@
         :param running: the request.
         :param outcome: how the request ended there.
         """
-        self.demand.ended(running.request.target, running.progress.sent)
+        self.demand.ended(running.request.target, running.progress.sent_at)
         end = running.progress.summary(outcome)
         self.metrics.ended(running.request.caller.urgency, end)
         self.release(running.grant, end)
@@ -196,7 +196,7 @@
         :param running: the request.
         """
         request = running.request
-        waited_s = running.progress.begun - request.arrived
+        waited_s = running.progress.caller_first_token_at - request.arrived
         self.metrics.answered(request.caller.urgency, waited_s)
         self.attainment.ended(request, running.outcome, running.progress)
         self.decisions.close(request.id, running.outcome.name.lower())
@@ -260,10 +260,10 @@
                 lambda _: self._send(request, grant)
             )
         except BaseException:
-            self.release(grant, slots.End(slots.Outcome.CANCELLED))
+            self.release(grant, slots.RequestEnd(slots.Outcome.CANCELLED))
             raise
         if sent.is_err():
-            self.release(grant, slots.End(sent.err_value.outcome))
+            self.release(grant, slots.RequestEnd(sent.err_value.outcome))
         name = grant.endpoint.name
         return sent.map_err(lambda failed: attrs.evolve(failed, endpoint=name))
 
@@ -291,13 +291,13 @@
         self, request: requests.Request, grant: slots.Grant
     ) -> result.Result[running_request.RunningRequest, attempts.FailedAttempt]:
         adapter = self.health.adapters.get(grant.endpoint.kind)
-        sent = time.monotonic()
+        sent_at = time.monotonic()
         match adapter.send(grant.endpoint, request):
             case result.Ok(answer):
                 pass
             case result.Err(failure):
                 return result.Err(attempts.from_send_failure(failure))
-        started = running_request.RunningRequest(request, grant, answer, self, sent)
+        started = running_request.RunningRequest(request, grant, answer, self, sent_at)
         try:
             started.read_start()
         except OSError as error:
@@ -310,7 +310,7 @@
             raise
         return result.Ok(started)
 
-    def release(self, grant: slots.Grant, end: slots.End) -> None:
+    def release(self, grant: slots.Grant, end: slots.RequestEnd) -> None:
         """Release a slot.
 
         :param grant: the grant that :meth:`acquire` returned.
--- a/packages/mothworks/src/mothworks/path_metrics.py
+++ b/packages/mothworks/src/mothworks/path_metrics.py
@@ -61,7 +61,7 @@
         if waited_s > 0:
             self.first_token_seconds.observe({"urgency": urgency.value}, waited_s)
 
-    def ended(self, urgency: catalogue.Urgency, end: slots.End) -> None:
+    def ended(self, urgency: catalogue.Urgency, end: slots.RequestEnd) -> None:
         """Record the end of an endpoint's response.
 
         :param urgency: the caller's urgency class.
--- a/packages/mothworks/src/mothworks/progress.py
+++ b/packages/mothworks/src/mothworks/progress.py
@@ -17,22 +17,22 @@
 DONE = b"data: [DONE]\n\n"
 
 
-class Progress:
+class AnswerProgress:
     """The received part of one response.
 
     :param stream: whether the response is a stream of events.
-    :param sent: when the request was sent, monotonic seconds.
+    :param sent_at: when the request was sent, monotonic seconds.
     """
 
-    def __init__(self, stream: bool, sent: float):
+    def __init__(self, stream: bool, sent_at: float):
         self.stream = stream
-        self.sent = sent
-        self.first = 0.0
-        self.last = 0.0
+        self.sent_at = sent_at
+        self.first_token_at = 0.0
+        self.last_token_at = 0.0
         #: When the first bytes arrived, before any resumption; monotonic seconds.
-        self.begun = 0.0
+        self.caller_first_token_at = 0.0
         #: Number of complete events forwarded, without ``[DONE]``.
-        self.events = 0
+        self.event_count = 0
         #: Whether ``[DONE]`` has arrived.
         self.done = False
         self._partial_event = b""
@@ -45,10 +45,12 @@
         :returns: complete events of a stream; otherwise all bytes.
         :raises ConnectionAbortedError: an event exceeds :data:`MAX_EVENT_BYTES`.
         """
-        self.last = time.monotonic()
-        if not self.first:
-            self.first = self.last
-            self.begun = self.begun or self.last
+        self.last_token_at = time.monotonic()
+        if not self.first_token_at:
+            self.first_token_at = self.last_token_at
+            self.caller_first_token_at = (
+                self.caller_first_token_at or self.last_token_at
+            )
         if not self.stream:
             return data
         if self._partial_event:
@@ -61,34 +63,36 @@
             data = data[:end]
             if len(self._partial_event) > MAX_EVENT_BYTES:
                 raise ConnectionAbortedError("an event of the stream is too long")
-        self.events += data.count(EVENT_END)
+        self.event_count += data.count(EVENT_END)
         if data.endswith(DONE):
             self.done = True
-            self.events -= 1
+            self.event_count -= 1
         return data
 
-    def resume(self, sent: float) -> None:
-        """Restart measuring for a response that continues after :attr:`events`.
+    def resume(self, sent_at: float) -> None:
+        """Restart measuring for a response that continues after :attr:`event_count`.
 
-        :param sent: when the request was sent again, monotonic seconds.
+        :param sent_at: when the request was sent again, monotonic seconds.
         """
         self._partial_event = b""
-        self._events_at_resumption = self.events
-        self.sent = sent
-        self.first = 0.0
+        self._events_at_resumption = self.event_count
+        self.sent_at = sent_at
+        self.first_token_at = 0.0
 
     def is_complete(self) -> bool:
         """Return whether a response that ended here is complete."""
         return self.done or not self.stream
 
-    def summary(self, outcome: slots.Outcome) -> slots.End:
+    def summary(self, outcome: slots.Outcome) -> slots.RequestEnd:
         """Return the measurements reported to the endpoint's owner.
 
         :param outcome: how the request ended.
         """
-        if not self.first:
-            return slots.End(outcome)
-        first_ms = (self.first - self.sent) * 1000
-        tokens = self.events - self._events_at_resumption
-        between_ms = (self.last - self.first) * 1000 / max(1, tokens - 1)
-        return slots.End(outcome, first_ms, between_ms, tokens)
+        if not self.first_token_at:
+            return slots.RequestEnd(outcome)
+        first_ms = (self.first_token_at - self.sent_at) * 1000
+        tokens = self.event_count - self._events_at_resumption
+        between_ms = (
+            (self.last_token_at - self.first_token_at) * 1000 / max(1, tokens - 1)
+        )
+        return slots.RequestEnd(outcome, first_ms, between_ms, tokens)
--- a/packages/mothworks/src/mothworks/resumption.py
+++ b/packages/mothworks/src/mothworks/resumption.py
@@ -59,20 +59,20 @@
         self, broken: running_request.RunningRequest, grant: slots.Grant
     ) -> bool:
         adapter = self.dispatch.health.adapters.get(grant.endpoint.kind)
-        sent = time.monotonic()
-        offset = broken.progress.events
+        sent_at = time.monotonic()
+        offset = broken.progress.event_count
         try:
             resumed = adapter.send(grant.endpoint, broken.request, offset)
         except BaseException:
-            self.dispatch.release(grant, slots.End(slots.Outcome.CANCELLED))
+            self.dispatch.release(grant, slots.RequestEnd(slots.Outcome.CANCELLED))
             raise
         if resumed.is_err():
             outcome = attempts.from_send_failure(resumed.err_value).outcome
-            self.dispatch.release(grant, slots.End(outcome))
+            self.dispatch.release(grant, slots.RequestEnd(outcome))
             if outcome is slots.Outcome.CRASHED:
                 self.dispatch.suspects.report_broken(broken.request, grant.endpoint)
             return False
         self.dispatch.metrics.repeated("resumed")
         log.info("resumed at {} after {} events", grant.endpoint.name, offset)
-        broken.attach(grant, resumed.ok_value, sent)
+        broken.attach(grant, resumed.ok_value, sent_at)
         return True
--- a/packages/mothworks/src/mothworks/running_request.py
+++ b/packages/mothworks/src/mothworks/running_request.py
@@ -39,7 +39,7 @@
     :param grant: the request's slot.
     :param answer: the endpoint's response.
     :param dispatch: releases slots and finds an endpoint to resume at.
-    :param sent: when the request was sent, monotonic seconds.
+    :param sent_at: when the request was sent, monotonic seconds.
     """
 
     def __init__(
@@ -48,14 +48,14 @@
         grant: slots.Grant,
         answer: endpoints.Answer,
         dispatch: Dispatch,
-        sent: float,
+        sent_at: float,
     ):
         self.request = request
         self.grant = grant
         self.answer = answer
         self.dispatch = dispatch
         self.stream = request.stream and answer.status == 200
-        self.progress = progress.Progress(self.stream, sent)
+        self.progress = progress.AnswerProgress(self.stream, sent_at)
         self.outcome = slots.Outcome.CANCELLED
         #: Names of the endpoints at which the request ran.
         self.tried = {grant.endpoint.name}
@@ -105,17 +105,20 @@
             self._detach(slots.Outcome.OK)
             return
 
-    def attach(self, grant: slots.Grant, answer: endpoints.Answer, sent: float) -> None:
+    def attach(
+        self, grant: slots.Grant, answer: endpoints.Answer, sent_at: float
+    ) -> None:
         """Continue with the response of another endpoint.
 
         :param grant: the slot there.
-        :param answer: the response, which begins after :attr:`Progress.events`.
-        :param sent: when the request was sent there, monotonic seconds.
+        :param answer: the response, which begins after
+            :attr:`AnswerProgress.event_count`.
+        :param sent_at: when the request was sent there, monotonic seconds.
         """
         self.grant = grant
         self.answer = answer
         self.tried.add(grant.endpoint.name)
-        self.progress.resume(sent)
+        self.progress.resume(sent_at)
         self._chunks = answer.chunks()
         self._attached = True
 
--- a/packages/mothworks/src/mothworks/slot_messages.py
+++ b/packages/mothworks/src/mothworks/slot_messages.py
@@ -96,9 +96,9 @@
 
     :param number: the slot request's number.
     :param outcome: an :class:`Outcome`.
-    :param first_token_ms: see ``slots.End``, whole milliseconds.
-    :param between_tokens_us: see ``slots.End``, whole microseconds.
-    :param tokens: see ``slots.End``.
+    :param first_token_ms: see ``slots.RequestEnd``, whole milliseconds.
+    :param between_tokens_us: see ``slots.RequestEnd``, whole microseconds.
+    :param tokens: see ``slots.RequestEnd``.
     """
 
     number: int
--- a/packages/mothworks/src/mothworks/slots.py
+++ b/packages/mothworks/src/mothworks/slots.py
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen
-class End:
+class RequestEnd:
     """How a request that had a slot ended, as measured by its entry.
 
     :param outcome: how the request ended.
@@ -121,7 +121,7 @@
             self.waiting_bytes -= len(request.body)
             search.close()
 
-    def release(self, grant: Grant, end: End) -> None:
+    def release(self, grant: Grant, end: RequestEnd) -> None:
         """Release the slot of a request that ended.
 
         :param grant: the grant that :meth:`acquire` returned.
--- a/packages/mothworks/tests/test_attainment.py
+++ b/packages/mothworks/tests/test_attainment.py
@@ -23,10 +23,12 @@
 
 
 def make_progress(request, first_s, between_s, events=11):
-    answer_progress = progress.Progress(True, request.arrived)
-    answer_progress.begun = request.arrived + first_s
-    answer_progress.last = answer_progress.begun + between_s * (events - 1)
-    answer_progress.events = events
+    answer_progress = progress.AnswerProgress(True, request.arrived)
+    answer_progress.caller_first_token_at = request.arrived + first_s
+    answer_progress.last_token_at = (
+        answer_progress.caller_first_token_at + between_s * (events - 1)
+    )
+    answer_progress.event_count = events
     return answer_progress
 
 
--- a/packages/mothworks/tests/test_slot_moves.py
+++ b/packages/mothworks/tests/test_slot_moves.py
@@ -125,7 +125,7 @@
     grants = group.fill(entry, endpoint)
     queued = group.acquire(entry, endpoint)
     wait_for_queue(group, endpoint, 1)
-    entry.slots.release(grants[0], slots.End())
+    entry.slots.release(grants[0], slots.RequestEnd())
     assert queued.get(timeout=10).unwrap().endpoint == endpoint
     assert group.batch(endpoint).running() == SLOTS
 
@@ -148,7 +148,7 @@
     queued = group.acquire(entry, first, second)
     wait_for_queue(group, first, 1)
     wait_for_queue(group, second, 1)
-    entry.slots.release(grants_by_endpoint[second.name][0], slots.End())
+    entry.slots.release(grants_by_endpoint[second.name][0], slots.RequestEnd())
     assert queued.get(timeout=10).unwrap().endpoint == second
     wait_for_queue(group, first, 0)
     assert group.batch(first).running() == SLOTS
@@ -209,7 +209,7 @@
     processes.wait_until(lambda: group.owner(endpoint) not in (None, former))
     processes.wait_until(lambda: group.batch(endpoint).running() >= SLOTS)
     for grant in grants:
-        entry.slots.release(grant, slots.End())
+        entry.slots.release(grant, slots.RequestEnd())
     assert queued.get(timeout=10).is_ok()
 
 
@@ -231,7 +231,7 @@
     processes.wait_until(lambda: group.owner(endpoint) not in (None, former))
     wait_for_queue(group, endpoint, 1)
     assert group.batch(endpoint).running() == SLOTS
-    entry.slots.release(grants[0], slots.End())
+    entry.slots.release(grants[0], slots.RequestEnd())
     assert queued.get(timeout=10).is_ok()
 
 
@@ -253,7 +253,7 @@
     second = group.acquire(entry, endpoint)
     fallback = entry.slots.owner.fallback_by_endpoint[endpoint.name]
     processes.wait_until(lambda: len(fallback.queue) == 1)
-    entry.slots.release(first, slots.End())
+    entry.slots.release(first, slots.RequestEnd())
     assert second.get(timeout=10).is_ok()
 
 
@@ -287,7 +287,7 @@
     group.draining.add(first.name)
     refusal = only_here.get(timeout=10).unwrap_err()
     assert refusal.ran == "no"
-    entry.slots.release(grants[0], slots.End())
+    entry.slots.release(grants[0], slots.RequestEnd())
     again = group.acquire(entry, first, second).get(timeout=10).unwrap()
     assert again.endpoint == second
 
@@ -308,5 +308,5 @@
     )
     assert group.batch(endpoint).running() == SLOTS
     for grant in grants:
-        entry.slots.release(grant, slots.End())
+        entry.slots.release(grant, slots.RequestEnd())
     processes.wait_until(lambda: group.batch(endpoint).running() == 0)
