--- a/packages/mothworks/src/mothworks/batches.py
+++ b/packages/mothworks/src/mothworks/batches.py
@@ -11,7 +11,13 @@
 
 import attrs
 
-from mothworks import alone, limits, queues, slot_messages, usage
+from mothworks import (
+    concurrency_limit,
+    exclusive_queue,
+    request_queue,
+    slot_messages,
+    slot_usage,
+)
 
 #: Minimum time after which a refused request may be retried, milliseconds.
 MIN_RETRY_AFTER_MS = 200
@@ -58,15 +64,15 @@
         reported_running: collections.abc.Callable[[], int | None] = lambda: None,
         preempts: bool = False,
     ):
-        self.limit = limits.ConcurrencyLimit(slots)
+        self.limit = concurrency_limit.ConcurrencyLimit(slots)
         self.why_closed = why_closed
         self.share = share
         self.reported_running = reported_running
         self.preempts = preempts
-        self.queue = queues.Queue()
-        self.exclusive_queue = alone.ExclusiveQueue()
-        self.slot_by_key: dict[queues.Key, OccupiedSlot] = {}
-        self.usage = usage.Usage()
+        self.queue = request_queue.Queue()
+        self.exclusive_queue = exclusive_queue.ExclusiveQueue()
+        self.slot_by_key: dict[request_queue.Key, OccupiedSlot] = {}
+        self.usage = slot_usage.Usage()
         self.preempted_at = 0.0
         self.paused_until = 0.0
         self.created = time.monotonic()
@@ -98,7 +104,7 @@
         queued = self.queue.queued_by_key.get(key)
         queued = queued or self.exclusive_queue.queued_by_key.get(key)
         if queued is None:
-            queued = queues.QueuedRequest(
+            queued = request_queue.QueuedRequest(
                 request, entry, now, self._deadline(request, now), send_reply
             )
             if not self._admit(queued, now):
@@ -107,7 +113,7 @@
         wait_ms = math.ceil(self._expected_wait_s(request.rank, ahead) * 1000)
         send_reply(_reply(request, slot_messages.SlotStatus.QUEUED, wait_ms))
 
-    def release(self, key: queues.Key, first_token_ms: float = 0.0) -> None:
+    def release(self, key: request_queue.Key, first_token_ms: float = 0.0) -> None:
         """Release a slot or cancel a queued slot request, then grant free slots.
 
         :param key: identifies the slot request.
@@ -150,7 +156,7 @@
         if exclusive is not None and self._is_idle(now):
             self._grant_exclusive(exclusive, now)
         while len(self.queue) and self._has_free_slot(0, now):
-            queued = self.queue.pop(self._has_free_slot(queues.BULK, now), now)
+            queued = self.queue.pop(self._has_free_slot(request_queue.BULK, now), now)
             if queued is None:
                 return
             reason = self.why_closed(queued.request)
@@ -185,12 +191,12 @@
             self.queue.remove(queued.key)
             queued.send_reply(_reply(queued.request, slot_messages.SlotStatus.MOVED))
 
-    def request_keys(self) -> list[queues.Key]:
+    def request_keys(self) -> list[request_queue.Key]:
         """Return the keys of all granted and queued slot requests."""
         queued_keys = (*self.queue.queued_by_key, *self.exclusive_queue.queued_by_key)
         return [*self.slot_by_key, *queued_keys]
 
-    def running(self, rank: int = queues.BULK) -> int:
+    def running(self, rank: int = request_queue.BULK) -> int:
         """Return how many requests the endpoint runs, as far as is known.
 
         The count includes running requests that entries have not yet reported to
@@ -221,7 +227,7 @@
             needed = self._next_free_s(0) > MAX_URGENT_WAIT_S
         if not needed or not peak:
             return 0
-        reserved = math.ceil(peak) + 1 - self.running(queues.BULK - 1)
+        reserved = math.ceil(peak) + 1 - self.running(request_queue.BULK - 1)
         return max(0, min(reserved, self.limit.value - 1))
 
     def _unreported(self) -> int:
@@ -231,7 +237,7 @@
             self.inherited = self.reported_running()
         return max(0, (self.inherited or 0) - self.inherited_reported)
 
-    def _admit(self, queued: queues.QueuedRequest, now: float) -> bool:
+    def _admit(self, queued: request_queue.QueuedRequest, now: float) -> bool:
         """Grant, queue or refuse a slot request; return whether it is queued."""
         request = queued.request
         reason = self.why_closed(request)
@@ -262,14 +268,14 @@
             self._refuse(evicted, "queue_full")
         return True
 
-    def _admit_exclusive(self, queued: queues.QueuedRequest, now: float) -> bool:
+    def _admit_exclusive(self, queued: request_queue.QueuedRequest, now: float) -> bool:
         if self._is_idle(now) and not self.exclusive_queue.queued_by_key:
             self._grant_exclusive(queued, now)
             return False
         self.exclusive_queue.add(queued)
         return True
 
-    def _grant_exclusive(self, queued: queues.QueuedRequest, now: float) -> None:
+    def _grant_exclusive(self, queued: request_queue.QueuedRequest, now: float) -> None:
         self.exclusive_queue.start(queued)
         self._grant(queued, now)
 
@@ -279,14 +285,14 @@
     def _has_free_slot(self, rank: int, now: float) -> bool:
         if now < self.paused_until or self.exclusive_queue.blocks_others():
             return False
-        limit = self.limit.value_for(rank < queues.BULK)
-        if rank == queues.BULK:
+        limit = self.limit.value_for(rank < request_queue.BULK)
+        if rank == request_queue.BULK:
             limit -= self.reserved_slots()
         # An engine with priorities preempts less urgent work, so only work of the
         # same or a higher urgency occupies its slots.
-        return self.running(rank if self.preempts else queues.BULK) < limit
+        return self.running(rank if self.preempts else request_queue.BULK) < limit
 
-    def _grant(self, queued: queues.QueuedRequest, now: float) -> None:
+    def _grant(self, queued: request_queue.QueuedRequest, now: float) -> None:
         self._occupy(queued.request, queued.entry, now)
         queued.send_reply(_reply(queued.request, slot_messages.SlotStatus.GRANTED))
 
@@ -300,10 +306,10 @@
             self.inherited_reported += request.already_running
         if len(self.slot_by_key) > self.limit.maximum:
             self.preempted_at = now
-        if request.rank < queues.BULK:
+        if request.rank < request_queue.BULK:
             self.usage.peak(self._urgent_running(), now)
 
-    def _refuse(self, queued: queues.QueuedRequest, reason: str) -> None:
+    def _refuse(self, queued: request_queue.QueuedRequest, reason: str) -> None:
         # The retry delay is the time by which the expected wait exceeds the
         # deadline; a retry before then would be refused again.
         rank = queued.request.rank
@@ -314,7 +320,7 @@
         queued.send_reply(_reply(queued.request, refused, wait_ms, reason))
 
     def _deadline(self, request: slot_messages.SlotRequest, now: float) -> float:
-        if request.rank == queues.BULK:
+        if request.rank == request_queue.BULK:
             return now + request.wait_ms / 1000
         return now + request.target_ms / 1000 - self.usage.first_token_s
 
@@ -323,15 +329,17 @@
 
     def _urgent_running(self) -> int:
         return sum(
-            slot.request.rank < queues.BULK for slot in self.slot_by_key.values()
+            slot.request.rank < request_queue.BULK for slot in self.slot_by_key.values()
         )
 
     def _next_free_s(self, rank: int) -> float:
         """Return the mean time until a slot for a rank becomes free, seconds."""
-        highest = rank if self.preempts else queues.BULK
+        highest = rank if self.preempts else request_queue.BULK
         running_ranks = [slot.request.rank for slot in self.slot_by_key.values()]
         ranks = [item for item in running_ranks if item <= highest]
-        return self.usage.hold_s(ranks) / self.limit.value_for(rank < queues.BULK)
+        return self.usage.hold_s(ranks) / self.limit.value_for(
+            rank < request_queue.BULK
+        )
 
 
 def _reply(
--- a/packages/mothworks/src/mothworks/catalogue_checks.py
+++ b/packages/mothworks/src/mothworks/catalogue_checks.py
@@ -10,7 +10,7 @@
 import attrs
 import result
 
-from mothworks import capacity, catalogue, documents, plugins
+from mothworks import catalogue, documents, memory_packing, plugins
 
 
 def read(
@@ -133,7 +133,7 @@
             attrs.evolve(item, copies=min(item.copies, endpoint_count))
             for item in items
         ]
-        unplaced = capacity.unplaced(items_to_place, memories_mb)
+        unplaced = memory_packing.unplaced(items_to_place, memories_mb)
         if unplaced:
             problems.append(_missing_memory(region, unplaced, memories_mb))
     if problems:
@@ -141,13 +141,13 @@
     return result.Ok(declared)
 
 
-def _items(declared: catalogue.Catalogue) -> list[capacity.Item]:
+def _items(declared: catalogue.Catalogue) -> list[memory_packing.Item]:
     """Return each model's size: weights, working memory and adapters."""
     adapters_mb: dict[str, int] = collections.Counter()
     for adapter in declared.adapters:
         adapters_mb[adapter.model] += adapter.memory_mb
     return [
-        capacity.Item(
+        memory_packing.Item(
             model.name,
             model.memory_mb + model.working_mb + adapters_mb[model.name],
             model.replicas,
@@ -167,7 +167,7 @@
 
 
 def _missing_memory(
-    region: str, unplaced: list[capacity.Item], memories_mb: list[int]
+    region: str, unplaced: list[memory_packing.Item], memories_mb: list[int]
 ) -> str:
     missing_mb = sum(item.memory_mb * item.copies for item in unplaced)
     names = ", ".join(repr(item.name) for item in unplaced[:5])
--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -13,7 +13,6 @@
 from mothworks import (
     answer_recording,
     attainment,
-    attempts,
     caller_watch,
     catalogue,
     claim_records,
@@ -23,6 +22,7 @@
     decisions,
     demand,
     endpoints,
+    failed_attempts,
     health,
     kernel,
     outcomes,
@@ -135,7 +135,7 @@
         claim: claiming.Claim | None,
     ) -> result.Result[running_request.RunningRequest, outcomes.Refusal]:
         tried: set[str] = set()
-        refusal = attempts.no_endpoint(request)
+        refusal = failed_attempts.no_endpoint(request)
         while len(tried) < MAX_ATTEMPTS:
             candidates = self.choose_endpoints(request, tried)
             if not candidates:
@@ -204,7 +204,7 @@
     def _report_crash(
         self,
         request: requests.Request,
-        failed: attempts.FailedAttempt,
+        failed: failed_attempts.FailedAttempt,
         will_retry: bool,
     ) -> None:
         """Report a broken connection, which may be due to a poison request."""
@@ -243,7 +243,7 @@
         candidates: list[catalogue.Endpoint],
         watch: caller_watch.Watch | None,
         claim: claiming.Claim | None,
-    ) -> result.Result[running_request.RunningRequest, attempts.FailedAttempt]:
+    ) -> result.Result[running_request.RunningRequest, failed_attempts.FailedAttempt]:
         acquired = self.suspects.check(request).and_then(
             lambda exclusive: self.acquire(request, candidates, exclusive)
         )
@@ -251,12 +251,12 @@
             case result.Ok(grant):
                 pass
             case result.Err(refusal):
-                return result.Err(attempts.before_send(refusal))
+                return result.Err(failed_attempts.before_send(refusal))
         if watch is not None and (claim or not request.repeatable):
             watch.stop()
         try:
             claimed = claim.acquire() if claim else result.Ok(None)
-            sent = claimed.map_err(attempts.before_send).and_then(
+            sent = claimed.map_err(failed_attempts.before_send).and_then(
                 lambda _: self._send(request, grant)
             )
         except BaseException:
@@ -289,21 +289,23 @@
 
     def _send(
         self, request: requests.Request, grant: slots.Grant
-    ) -> result.Result[running_request.RunningRequest, attempts.FailedAttempt]:
+    ) -> result.Result[running_request.RunningRequest, failed_attempts.FailedAttempt]:
         adapter = self.health.adapters.get(grant.endpoint.kind)
         sent_at = time.monotonic()
         match adapter.send(grant.endpoint, request):
             case result.Ok(answer):
                 pass
             case result.Err(failure):
-                return result.Err(attempts.from_send_failure(failure))
+                return result.Err(failed_attempts.from_send_failure(failure))
         started = running_request.RunningRequest(request, grant, answer, self, sent_at)
         try:
             started.read_start()
         except OSError as error:
             answer.close()
             return result.Err(
-                attempts.from_send_failure(endpoints.SendFailure(str(error), sent=True))
+                failed_attempts.from_send_failure(
+                    endpoints.SendFailure(str(error), sent=True)
+                )
             )
         except BaseException:
             answer.close()
@@ -320,7 +322,7 @@
         self.slots.release(grant, end)
 
     def _may_retry(
-        self, request: requests.Request, failed: attempts.FailedAttempt
+        self, request: requests.Request, failed: failed_attempts.FailedAttempt
     ) -> bool:
         if not failed.endpoint:
             # No owner granted a slot, so a retry would not get one either.
--- a/packages/mothworks/src/mothworks/resumption.py
+++ b/packages/mothworks/src/mothworks/resumption.py
@@ -10,7 +10,7 @@
 import logbook
 import result
 
-from mothworks import attempts, running_request, slots
+from mothworks import failed_attempts, running_request, slots
 
 if typing.TYPE_CHECKING:
     from mothworks import dispatch
@@ -67,7 +67,7 @@
             self.dispatch.release(grant, slots.RequestEnd(slots.Outcome.CANCELLED))
             raise
         if resumed.is_err():
-            outcome = attempts.from_send_failure(resumed.err_value).outcome
+            outcome = failed_attempts.from_send_failure(resumed.err_value).outcome
             self.dispatch.release(grant, slots.RequestEnd(outcome))
             if outcome is slots.Outcome.CRASHED:
                 self.dispatch.suspects.report_broken(broken.request, grant.endpoint)
--- a/packages/mothworks/src/mothworks/slot_owner.py
+++ b/packages/mothworks/src/mothworks/slot_owner.py
@@ -24,7 +24,7 @@
     peers,
     placement,
     plugins,
-    queues,
+    request_queue,
     slot_messages,
 )
 
@@ -56,7 +56,7 @@
         self.batch_by_endpoint: dict[str, batches.Batch] = {}
         #: Batches that limit what this VM sends to endpoints without an owner.
         self.fallback_by_endpoint: dict[str, batches.Batch] = {}
-        self.endpoint_by_key: dict[queues.Key, str] = {}
+        self.endpoint_by_key: dict[request_queue.Key, str] = {}
         #: End of the time for which this former owner redirects, monotonic seconds.
         self.redirect_until_by_endpoint: dict[str, float] = {}
         self.has_queue = gevent.event.Event()
--- a/packages/mothworks/src/mothworks/slot_rows.py
+++ b/packages/mothworks/src/mothworks/slot_rows.py
@@ -2,7 +2,7 @@
 
 import time
 
-from mothworks import batches, catalogue, queues, row_classes, slot_owner
+from mothworks import batches, catalogue, request_queue, row_classes, slot_owner
 
 
 def queued_rows(owner: slot_owner.SlotOwner) -> list[row_classes.WaitingRow]:
@@ -43,7 +43,7 @@
     endpoint: str,
     batch: batches.Batch,
     position: int,
-    item: queues.QueuedRequest,
+    item: request_queue.QueuedRequest,
 ) -> row_classes.WaitingRow:
     now = time.monotonic()
     request = item.request
--- a/packages/mothworks/src/mothworks/slot_search.py
+++ b/packages/mothworks/src/mothworks/slot_search.py
@@ -15,11 +15,11 @@
 import result
 
 from mothworks import (
-    alone,
     catalogue,
+    exclusive_queue,
     members,
     outcomes,
-    queues,
+    request_queue,
     requests,
     slot_messages,
 )
@@ -180,11 +180,15 @@
                 self._cancel(reservation)
 
     def _search_deadline(self) -> float:
-        if self.request.caller.urgency.rank == queues.BULK:
+        if self.request.caller.urgency.rank == request_queue.BULK:
             timeout = time.monotonic() + BULK_TIMEOUT_S
             return min(timeout, self.request.deadline)
         if self.exclusive:
-            return time.monotonic() + alone.IDLE_TIMEOUT_S + FIRST_REPLY_TIMEOUT_S
+            return (
+                time.monotonic()
+                + exclusive_queue.IDLE_TIMEOUT_S
+                + FIRST_REPLY_TIMEOUT_S
+            )
         # The owner refuses requests that miss the deadline by its own clock; this
         # timeout covers an owner that stops responding.
         return (
--- a/packages/mothworks/src/mothworks/usage.py
+++ b/packages/mothworks/src/mothworks/slot_usage.py
@@ -7,7 +7,7 @@
 import collections.abc
 import math
 
-from mothworks import queues
+from mothworks import request_queue
 
 #: Weight of a new sample in the exponentially weighted moving averages.
 SAMPLE_WEIGHT = 0.1
@@ -21,7 +21,7 @@
 
     def __init__(self):
         #: Mean time that a request occupies its slot, by rank, seconds.
-        self.hold_s_by_rank = [0.0] * (queues.BULK + 1)
+        self.hold_s_by_rank = [0.0] * (request_queue.BULK + 1)
         #: Mean time from sending to the first token of requests that are not
         #: bulk, seconds.
         self.first_token_s = 0.0
@@ -38,7 +38,7 @@
         self.hold_s_by_rank[rank] = _moving_average(self.hold_s_by_rank[rank], hold_s)
         # The engine may have paused a bulk request, so its time to the first
         # token does not apply to other classes.
-        if rank < queues.BULK:
+        if rank < request_queue.BULK:
             self.first_token_s = _moving_average(self.first_token_s, first_token_s)
 
     def hold_s(self, ranks: collections.abc.Sequence[int]) -> float:
--- a/packages/mothworks/tests/test_dispatch.py
+++ b/packages/mothworks/tests/test_dispatch.py
@@ -3,7 +3,7 @@
 import result
 
 import builders
-from mothworks import attempts, dispatch, metrics, outcomes, path_metrics, slots
+from mothworks import dispatch, failed_attempts, metrics, outcomes, path_metrics, slots
 
 
 class ScriptedDispatch(dispatch.Dispatch):
@@ -20,7 +20,7 @@
         refusal = self.refusals.pop(0)
         sent = refusal.ran is outcomes.Ran.UNKNOWN
         return result.Err(
-            attempts.FailedAttempt(
+            failed_attempts.FailedAttempt(
                 refusal, sent, False, slots.Outcome.FAILED, candidates[0].name
             )
         )
--- a/packages/mothworks/tests/test_capacity.py
+++ b/packages/mothworks/tests/test_memory_packing.py
@@ -5,7 +5,7 @@
 import attrs
 
 import builders
-from mothworks import capacity, catalogue, catalogue_checks
+from mothworks import catalogue, catalogue_checks, memory_packing
 
 
 def find_problems(**changes):
@@ -60,10 +60,12 @@
 def test_a_feasible_catalogue_of_the_target_size_fits():
     random_source = random.Random(7)
     items = [
-        capacity.Item(str(number), random_source.choice((16_000, 60_000, 150_000)))
+        memory_packing.Item(
+            str(number), random_source.choice((16_000, 60_000, 150_000))
+        )
         for number in range(720)
     ]
     total_mb = sum(item.memory_mb for item in items)
     # 7 % more memory than the models need in total.
     memories_mb = [320_000] * round(1.07 * total_mb / 320_000)
-    assert capacity.unplaced(items, memories_mb) == []
+    assert memory_packing.unplaced(items, memories_mb) == []
--- a/packages/mothworks/tests/test_slots.py
+++ b/packages/mothworks/tests/test_slots.py
@@ -6,11 +6,11 @@
 
 import builders
 from mothworks import (
-    alone,
     batches,
+    concurrency_limit,
+    exclusive_queue,
     kernel,
-    limits,
-    queues,
+    request_queue,
     row_classes,
     slot_messages,
     slot_owner,
@@ -113,7 +113,7 @@
 
 
 def test_a_full_queue_evicts_bulk_for_more_urgent_work(monkeypatch):
-    monkeypatch.setattr(queues, "MAX_LENGTH", 4)
+    monkeypatch.setattr(request_queue, "MAX_LENGTH", 4)
     owner = Owner()
     owner.request("running")
     for number in range(4):
@@ -127,7 +127,7 @@
 
 
 def test_no_caller_fills_the_whole_queue(monkeypatch):
-    monkeypatch.setattr(queues, "MAX_LENGTH", 10)
+    monkeypatch.setattr(request_queue, "MAX_LENGTH", 10)
     owner = Owner()
     owner.request("running")
     flood = [owner.request(f"flood-{number}", caller="flood") for number in range(10)]
@@ -136,7 +136,7 @@
 
 
 def test_a_callers_declared_share_is_enforced(monkeypatch):
-    monkeypatch.setattr(queues, "MAX_LENGTH", 10)
+    monkeypatch.setattr(request_queue, "MAX_LENGTH", 10)
     owner = Owner(share=0.2)
     owner.request("running")
     flood = [owner.request(f"flood-{number}") for number in range(4)]
@@ -149,7 +149,7 @@
     Urgent work may fill an endpoint for hours; bulk queued behind it must still
     get a slot regularly once it has aged.
     """
-    monkeypatch.setattr(queues, "AGING_S", 0.0)
+    monkeypatch.setattr(request_queue, "AGING_S", 0.0)
     owner = Owner()
     owner.request("running")
     owner.request("bulk", BULK)
@@ -159,7 +159,7 @@
     while "bulk" not in order:
         owner.release(order[-1])
         order += [name for name in owner.granted() if name not in order]
-    assert len(order) == 1 + queues.GRANTS_PER_AGED_BULK + 1
+    assert len(order) == 1 + request_queue.GRANTS_PER_AGED_BULK + 1
 
 
 def test_slots_are_reserved_for_urgent_work_if_bulk_holds_them_long():
@@ -257,19 +257,20 @@
 @pytest.mark.parametrize("slope", [0.5, 2.0, 6.0])
 def test_the_limit_converges_to_the_largest_batch_that_meets_the_target(slope):
     """The time between tokens grows linearly with the batch size."""
-    limit = limits.ConcurrencyLimit(32)
+    limit = concurrency_limit.ConcurrencyLimit(32)
     for second in range(2000):
         limit.mark_full()
         ratio = (10 + slope * (limit.value - 1)) / 35
         limit.observe(ratio, limit.value, second, second)
     assert 10 + slope * (limit.value - 1) <= 35
     assert (
-        limit.value == 32 or 10 + slope * (limit.value + 3) > 35 * limits.INCREASE_BELOW
+        limit.value == 32
+        or 10 + slope * (limit.value + 3) > 35 * concurrency_limit.INCREASE_BELOW
     )
 
 
 def test_the_limit_does_not_increase_while_the_batch_is_not_full():
-    limit = limits.ConcurrencyLimit(32)
+    limit = concurrency_limit.ConcurrencyLimit(32)
     before = limit.value
     for second in range(100):
         limit.observe(0.3, before, second, second)
@@ -282,7 +283,7 @@
     Those that end after the decrease ran under the previous limit; as samples, they
     would decrease the limit again.
     """
-    limit = limits.ConcurrencyLimit(32)
+    limit = concurrency_limit.ConcurrencyLimit(32)
     for second in range(32):
         limit.observe(1.2, 32, 0, second + 1)
     assert limit.value > 16
@@ -294,8 +295,8 @@
     Services, and callers that do not stream, give no samples of the time between
     tokens that could end slow start.
     """
-    limit = limits.ConcurrencyLimit(32)
-    for _ in range(3 * limits.MAX_SAMPLES):
+    limit = concurrency_limit.ConcurrencyLimit(32)
+    for _ in range(3 * concurrency_limit.MAX_SAMPLES):
         limit.mark_full()
         limit.count_unmeasured()
     assert limit.value == 32
@@ -303,7 +304,7 @@
 
 def test_slow_start_limits_bulk_but_not_urgent_work():
     owner = Owner(slots=8)
-    owner.batch.limit = limits.ConcurrencyLimit(8)
+    owner.batch.limit = concurrency_limit.ConcurrencyLimit(8)
     for number in range(4):
         owner.request(f"bulk-{number}", BULK)
     assert len(owner.granted()) == 2
@@ -350,7 +351,7 @@
     owner.request("long")
     owner.request("suspect", exclusive=True)
     owner.request("other")
-    owner.batch.sweep(time.monotonic() + alone.IDLE_TIMEOUT_S + 1)
+    owner.batch.sweep(time.monotonic() + exclusive_queue.IDLE_TIMEOUT_S + 1)
     assert owner.last_status("suspect") is slot_messages.SlotStatus.REFUSED
     owner.batch.grant_waiting(time.monotonic())
     assert not owner.batch.exclusive_queue.blocks_others()
