--- a/packages/mothworks/src/mothworks/attainment.py
+++ b/packages/mothworks/src/mothworks/attainment.py
@@ -34,7 +34,7 @@
     CANCELLED = "cancelled"
 
 
-#: CountKey of a count: urgency class and verdict.
+#: Key of a count: urgency class and verdict.
 CountKey = tuple[str, Verdict]
 
 
@@ -57,7 +57,7 @@
         """Start the task that updates the metrics."""
         self.tasks.every(METRICS_INTERVAL_S, self._update_metrics)
 
-    def ended(
+    def count_answer(
         self,
         request: requests.Request,
         outcome: slots.Outcome,
@@ -79,7 +79,7 @@
                 verdict = Verdict.FAILED
         self._count(request, verdict)
 
-    def refused(self, request: requests.Request, ran: bool) -> None:
+    def count_refusal(self, request: requests.Request, ran: bool) -> None:
         """Count a request that received no response from an endpoint.
 
         :param request: the request.
--- a/packages/mothworks/src/mothworks/batches.py
+++ b/packages/mothworks/src/mothworks/batches.py
@@ -48,7 +48,7 @@
     """The slots and the queue of one endpoint.
 
     :param slots: the engine's slots.
-    :param why_closed: returns why a slot request must be refused; empty if it need
+    :param closed_reason: returns why a slot request must be refused; empty if it need
         not be.
     :param share: returns the maximum share of the queue for a caller.
     :param reported_running: returns the number of running requests that the engine
@@ -59,13 +59,13 @@
     def __init__(
         self,
         slots: int,
-        why_closed: collections.abc.Callable[[slot_messages.SlotRequest], str],
+        closed_reason: collections.abc.Callable[[slot_messages.SlotRequest], str],
         share: collections.abc.Callable[[str], float] = lambda caller: 1.0,
         reported_running: collections.abc.Callable[[], int | None] = lambda: None,
         preempts: bool = False,
     ):
         self.limit = concurrency_limit.ConcurrencyLimit(slots)
-        self.why_closed = why_closed
+        self.closed_reason = closed_reason
         self.share = share
         self.reported_running = reported_running
         self.preempts = preempts
@@ -125,7 +125,9 @@
         slot = self.slot_by_key.pop(key, None)
         now = time.monotonic()
         if slot is not None and first_token_ms:
-            self.usage.note(slot.request.rank, now - slot.since, first_token_ms / 1000)
+            self.usage.add_sample(
+                slot.request.rank, now - slot.since, first_token_ms / 1000
+            )
         self.grant_waiting(now)
 
     def observe(self, slot: OccupiedSlot, between_ms: float, target_ms: float) -> None:
@@ -159,7 +161,7 @@
             queued = self.queue.pop(self._has_free_slot(request_queue.BULK, now), now)
             if queued is None:
                 return
-            reason = self.why_closed(queued.request)
+            reason = self.closed_reason(queued.request)
             if reason:
                 self._refuse(queued, reason)
             else:
@@ -175,7 +177,7 @@
             *self.exclusive_queue.drain(),
         )
         for queued in queued_requests:
-            reason = self.why_closed(queued.request)
+            reason = self.closed_reason(queued.request)
             if not reason and queued.deadline <= now:
                 reason = "waited_too_long"
             if reason:
@@ -220,7 +222,7 @@
         reserved only if they become free too rarely.
         """
         now = time.monotonic()
-        peak = self.usage.peak(self._urgent_running(), now)
+        peak = self.usage.update_peak(self._urgent_running(), now)
         if self.preempts:
             needed = self.limit.value < self.limit.maximum
         else:
@@ -240,7 +242,7 @@
     def _admit(self, queued: request_queue.QueuedRequest, now: float) -> bool:
         """Grant, queue or refuse a slot request; return whether it is queued."""
         request = queued.request
-        reason = self.why_closed(request)
+        reason = self.closed_reason(request)
         if reason:
             self._refuse(queued, reason)
             return False
@@ -307,7 +309,7 @@
         if len(self.slot_by_key) > self.limit.maximum:
             self.preempted_at = now
         if request.rank < request_queue.BULK:
-            self.usage.peak(self._urgent_running(), now)
+            self.usage.update_peak(self._urgent_running(), now)
 
     def _refuse(self, queued: request_queue.QueuedRequest, reason: str) -> None:
         # The retry delay is the time by which the expected wait exceeds the
@@ -337,7 +339,7 @@
         highest = rank if self.preempts else request_queue.BULK
         running_ranks = [slot.request.rank for slot in self.slot_by_key.values()]
         ranks = [item for item in running_ranks if item <= highest]
-        return self.usage.hold_s(ranks) / self.limit.value_for(
+        return self.usage.slot_time_s(ranks) / self.limit.value_for(
             rank < request_queue.BULK
         )
 
--- a/packages/mothworks/src/mothworks/demand.py
+++ b/packages/mothworks/src/mothworks/demand.py
@@ -164,14 +164,14 @@
         """Start reporting to the planner."""
         self.tasks.every(REPORT_INTERVAL_S, self._report)
 
-    def arrived(self, name: str) -> None:
+    def count_arrival(self, name: str) -> None:
         """Count a request's arrival.
 
         :param name: the model or adapter that it asks for.
         """
         self._count(name).arrivals += 1
 
-    def ended(self, name: str, sent_at: float) -> None:
+    def count_end(self, name: str, sent_at: float) -> None:
         """Count a request that held a batch slot and ended.
 
         :param name: the model or adapter that it asked for.
--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -77,7 +77,7 @@
         :returns: the running request, which must be closed; or the refusal.
         """
         self.retries.add_request()
-        self.demand.arrived(request.target)
+        self.demand.count_arrival(request.target)
         trace = self.decisions.open(request)
         claim = self.claims.new_claim(request)
         try:
@@ -92,7 +92,7 @@
             case result.Err(refusal):
                 self.decisions.close(request.id, f"refused: {refusal.code}")
                 ran = refusal.ran is outcomes.Ran.UNKNOWN
-                self.attainment.refused(request, ran)
+                self.attainment.count_refusal(request, ran)
             case result.Ok(answer_recording.Replay()):
                 self.decisions.close(request.id, "answered from its claim")
         return started
@@ -165,7 +165,7 @@
             self._report_crash(request, failed, will_retry)
             if not will_retry:
                 break
-            self.metrics.repeated("retried")
+            self.metrics.count_repeat("retried")
         return result.Err(refusal)
 
     def resume(self, broken: running_request.RunningRequest) -> bool:
@@ -180,9 +180,9 @@
         :param running: the request.
         :param outcome: how the request ended there.
         """
-        self.demand.ended(running.request.target, running.progress.sent_at)
+        self.demand.count_end(running.request.target, running.progress.sent_at)
         end = running.progress.summary(outcome)
-        self.metrics.ended(running.request.caller.urgency, end)
+        self.metrics.count_answer_end(running.request.caller.urgency, end)
         self.release(running.grant, end)
         match outcome:
             case slots.Outcome.OK:
@@ -197,8 +197,8 @@
         """
         request = running.request
         waited_s = running.progress.caller_first_token_at - request.arrived
-        self.metrics.answered(request.caller.urgency, waited_s)
-        self.attainment.ended(request, running.outcome, running.progress)
+        self.metrics.observe_first_token(request.caller.urgency, waited_s)
+        self.attainment.count_answer(request, running.outcome, running.progress)
         self.decisions.close(request.id, running.outcome.name.lower())
 
     def _report_crash(
@@ -221,8 +221,8 @@
             self.suspects.report_broken(request, endpoint)
 
     def _trace_closed(self, request: requests.Request, trace: decisions.Trace) -> None:
-        for name in self.placement.candidates(request.target):
-            trace.add(name, self.placement.why_closed(name) or "already tried")
+        for name in self.placement.holders(request.target):
+            trace.add(name, self.placement.closed_reason(name) or "already tried")
 
     def choose_endpoints(
         self, request: requests.Request, tried: set[str]
--- a/packages/mothworks/src/mothworks/explanations.py
+++ b/packages/mothworks/src/mothworks/explanations.py
@@ -108,7 +108,7 @@
 
     def _candidates(self, name: str) -> list[catalogue.Endpoint]:
         endpoint_by_name = self.configuration.index.endpoint_by_name
-        names = self.placement.candidates(name)
+        names = self.placement.holders(name)
         return [endpoint_by_name[item] for item in names if item in endpoint_by_name]
 
     def _query_model(
@@ -149,7 +149,7 @@
             endpoint=item.name,
             data_centre=item.data_centre,
             owner=row.owner,
-            takes_work=self.placement.why_closed(item.name) or "yes",
+            takes_work=self.placement.closed_reason(item.name) or "yes",
             running=batch.running,
             slots=batch.slots or item.slots,
             queued=batch.queued,
--- a/packages/mothworks/src/mothworks/inventory.py
+++ b/packages/mothworks/src/mothworks/inventory.py
@@ -44,8 +44,8 @@
 
         :param item: its declaration.
         """
-        names = self.placement.candidates(item.name)
-        open_names = [name for name in names if not self.placement.why_closed(name)]
+        names = self.placement.holders(item.name)
+        open_names = [name for name in names if not self.placement.closed_reason(name)]
         base = item.model if isinstance(item, catalogue.Adapter) else ""
         declared = self.configuration.index.model_by_name.get(base or item.name)
         version = declared.version if declared else ""
@@ -123,5 +123,5 @@
         return sum(
             item.accelerators
             for item in self.configuration.index.catalogue.endpoints
-            if not self.placement.why_closed(item.name)
+            if not self.placement.closed_reason(item.name)
         )
--- a/packages/mothworks/src/mothworks/local_facts.py
+++ b/packages/mothworks/src/mothworks/local_facts.py
@@ -63,7 +63,7 @@
         rows = slot_rows.batch_rows(self.slots)
         if not target:
             return rows
-        names = frozenset(self.placement.candidates(target))
+        names = frozenset(self.placement.holders(target))
         return [row for row in rows if row.endpoint in names]
 
     def _attainment_rows(self, _: str) -> list[reason_rows.CountRow]:
@@ -136,8 +136,8 @@
         now_ms = round((time.monotonic() - trace.arrived) * 1000)
         running_by_endpoint = self.dispatch.policy.running_by_endpoint
         rows = []
-        for name in self.placement.candidates(trace.target):
-            reason = self.placement.why_closed(name)
+        for name in self.placement.holders(trace.target):
+            reason = self.placement.closed_reason(name)
             running = running_by_endpoint[name]
             what = reason or f"open; runs {running} of this VM's requests"
             rows.append(reason_rows.StepRow(now_ms, name, f"now {what}"))
--- a/packages/mothworks/src/mothworks/path_metrics.py
+++ b/packages/mothworks/src/mothworks/path_metrics.py
@@ -51,7 +51,7 @@
         if refusal is not None:
             self.refusals_total.inc({"code": refusal.code, "ran": refusal.ran.value})
 
-    def answered(self, urgency: catalogue.Urgency, waited_s: float) -> None:
+    def observe_first_token(self, urgency: catalogue.Urgency, waited_s: float) -> None:
         """Record the time to the first bytes of a response.
 
         :param urgency: the caller's urgency class.
@@ -61,7 +61,9 @@
         if waited_s > 0:
             self.first_token_seconds.observe({"urgency": urgency.value}, waited_s)
 
-    def ended(self, urgency: catalogue.Urgency, end: slots.RequestEnd) -> None:
+    def count_answer_end(
+        self, urgency: catalogue.Urgency, end: slots.RequestEnd
+    ) -> None:
         """Record the end of an endpoint's response.
 
         :param urgency: the caller's urgency class.
@@ -75,7 +77,7 @@
             seconds = end.between_tokens_ms / 1000
             self.between_tokens_seconds.observe(labels, seconds)
 
-    def repeated(self, what: str) -> None:
+    def count_repeat(self, what: str) -> None:
         """Count a retry or a resumed stream.
 
         :param what: ``retried`` or ``resumed``.
--- a/packages/mothworks/src/mothworks/placement.py
+++ b/packages/mothworks/src/mothworks/placement.py
@@ -164,10 +164,10 @@
 
         :param target: a model, adapter or service.
         """
-        names = self.candidates(target)
-        return [name for name in names if not self.why_closed(name, target)]
+        names = self.holders(target)
+        return [name for name in names if not self.closed_reason(name, target)]
 
-    def candidates(self, target: str) -> list[str]:
+    def holders(self, target: str) -> list[str]:
         """Return the endpoints that hold a target, whether open or not.
 
         :param target: a model, adapter or service.
@@ -177,7 +177,7 @@
             return [endpoint.name for endpoint in by_service[target]]
         return sorted(self.endpoints_by_model.get(target, ()))
 
-    def why_closed(self, name: str, target: str = "") -> str:
+    def closed_reason(self, name: str, target: str = "") -> str:
         """Return why an endpoint accepts no new work, or an empty text if it does.
 
         :param name: the endpoint's name.
@@ -208,12 +208,12 @@
         """
         if not self.endpoints_by_model.get(target):
             return False
-        holders = self.candidates(target)
-        if any(not self.why_closed(other) for other in holders if other != name):
+        holders = self.holders(target)
+        if any(not self.closed_reason(other) for other in holders if other != name):
             return False
         declared = self.configuration.index.catalogue.endpoints
         model_endpoints = [item.name for item in declared if item.memory_mb]
-        return any(not self.why_closed(other) for other in model_endpoints)
+        return any(not self.closed_reason(other) for other in model_endpoints)
 
     def _remove(self, status: EndpointStatus) -> None:
         del self.status_by_endpoint[status.endpoint]
--- a/packages/mothworks/src/mothworks/planner.py
+++ b/packages/mothworks/src/mothworks/planner.py
@@ -99,7 +99,9 @@
     def _open_endpoints(self) -> frozenset[str]:
         """Return the endpoints that may load models and whose replicas count."""
         names = self.placement.status_by_endpoint
-        return frozenset(name for name in names if not self.placement.why_closed(name))
+        return frozenset(
+            name for name in names if not self.placement.closed_reason(name)
+        )
 
     def _send(self, move: move_messages.Move) -> None:
         endpoint = self.configuration.index.endpoint_by_name.get(move.endpoint)
--- a/packages/mothworks/src/mothworks/resumption.py
+++ b/packages/mothworks/src/mothworks/resumption.py
@@ -72,7 +72,7 @@
             if outcome is slots.Outcome.CRASHED:
                 self.dispatch.suspects.report_broken(broken.request, grant.endpoint)
             return False
-        self.dispatch.metrics.repeated("resumed")
+        self.dispatch.metrics.count_repeat("resumed")
         log.info("resumed at {} after {} events", grant.endpoint.name, offset)
         broken.attach(grant, resumed.ok_value, sent_at)
         return True
--- a/packages/mothworks/src/mothworks/slot_owner.py
+++ b/packages/mothworks/src/mothworks/slot_owner.py
@@ -210,7 +210,7 @@
             slots = endpoint.slots if endpoint else 1
             batch = batches.Batch(
                 slots,
-                self._why_closed,
+                self._closed_reason,
                 self._caller_share,
                 lambda: self._reported_running(name),
                 endpoint is not None and self._preempts(endpoint),
@@ -229,7 +229,7 @@
             # the slots, so that together they about fill the endpoint's batch.
             vms = len(self.membership.near()) + 1
             slots = max(1, math.ceil(endpoint.slots / vms))
-            fallback = batches.Batch(slots, self._why_closed, self._caller_share)
+            fallback = batches.Batch(slots, self._closed_reason, self._caller_share)
             self.fallback_by_endpoint[endpoint.name] = fallback
         return fallback
 
@@ -253,11 +253,11 @@
         report = self.health.report_by_endpoint.get(name)
         return report.running if report else None
 
-    def _why_closed(self, request: slot_messages.SlotRequest) -> str:
+    def _closed_reason(self, request: slot_messages.SlotRequest) -> str:
         withheld = self.health.withheld_by_endpoint.get(request.endpoint, frozenset())
         if request.target in withheld:
             return "not_offered"
-        return self.placement.why_closed(request.endpoint, request.target)
+        return self.placement.closed_reason(request.endpoint, request.target)
 
     def _caller_share(self, name: str) -> float:
         caller = self.configuration.index.caller_by_name.get(name)
--- a/packages/mothworks/src/mothworks/slot_usage.py
+++ b/packages/mothworks/src/mothworks/slot_usage.py
@@ -21,35 +21,37 @@
 
     def __init__(self):
         #: Mean time that a request occupies its slot, by rank, seconds.
-        self.hold_s_by_rank = [0.0] * (request_queue.BULK + 1)
+        self.slot_time_s_by_rank = [0.0] * (request_queue.BULK + 1)
         #: Mean time from sending to the first token of requests that are not
         #: bulk, seconds.
         self.first_token_s = 0.0
         self.urgent_peak = 0.0
         self.peak_updated_at = 0.0
 
-    def note(self, rank: int, hold_s: float, first_token_s: float) -> None:
+    def add_sample(self, rank: int, slot_time_s: float, first_token_s: float) -> None:
         """Add the samples of a request that ended.
 
         :param rank: rank of its urgency class.
-        :param hold_s: time that it occupied its slot, seconds.
+        :param slot_time_s: time that it occupied its slot, seconds.
         :param first_token_s: time from sending to its first token, seconds.
         """
-        self.hold_s_by_rank[rank] = _moving_average(self.hold_s_by_rank[rank], hold_s)
+        self.slot_time_s_by_rank[rank] = _moving_average(
+            self.slot_time_s_by_rank[rank], slot_time_s
+        )
         # The engine may have paused a bulk request, so its time to the first
         # token does not apply to other classes.
         if rank < request_queue.BULK:
             self.first_token_s = _moving_average(self.first_token_s, first_token_s)
 
-    def hold_s(self, ranks: collections.abc.Sequence[int]) -> float:
+    def slot_time_s(self, ranks: collections.abc.Sequence[int]) -> float:
         """Return the mean time that requests occupy their slots, seconds.
 
         :param ranks: ranks of the requests; the mean is 0 where there are none.
         """
-        hold_times = [self.hold_s_by_rank[rank] for rank in ranks]
-        return sum(hold_times) / len(hold_times) if hold_times else 0.0
+        slot_times = [self.slot_time_s_by_rank[rank] for rank in ranks]
+        return sum(slot_times) / len(slot_times) if slot_times else 0.0
 
-    def peak(self, urgent: int, now: float) -> float:
+    def update_peak(self, urgent: int, now: float) -> float:
         """Update and return the decaying peak of slots used by urgent requests.
 
         :param urgent: number of slots that they use now.
--- a/packages/mothworks/tests/test_attainment.py
+++ b/packages/mothworks/tests/test_attainment.py
@@ -44,7 +44,7 @@
 )
 def test_verdicts(counts, first_s, between_s, outcome, verdict):
     request = builders.request()
-    counts.ended(request, outcome, make_progress(request, first_s, between_s))
+    counts.count_answer(request, outcome, make_progress(request, first_s, between_s))
     assert counts.total == {("urgent", verdict): 1}
 
 
@@ -53,7 +53,7 @@
     start = time.monotonic()
     for seconds in (0, 30, 60, 90):
         monkeypatch.setattr(time, "monotonic", lambda elapsed=seconds: start + elapsed)
-        counts.refused(request, ran=False)
+        counts.count_refusal(request, ran=False)
     monkeypatch.setattr(time, "monotonic", lambda: start + 100)
     assert counts.last_minute() == {("urgent", V.REFUSED): 2}
     assert len(counts.counts_by_bucket) <= attainment.BUCKET_COUNT
--- a/packages/mothworks/tests/test_slot_moves.py
+++ b/packages/mothworks/tests/test_slot_moves.py
@@ -106,7 +106,7 @@
     made.wait(*names)
     processes.wait_until(
         lambda: all(
-            not vm.placement.why_closed(endpoint.name)
+            not vm.placement.closed_reason(endpoint.name)
             for vm in made.vm_by_name.values()
             for endpoint in made.endpoints
         )
--- a/packages/mothworks/tests/test_slots.py
+++ b/packages/mothworks/tests/test_slots.py
@@ -91,7 +91,7 @@
     does not change the result.
     """
     owner = Owner()
-    owner.batch.usage.hold_s_by_rank = [200.0] * 3
+    owner.batch.usage.slot_time_s_by_rank = [200.0] * 3
     owner.request("running")
     assert (
         owner.request("urgent", target_ms=160_000) is slot_messages.SlotStatus.REFUSED
@@ -172,12 +172,12 @@
     owner = Owner(slots=8)
     owner.request("urgent-1")
     owner.release("urgent-1")
-    owner.batch.usage.hold_s_by_rank = [60.0] * 3
+    owner.batch.usage.slot_time_s_by_rank = [60.0] * 3
     for number in range(10):
         owner.request(f"bulk-{number}", BULK)
     assert len(owner.granted()) == 1 + 6
     assert owner.request("urgent-2") is slot_messages.SlotStatus.GRANTED
-    owner.batch.usage.hold_s_by_rank = [0.5] * 3
+    owner.batch.usage.slot_time_s_by_rank = [0.5] * 3
     owner.batch.grant_waiting(time.monotonic())
     assert owner.batch.running() == 8
 
