--- a/packages/mothworks/tests/builders.py
+++ b/packages/mothworks/tests/builders.py
@@ -62,7 +62,7 @@
     return catalogue.Model(**{**fields, **changes})
 
 
-def declared(**changes) -> catalogue.Catalogue:
+def make_catalogue(**changes) -> catalogue.Catalogue:
     fields = {
         "data_centres": (
             catalogue.DataCentre("dc-1", "region-1"),
--- a/packages/mothworks/tests/served.py
+++ b/packages/mothworks/tests/served.py
@@ -32,7 +32,7 @@
         return super().serve(method, path, environ)
 
 
-class Served:
+class ServedNode:
     """A node that serves one model and one service.
 
     :param engines: the model's engines; by default one without a script.
@@ -62,15 +62,19 @@
         self.node.start()
         self.port = self.node.server.port
         services = (builders.service(repeatable=repeatable),)
-        declared = builders.declared(endpoints=tuple(endpoints), services=services)
-        self.part(configuration.Configuration).apply(declared, 0, "test", "").unwrap()
-        placement_map = self.part(placement.Placement)
+        declared = builders.make_catalogue(
+            endpoints=tuple(endpoints), services=services
+        )
+        self.get_part(configuration.Configuration).apply(
+            declared, 0, "test", ""
+        ).unwrap()
+        placement_map = self.get_part(placement.Placement)
         processes.wait_until(
             lambda: len(placement_map.open_endpoints("menu")) == len(self.engines)
         )
         processes.wait_until(lambda: placement_map.open_endpoints("orders"))
 
-    def part(self, part_class):
+    def get_part(self, part_class):
         return self.node.kernel.get(part_class)
 
     def stop(self):
@@ -81,9 +85,9 @@
 
     def idle(self):
         """Return whether the node has no reservation, running request or open call."""
-        counts = self.part(dispatch.Dispatch).policy.running_by_endpoint
+        counts = self.get_part(dispatch.Dispatch).policy.running_by_endpoint
         return (
-            not self.part(slots.Slots).reservation_by_number
+            not self.get_part(slots.Slots).reservation_by_number
             and not any(counts.values())
             and not self.node.server.open_calls
         )
--- a/packages/mothworks/tests/test_bad_documents.py
+++ b/packages/mothworks/tests/test_bad_documents.py
@@ -18,7 +18,7 @@
 
 
 def catalogue_text(**changes):
-    plain = documents.plain(builders.declared())
+    plain = documents.plain(builders.make_catalogue())
     return orjson.dumps({**plain, **changes}).decode()
 
 
--- a/packages/mothworks/tests/test_callers.py
+++ b/packages/mothworks/tests/test_callers.py
@@ -12,7 +12,7 @@
 
 @pytest.fixture(scope="module")
 def shared():
-    node = served.Served(body_bytes=10_000, header_bytes=2_000)
+    node = served.ServedNode(body_bytes=10_000, header_bytes=2_000)
     yield node
     node.stop()
 
@@ -22,7 +22,7 @@
     nodes = []
 
     def start(**options):
-        nodes.append(served.Served(**options))
+        nodes.append(served.ServedNode(**options))
         return nodes[-1]
 
     yield start
@@ -273,7 +273,7 @@
     first.sendall(served.chat(stream=True))
     gate.reached.wait()
     second.sendall(served.chat(stream=True, max_tokens=99))
-    part = node.part(slot_owner.SlotOwner)
+    part = node.get_part(slot_owner.SlotOwner)
     processes.wait_until(lambda: len(slot_rows.queued_rows(part)) == 1)
     second.close()
     processes.wait_until(lambda: len(slot_rows.queued_rows(part)) == 0)
--- a/packages/mothworks/tests/test_configuration.py
+++ b/packages/mothworks/tests/test_configuration.py
@@ -46,8 +46,8 @@
     return kernel.get(configuration.Configuration)
 
 
-def declared(marker):
-    return builders.declared(
+def make_catalogue(marker):
+    return builders.make_catalogue(
         services=(catalogue.Service("orders"), catalogue.Service(marker))
     )
 
@@ -61,27 +61,29 @@
     api = stored.MemoryApi()
     vm = make_vm(api)
     models = tuple(builders.model(f"model-{number}") for number in range(1000))
-    assert vm.apply(builders.declared(models=models), 0, "ana", "").unwrap() == 1
+    assert vm.apply(builders.make_catalogue(models=models), 0, "ana", "").unwrap() == 1
     initial_puts = api.puts
     inserted = (*models[:500], builders.model("one-more"), *models[500:])
-    assert vm.apply(builders.declared(models=inserted), 1, "ana", "").unwrap() == 2
+    assert (
+        vm.apply(builders.make_catalogue(models=inserted), 1, "ana", "").unwrap() == 2
+    )
     assert initial_puts > 8
     # The part around the new model, a second one if the model ends a part,
     # and the head.
     assert api.puts - initial_puts <= 3
     restarted = make_vm(api)
     assert restarted.refresh().unwrap() == 2
-    assert restarted.index.catalogue == builders.declared(models=inserted)
+    assert restarted.index.catalogue == builders.make_catalogue(models=inserted)
 
 
 def test_the_later_of_two_operators_gets_the_difference():
     api = stored.MemoryApi()
     first, second = make_vm(api, name="vm-1"), make_vm(api, name="vm-2")
-    first.apply(declared("base"), 0, "ana", "")
+    first.apply(make_catalogue("base"), 0, "ana", "")
     second.refresh()
-    assert first.apply(declared("mine"), 1, "ana", "").unwrap() == 2
-    stale = second.apply(declared("theirs"), 1, "eva", "").unwrap_err()
-    expected = configuration.Stale(2, declared("base"), declared("mine"))
+    assert first.apply(make_catalogue("mine"), 1, "ana", "").unwrap() == 2
+    stale = second.apply(make_catalogue("theirs"), 1, "eva", "").unwrap_err()
+    expected = configuration.Stale(2, make_catalogue("base"), make_catalogue("mine"))
     assert stale == expected
     assert second.revision == 2
 
@@ -93,7 +95,7 @@
     monkeypatch.setattr(configuration_writing, "CONFIRM_TIMEOUT_S", 0.0)
     api = stored.MemoryApi()
     vm = make_vm(api)
-    vm.apply(declared("base"), 0, "ana", "")
+    vm.apply(make_catalogue("base"), 0, "ana", "")
 
     def go_down(key):
         api.down = key == configuration_head.KEY
@@ -101,7 +103,7 @@
     api.before_put = go_down
     # The first put stores the part, the second replaces the head.
     api.put_faults.extend([None, stored.Fault.LOST])
-    outcome = vm.apply(declared("mine"), 1, "ana", "").unwrap_err()
+    outcome = vm.apply(make_catalogue("mine"), 1, "ana", "").unwrap_err()
     assert isinstance(outcome, configuration.Uncertain)
     api.down = False
     assert vm.refresh().unwrap() == 2
@@ -112,18 +114,18 @@
     # reads the head back, another VM stores the next revision.
     api = stored.MemoryApi()
     vm, other = make_vm(api, name="vm-1"), make_vm(api, name="vm-2")
-    vm.apply(declared("base"), 0, "ana", "")
+    vm.apply(make_catalogue("base"), 0, "ana", "")
     heads = api.bodies_by_key[configuration_head.KEY]
 
     def follow_up(key):
         if key == configuration_head.KEY and len(heads) == 2:
             api.before_put = lambda key: None
             other.refresh()
-            assert other.apply(declared("theirs"), 2, "eva", "").unwrap() == 3
+            assert other.apply(make_catalogue("theirs"), 2, "eva", "").unwrap() == 3
 
     api.before_put = follow_up
     api.put_faults.extend([None, stored.Fault.LOST])
-    assert vm.apply(declared("mine"), 1, "ana", "").unwrap() == 2
+    assert vm.apply(make_catalogue("mine"), 1, "ana", "").unwrap() == 2
     assert vm.refresh().unwrap() == 3
 
 
@@ -133,29 +135,29 @@
     # an incomplete catalogue.
     api = stored.MemoryApi()
     vm = make_vm(api)
-    vm.apply(declared("base"), 0, "ana", "")
+    vm.apply(make_catalogue("base"), 0, "ana", "")
     other = make_vm(api, name="vm-2")
     other.refresh()
-    other.apply(declared("corrupt"), 1, "eva", "")
+    other.apply(make_catalogue("corrupt"), 1, "eva", "")
     (name,) = service_parts(api.bodies_by_key[configuration_head.KEY][-1])
     api.bodies_by_key[configuration_parts.KEY_PREFIX + name][-1] += b" "
     assert isinstance(vm.refresh().unwrap_err(), configuration.Unreadable)
-    assert (vm.revision, vm.index.catalogue) == (1, declared("base"))
+    assert (vm.revision, vm.index.catalogue) == (1, make_catalogue("base"))
     newer = b'{"revision": 9, "colour": "blue"}'
     assert isinstance(vm.adopt(newer).unwrap_err(), configuration.Unreadable)
     # The next readable revision is adopted.
-    assert other.apply(declared("good"), 2, "eva", "").unwrap() == 3
+    assert other.apply(make_catalogue("good"), 2, "eva", "").unwrap() == 3
     assert vm.refresh().unwrap() == 3
 
 
 def test_a_corrupt_part_from_a_peer_is_fetched_elsewhere():
     api = stored.MemoryApi()
-    make_vm(api).apply(declared("base"), 0, "ana", "")
+    make_vm(api).apply(make_catalogue("base"), 0, "ana", "")
     vm = make_vm(api, name="vm-2")
     body = api.bodies_by_key[configuration_head.KEY][-1]
     corrupt = configuration_parts.pack(b'{"section": "services", "items": []}')
     assert vm.adopt(body, (lambda name: corrupt,)).unwrap() == 1
-    assert vm.index.catalogue == declared("base")
+    assert vm.index.catalogue == make_catalogue("base")
 
 
 def test_unreferenced_parts_are_collected_and_parts_in_use_stay():
@@ -165,13 +167,13 @@
     vm = make_vm(api)
     garbage = vm.kernel.get(configuration_garbage.GarbageCollector)
     for revision, name in enumerate(("one", "two", "three")):
-        vm.apply(declared(name), revision, "ana", "")
+        vm.apply(make_catalogue(name), revision, "ana", "")
     first, second, third = (
         configuration_parts.KEY_PREFIX + service_parts(body)[0]
         for body in api.bodies_by_key[configuration_head.KEY]
     )
     garbage.collect(0.0)
-    assert vm.apply(declared("one"), 3, "ana", "").is_ok()
+    assert vm.apply(make_catalogue("one"), 3, "ana", "").is_ok()
     garbage.collect(configuration_garbage.RETENTION_S / 2)
     garbage.collect(configuration_garbage.RETENTION_S)
     remaining = set(api.list(configuration_parts.KEY_PREFIX).unwrap())
@@ -213,7 +215,7 @@
         self.api.put_faults.extend(puts)
         self.api.get_faults.extend(gets)
         self.changes += 1
-        changed = declared(f"change-{self.changes}")
+        changed = make_catalogue(f"change-{self.changes}")
         vm = self.vm_by_name[name]
         match vm.apply(changed, vm.revision, name, ""):
             case result.Ok(revision):
@@ -293,7 +295,7 @@
             name, "dc-1", "region-1", object_api=settings.ObjectApi(url, timeout_s=0.5)
         )
     bed.object_api.cut_off = {"vm-2", "vm-3", "vm-4"}
-    assert bed.apply(builders.declared()) == 1
+    assert bed.apply(builders.make_catalogue()) == 1
     bed.object_api.faults.outage = True
     processes.wait_until(
         lambda: all(revision_of(bed, name) == 1 for name in bed.node_by_name)
--- a/packages/mothworks/tests/test_deferred.py
+++ b/packages/mothworks/tests/test_deferred.py
@@ -22,7 +22,7 @@
     orders = new_bed.add_application(builders.service_endpoint())
     for name in ("vm-1", "vm-2", "vm-3"):
         new_bed.add_node(name, "dc-1", "region-1")
-    declared = builders.declared(
+    declared = builders.make_catalogue(
         services=(catalogue.Service("orders"),), endpoints=(engine, orders)
     )
     new_bed.apply(declared)
--- a/packages/mothworks/tests/test_deployments.py
+++ b/packages/mothworks/tests/test_deployments.py
@@ -26,7 +26,7 @@
     first, second = beds
     first.add_node("vm-1", "dc-1", "region-1")
     dead_vm = first.add_node("vm-2", "dc-1", "region-1")
-    first.apply(builders.declared(models=(), services=(), endpoints=()))
+    first.apply(builders.make_catalogue(models=(), services=(), endpoints=()))
     processes.wait_until(first.all_know_all)
     dead_vm.kill()
     second.add_node("vm-2", "dc-1", "region-1", peer_port=dead_vm.peer_port)
--- a/packages/mothworks/tests/test_fuzzed_calls.py
+++ b/packages/mothworks/tests/test_fuzzed_calls.py
@@ -44,7 +44,7 @@
 
 @pytest.fixture(scope="module")
 def node():
-    node = served.Served(body_bytes=20_000, header_bytes=2_000, upload_s=5.0)
+    node = served.ServedNode(body_bytes=20_000, header_bytes=2_000, upload_s=5.0)
     yield node
     node.stop()
 
--- a/packages/mothworks/tests/test_memory_packing.py
+++ b/packages/mothworks/tests/test_memory_packing.py
@@ -9,7 +9,7 @@
 
 
 def find_problems(**changes):
-    declared = builders.declared(services=(), **changes)
+    declared = builders.make_catalogue(services=(), **changes)
     checked = catalogue_checks.check(declared, "test").and_then(
         lambda checked_catalogue: catalogue_checks.fit(checked_catalogue, "test")
     )
--- a/packages/mothworks/tests/test_openai_client.py
+++ b/packages/mothworks/tests/test_openai_client.py
@@ -17,7 +17,7 @@
 
 @pytest.fixture(scope="module")
 def node():
-    serving_node = served.Served()
+    serving_node = served.ServedNode()
     yield serving_node
     serving_node.stop()
 
@@ -96,7 +96,7 @@
     # client would take the truncated text for the complete response.
     event = b'data: {"id": "1", "choices": [], "created": 0, "model": "menu"}\n\n'
     engine = served.ScriptedEngine(lambda _: served.stream_reply(event))
-    node = served.Served(engines=[engine])
+    node = served.ServedNode(engines=[engine])
     try:
         client = make_client(node)
         with pytest.raises(openai.APIError) as raised:
--- a/packages/mothworks/tests/test_operator_calls.py
+++ b/packages/mothworks/tests/test_operator_calls.py
@@ -30,7 +30,9 @@
     for name in VMS:
         bed.add_node(name, "dc-1", "region-1", operators=operators)
     caller = builders.caller(first_token_ms=60_000)
-    bed.apply(builders.declared(endpoints=(declared,), services=(), callers=(caller,)))
+    bed.apply(
+        builders.make_catalogue(endpoints=(declared,), services=(), callers=(caller,))
+    )
     processes.wait_until(lambda: bed.all_open(["engine-1"]))
     return bed
 
--- a/packages/mothworks/tests/test_operator_commands.py
+++ b/packages/mothworks/tests/test_operator_commands.py
@@ -32,7 +32,7 @@
 def vms():
     api = stored.MemoryApi()
     first, second = Vm(api, "vm-1"), Vm(api, "vm-2")
-    assert first.commands.replace(builders.declared(), 0, "ana", "").unwrap() == 1
+    assert first.commands.replace(builders.make_catalogue(), 0, "ana", "").unwrap() == 1
     second.configuration.refresh().unwrap()
     return first, second
 
@@ -94,7 +94,7 @@
     first, second = vms
     first.commands.run(statements.Drain("engine-1"), "ana").unwrap()
     rejected = second.commands.replace(
-        builders.declared(models=(builders.model(), builders.model("new"))),
+        builders.make_catalogue(models=(builders.model(), builders.model("new"))),
         1,
         "ben",
         "growth",
@@ -146,14 +146,14 @@
     assert vms[0].configuration.index.model_by_name["wine"].replicas == 2
     retired = statements.Retire(statements.Section.MODEL, "wine")
     commands.run(retired, "ana").unwrap()
-    assert vms[0].declared() == builders.declared()
+    assert vms[0].declared() == builders.make_catalogue()
 
 
 def test_a_difference_never_shows_key_hashes():
     changed = builders.caller(key_sha256="0" * 64)
     difference = changes.difference(
-        builders.declared(),
-        builders.declared(callers=(changed, builders.bulk_caller())),
+        builders.make_catalogue(),
+        builders.make_catalogue(callers=(changed, builders.bulk_caller())),
     )
     assert [item.field for item in difference] == ["key_sha256"]
     assert "0000" not in str(difference)
@@ -161,7 +161,7 @@
 
 def test_a_difference_covers_every_section():
     """An operator would not see that a file changes the weights of the planner."""
-    before = builders.declared()
+    before = builders.make_catalogue()
     for field in catalogue.Catalogue.__attrs_attrs__:
         value = getattr(before, field.name)
         if not isinstance(value, tuple):
--- a/packages/mothworks/tests/test_orders.py
+++ b/packages/mothworks/tests/test_orders.py
@@ -29,7 +29,7 @@
     world = movers.World(fencing=True)
     executor = world.reconciled_owner()
     movers.execute_move(executor, world, endpoints.OrderKind.LOAD, movers.holding())
-    declared = builders.declared(endpoints=(world.endpoint,), services=())
+    declared = builders.make_catalogue(endpoints=(world.endpoint,), services=())
     part = unittest.mock.Mock()
     part.configuration.index = catalogue.Index(declared)
     part.health.adapters.get.return_value = world.adapter
--- a/packages/mothworks/tests/test_placement_map.py
+++ b/packages/mothworks/tests/test_placement_map.py
@@ -24,7 +24,9 @@
     vm = group.add(name, region, parts=PARTS)
     part = vm.kernel.get(placement.Placement)
     endpoints = tuple(builders.endpoint(name) for name in NAMES)
-    part.configuration.index = catalogue.Index(builders.declared(endpoints=endpoints))
+    part.configuration.index = catalogue.Index(
+        builders.make_catalogue(endpoints=endpoints)
+    )
     vm.placement = part
     vm.repair = vm.kernel.get(placement_repair.PlacementRepair)
     return vm
--- a/packages/mothworks/tests/test_placement_whole.py
+++ b/packages/mothworks/tests/test_placement_whole.py
@@ -49,7 +49,7 @@
     ]
     for number in (1, 2):
         bed.add_node(f"vm-{number}", f"dc-{number}", "region-1")
-    bed.declared = builders.declared(
+    bed.declared = builders.make_catalogue(
         models=(builders.model("menu"), builders.model("tickets")),
         adapters=(catalogue.Adapter("menu-es", "menu", 200),),
         services=(),
--- a/packages/mothworks/tests/test_planner.py
+++ b/packages/mothworks/tests/test_planner.py
@@ -9,7 +9,7 @@
 LOAD = endpoints.OrderKind.LOAD
 
 
-def declared(**changes):
+def make_catalogue(**changes):
     fields = {
         "services": (),
         "models": tuple(builders.model(f"model-{n}") for n in range(6)),
@@ -18,7 +18,7 @@
         ),
         "weights": catalogue.Weights(loads_per_s=2.0, parallel_loads=3),
     }
-    return builders.declared(**{**fields, **changes})
+    return builders.make_catalogue(**{**fields, **changes})
 
 
 def holdings(endpoint, fence=1, names=(), **changes):
@@ -35,7 +35,7 @@
     """A region's plan with time controlled by the test."""
 
     def __init__(self, **changes):
-        self.declared = declared(**changes)
+        self.declared = make_catalogue(**changes)
         self.open = frozenset(item.name for item in self.declared.endpoints)
         self.region = region_plan.RegionPlan(
             "region-1", 0.0, packing.Packing(self.declared.weights)
@@ -78,7 +78,7 @@
     """
     planning = RegionPlanning()
     planning.now = 1000.0
-    planning.region.follow(2, catalogue.Index(builders.declared()), 990.0)
+    planning.region.follow(2, catalogue.Index(builders.make_catalogue()), 990.0)
     planning.region.follow(3, catalogue.Index(planning.declared), 1000.0)
     planning.report(holdings("engine-0"))
     assert planning.plan() == []
--- a/packages/mothworks/tests/test_relocations.py
+++ b/packages/mothworks/tests/test_relocations.py
@@ -17,7 +17,9 @@
 def make_fleet():
     """Return a fleet with a model and its adapter resident on engine-1."""
     planned = fleet.Fleet()
-    declared = builders.declared(adapters=(catalogue.Adapter("menu-es", "menu", 200),))
+    declared = builders.make_catalogue(
+        adapters=(catalogue.Adapter("menu-es", "menu", 200),)
+    )
     planned.declare(region_plan.needs(declared))
     first = fleet.Site("engine-1", "dc-1", 50_000, 8.0, free_mb=29_800)
     first.memory_by_key = {MENU: 20_000, SPANISH: 200}
--- a/packages/mothworks/tests/test_resends.py
+++ b/packages/mothworks/tests/test_resends.py
@@ -24,7 +24,7 @@
     )
     for name in NODES:
         new_bed.add_node(name, "dc-1", "region-1")
-    declared = builders.declared(
+    declared = builders.make_catalogue(
         services=(catalogue.Service("orders"), catalogue.Service("kitchen")),
         endpoints=(engine, orders, kitchen),
     )
--- a/packages/mothworks/tests/test_shutdown.py
+++ b/packages/mothworks/tests/test_shutdown.py
@@ -22,7 +22,7 @@
         bed.fake_by_endpoint[name].place("menu", 16_000)
     for name in NAMES:
         bed.add_node(name, "dc-1", "region-1")
-    bed.apply(builders.declared(endpoints=endpoints, services=()))
+    bed.apply(builders.make_catalogue(endpoints=endpoints, services=()))
     processes.wait_until(lambda: bed.all_open(["engine-1", "engine-2"]))
     processes.wait_until(bed.all_know_all)
     return bed
--- a/packages/mothworks/tests/test_slot_moves.py
+++ b/packages/mothworks/tests/test_slot_moves.py
@@ -52,7 +52,7 @@
         self.endpoints = tuple(
             builders.endpoint(f"engine-{number}", slots=SLOTS) for number in (1, 2)
         )
-        declared = builders.declared(endpoints=self.endpoints)
+        declared = builders.make_catalogue(endpoints=self.endpoints)
         self.index = catalogue.Index(declared)
         self.requests = 0
 
--- a/packages/mothworks/tests/test_suspects.py
+++ b/packages/mothworks/tests/test_suspects.py
@@ -124,7 +124,7 @@
         bed.fake_by_endpoint[name].restart_s = 0.5
     for name in ("vm-1", "vm-2", "vm-3"):
         bed.add_node(name, "dc-1", "region-1")
-    bed.apply(builders.declared(services=(), endpoints=tuple(declared)))
+    bed.apply(builders.make_catalogue(services=(), endpoints=tuple(declared)))
     processes.wait_until(lambda: bed.all_open(names))
     poison = chat(bed, "vm-1", engine.POISON.decode())
     assert error_of(poison) == (422, "quarantined", "unknown")
