--- a/packages/mothworks/src/mothworks/local_facts.py
+++ b/packages/mothworks/src/mothworks/local_facts.py
@@ -83,19 +83,19 @@
         Endpoints with the most free memory come first.
         """
         state = self.planner.state
-        demanded = state.fleet.demanded_by_name.get(model) if state else None
-        if demanded is None:
+        model_demand = state.fleet.demand_by_name.get(model) if state else None
+        if model_demand is None:
             return []
         views = sorted(
-            state.fleet.site_by_name.values(), key=lambda item: -item.free_mb
+            state.fleet.view_by_name.values(), key=lambda item: -item.free_mb
         )
         return [
             reason_rows.LoadTargetRow(
                 endpoint=view.name,
                 planner=self.kernel.settings.name,
                 free_mb=view.free_mb,
-                needed_mb=demanded.need.room_mb,
-                verdict=verdict(view, demanded.need),
+                needed_mb=model_demand.spec.required_mb,
+                verdict=verdict(view, model_demand.spec),
             )
             for view in views
         ]
@@ -144,22 +144,22 @@
         return rows
 
 
-def verdict(view: fleet.Site, need: fleet.Need) -> str:
+def verdict(view: fleet.EndpointView, spec: fleet.ModelSpec) -> str:
     """Return why a planner would not load a model on an endpoint, or ``fits``.
 
     :param view: the endpoint, as its planner sees it.
-    :param need: the model, with the memory that it requires.
+    :param spec: the model, with the memory that it requires.
     """
-    if need.key in view.loading:
+    if spec.key in view.loading:
         return "is being loaded there"
-    if need.key in view.leaving:
+    if spec.key in view.unloading:
         return "is being unloaded there"
-    if need.key in view.memory_by_key:
+    if spec.key in view.memory_by_key:
         return "is resident there"
     if not view.open:
         return "takes no new work"
-    if view.memory_mb < need.room_mb:
+    if view.memory_mb < spec.required_mb:
         return f"never fits: {view.memory_mb} MB in all"
-    if view.free_mb < need.room_mb:
-        return f"{need.room_mb - view.free_mb} MB are missing"
+    if view.free_mb < spec.required_mb:
+        return f"{spec.required_mb - view.free_mb} MB are missing"
     return "fits"
--- a/packages/mothworks/src/mothworks/packing.py
+++ b/packages/mothworks/src/mothworks/packing.py
@@ -55,12 +55,12 @@
         """
         missing = [
             item
-            for item in batch.fleet.demanded_by_name.values()
-            if not item.share_by_site and not item.need.base
+            for item in batch.fleet.demand_by_name.values()
+            if not item.share_by_view and not item.spec.base
         ]
         # Among them, large models first: fewest endpoints have enough memory.
         missing.sort(
-            key=lambda item: (item.places > 0, item.need.room_mb), reverse=True
+            key=lambda item: (item.batch_slots > 0, item.spec.required_mb), reverse=True
         )
         for item in missing:
             if batch.full:
@@ -69,36 +69,36 @@
                 batch.fleet, item
             ) or self._find_by_eviction(batch, item)
             if candidate is not None:
-                self._add_moves(batch, candidate, item.need, "resident nowhere")
-        return all(item.share_by_site for item in missing)
+                self._add_moves(batch, candidate, item.spec, "resident nowhere")
+        return all(item.share_by_view for item in missing)
 
     def _add_declared_replicas(self, batch: placement_policy.Batch) -> None:
         """Load the replicas that the catalogue requires."""
-        for item in batch.fleet.demanded_by_name.values():
+        for item in batch.fleet.demand_by_name.values():
             if batch.full:
                 return
-            count = len(item.share_by_site)
-            if item.need.base or not 0 < count < item.need.replicas:
+            count = len(item.share_by_view)
+            if item.spec.base or not 0 < count < item.spec.replicas:
                 continue
             candidate = self._find_free_memory(batch.fleet, item)
             if candidate is not None:
-                why = f"{count} of {item.need.replicas} replicas"
-                self._add_moves(batch, candidate, item.need, why)
+                why = f"{count} of {item.spec.replicas} replicas"
+                self._add_moves(batch, candidate, item.spec, why)
 
     def _add_demand_replicas(self, batch: placement_policy.Batch) -> None:
         """Load replicas for unserved demand, the largest shortage first."""
         underserved = []
-        for name, item in batch.fleet.demanded_by_name.items():
-            missing_slots = batch.fleet.excess(name)
+        for name, item in batch.fleet.demand_by_name.items():
+            missing_slots = batch.fleet.missing_slots(name)
             if self._needs_replica(item, missing_slots):
                 underserved.append((missing_slots / item.service_s, name))
         underserved.sort(reverse=True)
         for _, name in underserved:
-            self._add_replicas_of(batch, batch.fleet.demanded_by_name[name])
+            self._add_replicas_of(batch, batch.fleet.demand_by_name[name])
 
-    def _needs_replica(self, item: fleet.Demanded, missing_slots: float) -> bool:
+    def _needs_replica(self, item: fleet.ModelDemand, missing_slots: float) -> bool:
         """Return whether the unserved demand outweighs the cost of one move."""
-        if item.need.base or not item.share_by_site:
+        if item.spec.base or not item.share_by_view:
             return False
         return (
             missing_slots / item.service_s * self.weights.attainment
@@ -106,33 +106,33 @@
         )
 
     def _add_replicas_of(
-        self, batch: placement_policy.Batch, item: fleet.Demanded
+        self, batch: placement_policy.Batch, item: fleet.ModelDemand
     ) -> None:
         while not batch.full:
-            missing_slots = batch.fleet.excess(item.need.name)
+            missing_slots = batch.fleet.missing_slots(item.spec.name)
             if not self._needs_replica(item, missing_slots):
                 return
             candidate = self._find_by_benefit(batch.fleet, item, missing_slots)
             if candidate is None:
                 return
             why = f"{missing_slots / item.service_s:.1f} requests/s too many"
-            self._add_moves(batch, candidate, item.need, why)
+            self._add_moves(batch, candidate, item.spec, why)
 
     def _add_second_data_centres(self, batch: placement_policy.Batch) -> None:
         """Load models that are in one data centre into free memory of another."""
         max_free_mb = _max_free_mb(batch.fleet)
-        for item in batch.fleet.demanded_by_name.values():
+        for item in batch.fleet.demand_by_name.values():
             if batch.full:
                 return
-            if item.need.base or item.need.room_mb > max_free_mb:
+            if item.spec.base or item.spec.required_mb > max_free_mb:
                 continue
-            sites = batch.fleet.replicas(item.need.name)
-            used_data_centres = {site.data_centre for site in sites}
+            views = batch.fleet.replicas(item.spec.name)
+            used_data_centres = {view.data_centre for view in views}
             if len(used_data_centres) > 1:
                 continue
             candidate = self._find_free_memory(batch.fleet, item, used_data_centres)
             if candidate is not None:
-                self._add_moves(batch, candidate, item.need, "a second data centre")
+                self._add_moves(batch, candidate, item.spec, "a second data centre")
 
     def _fill_free_memory(self, batch: placement_policy.Batch) -> None:
         """Fill free memory with more replicas of the models in demand.
@@ -146,18 +146,20 @@
         max_free_mb = _max_free_mb(batch.fleet)
         in_demand = [
             item
-            for item in batch.fleet.demanded_by_name.values()
-            if item.places > MIN_DEMAND_SLOTS
-            and item.need.room_mb <= max_free_mb
-            and not item.need.base
+            for item in batch.fleet.demand_by_name.values()
+            if item.batch_slots > MIN_DEMAND_SLOTS
+            and item.spec.required_mb <= max_free_mb
+            and not item.spec.base
         ]
-        in_demand.sort(key=lambda item: -item.places / (1 + len(item.share_by_site)))
+        in_demand.sort(
+            key=lambda item: -item.batch_slots / (1 + len(item.share_by_view))
+        )
         for item in in_demand:
             if batch.full:
                 return
             candidate = self._find_free_memory(batch.fleet, item)
             if candidate is not None:
-                self._add_moves(batch, candidate, item.need, "stands by in free memory")
+                self._add_moves(batch, candidate, item.spec, "stands by in free memory")
 
     def _place_adapters(self, batch: placement_policy.Batch) -> None:
         """Load adapters onto replicas of their models.
@@ -165,91 +167,93 @@
         Without demand, two replicas hold each adapter, so that an adapter
         stays reachable if one of them is lost. Demand adds more.
         """
-        for item in batch.fleet.demanded_by_name.values():
+        for item in batch.fleet.demand_by_name.values():
             if batch.full:
                 return
-            base = batch.fleet.demanded_by_name.get(item.need.base)
-            if base is None or not base.share_by_site:
+            base = batch.fleet.demand_by_name.get(item.spec.base)
+            if base is None or not base.share_by_view:
                 continue
-            base_replicas = batch.fleet.ready(base.need.name)
+            base_replicas = batch.fleet.ready_replicas(base.spec.name)
             without_adapter = [
-                site for site in base_replicas if site.name not in item.share_by_site
+                view for view in base_replicas if view.name not in item.share_by_view
             ]
             is_needed = (
-                item.places > 0 or len(item.share_by_site) < MIN_ADAPTER_REPLICAS
+                item.batch_slots > 0 or len(item.share_by_view) < MIN_ADAPTER_REPLICAS
             )
             fitting = [
-                site
-                for site in without_adapter
-                if site.free_mb >= item.need.memory_mb and not site.loading
+                view
+                for view in without_adapter
+                if view.free_mb >= item.spec.memory_mb and not view.loading
             ]
             if is_needed and fitting:
-                emptiest = max(fitting, key=lambda site: site.free_slots)
-                batch.load(emptiest, item.need, f"adapter of {item.need.base}")
+                emptiest = max(fitting, key=lambda view: view.free_slots)
+                batch.load(emptiest, item.spec, f"adapter of {item.spec.base}")
 
     def _unload_stale(self, batch: placement_policy.Batch) -> None:
         """Unload undeclared models and old versions."""
-        for site in batch.fleet.site_by_name.values():
-            for key in sorted(site.memory_by_key.keys() - site.leaving - site.loading):
+        for view in batch.fleet.view_by_name.values():
+            for key in sorted(
+                view.memory_by_key.keys() - view.unloading - view.loading
+            ):
                 if self._is_stale(batch.fleet, key):
-                    batch.unload(site, key, "not declared any more")
+                    batch.unload(view, key, "not declared any more")
 
     def _is_stale(self, planned: fleet.Fleet, key: tuple[str, str]) -> bool:
-        item = planned.demanded_by_name.get(key[0])
+        item = planned.demand_by_name.get(key[0])
         if item is None:
             return True
         # The old version stays until the new one is ready.
-        return item.need.version != key[1] and bool(planned.ready(key[0]))
+        return item.spec.version != key[1] and bool(planned.ready_replicas(key[0]))
 
     def _find_free_memory(
         self,
         planned: fleet.Fleet,
-        item: fleet.Demanded,
+        item: fleet.ModelDemand,
         avoided: collections.abc.Set[str] = frozenset(),
     ) -> room.PlacementCandidate | None:
         """Return the best endpoint with enough free memory for a load, or None."""
         used_data_centres = {
-            site.data_centre for site in planned.replicas(item.need.name)
+            view.data_centre for view in planned.replicas(item.spec.name)
         }
         fitting = [
-            site
-            for site in self._candidates(planned, item)
-            if site.free_mb >= item.need.room_mb and site.data_centre not in avoided
+            view
+            for view in self._candidates(planned, item)
+            if view.free_mb >= item.spec.required_mb and view.data_centre not in avoided
         ]
         best = max(
             fitting,
-            key=lambda site: (
-                site.data_centre not in used_data_centres,
-                site.free_slots,
-                site.free_mb,
+            key=lambda view: (
+                view.data_centre not in used_data_centres,
+                view.free_slots,
+                view.free_mb,
             ),
             default=None,
         )
         return None if best is None else room.PlacementCandidate(best)
 
     def _find_by_benefit(
-        self, planned: fleet.Fleet, item: fleet.Demanded, missing_slots: float
+        self, planned: fleet.Fleet, item: fleet.ModelDemand, missing_slots: float
     ) -> room.PlacementCandidate | None:
         """Return the endpoint whose benefit most exceeds its moves, or None."""
         candidates = self._candidates(planned, item)
-        candidates = [site for site in candidates if site.free_slots > 0]
-        candidates.sort(key=lambda site: site.free_slots, reverse=True)
+        candidates = [view for view in candidates if view.free_slots > 0]
+        candidates.sort(key=lambda view: view.free_slots, reverse=True)
         best, best_benefit = None, 0.0
         evaluated = 0
-        for site in candidates:
-            gain = min(missing_slots, site.free_slots) / item.service_s
-            victims = room.find_victims(planned, site, item.need)
+        for view in candidates:
+            gain = min(missing_slots, view.free_slots) / item.service_s
+            victims = room.find_victims(planned, view, item.spec)
             if victims is None:
                 continue
             eviction_cost = sum(
-                room.eviction_cost(planned, site, key) for key in victims
+                room.eviction_cost(planned, view, key) for key in victims
             )
             gain -= eviction_cost
             move_cost = self.weights.moves * (1 + len(victims))
             benefit = self.weights.attainment * gain - move_cost
             if benefit > best_benefit:
                 best, best_benefit = (
-                    room.PlacementCandidate(site, victims, gain),
+                    room.PlacementCandidate(view, victims, gain),
                     benefit,
                 )
             evaluated += 1
@@ -258,7 +262,7 @@
         return best
 
     def _find_by_eviction(
-        self, batch: placement_policy.Batch, item: fleet.Demanded
+        self, batch: placement_policy.Batch, item: fleet.ModelDemand
     ) -> room.PlacementCandidate | None:
         """Return the endpoint with the lowest eviction cost, or None.
 
@@ -267,17 +271,17 @@
         then evicts the originals as surplus.
         """
         candidates = []
-        for site in batch.fleet.site_by_name.values():
-            busy = bool(site.loading or site.leaving)
-            if not site.open or busy or item.need.key in site.memory_by_key:
+        for view in batch.fleet.view_by_name.values():
+            busy = bool(view.loading or view.unloading)
+            if not view.open or busy or item.spec.key in view.memory_by_key:
                 continue
-            victims = room.find_victims(batch.fleet, site, item.need)
+            victims = room.find_victims(batch.fleet, view, item.spec)
             if victims is not None:
                 eviction_cost = sum(
-                    room.eviction_cost(batch.fleet, site, key) for key in victims
+                    room.eviction_cost(batch.fleet, view, key) for key in victims
                 )
                 candidates.append(
-                    room.PlacementCandidate(site, victims, -eviction_cost)
+                    room.PlacementCandidate(view, victims, -eviction_cost)
                 )
         if candidates:
             return max(
@@ -287,42 +291,42 @@
         return None
 
     def _copy_to_free_memory(
-        self, batch: placement_policy.Batch, item: fleet.Demanded
+        self, batch: placement_policy.Batch, item: fleet.ModelDemand
     ) -> None:
-        sites = [
-            site
-            for site in batch.fleet.site_by_name.values()
-            if site.open and site.memory_mb >= item.need.room_mb
+        views = [
+            view
+            for view in batch.fleet.view_by_name.values()
+            if view.open and view.memory_mb >= item.spec.required_mb
         ]
-        sites.sort(key=lambda site: site.free_mb, reverse=True)
-        for site in sites[:MAX_EVICTION_CANDIDATES]:
+        views.sort(key=lambda view: view.free_mb, reverse=True)
+        for view in views[:MAX_EVICTION_CANDIDATES]:
             copies = room.copies_before_eviction(
-                batch.fleet, site, item.need, self._candidates
+                batch.fleet, view, item.spec, self._candidates
             )
             if copies and len(copies) <= batch.loads:
                 for copy in copies:
-                    batch.load(copy.site, copy.need, f"room for {item.need.name}")
+                    batch.load(copy.view, copy.spec, f"room for {item.spec.name}")
                 return
 
     def _add_moves(
         self,
         batch: placement_policy.Batch,
         candidate: room.PlacementCandidate,
-        need: fleet.Need,
+        spec: fleet.ModelSpec,
         reason: str,
     ) -> None:
-        why = f"room for {need.name}"
+        why = f"room for {spec.name}"
         for key in candidate.victims:
             for name in batch.fleet.adapters_by_model.get(key[0], ()):
-                adapter = batch.fleet.demanded_by_name[name].need
-                if name in candidate.site.names:
-                    batch.unload(candidate.site, adapter.key, why)
-            batch.unload(candidate.site, key, why)
-        batch.load(candidate.site, need, reason)
+                adapter = batch.fleet.demand_by_name[name].spec
+                if name in candidate.view.names:
+                    batch.unload(candidate.view, adapter.key, why)
+            batch.unload(candidate.view, key, why)
+        batch.load(candidate.view, spec, reason)
 
     def _candidates(
-        self, planned: fleet.Fleet, item: fleet.Demanded
-    ) -> list[fleet.Site]:
+        self, planned: fleet.Fleet, item: fleet.ModelDemand
+    ) -> list[fleet.EndpointView]:
         """Return open endpoints that can load a model; a sample in a large fleet.
 
         An endpoint gets one load at a time: a second load would only queue
@@ -332,29 +336,29 @@
         in the fleet size. A sample of 64 endpoints misses the best tenth of a
         large fleet once in 850 times.
         """
-        sites = list(planned.site_by_name.values())
-        if len(sites) > 4 * MAX_CANDIDATES:
+        views = list(planned.view_by_name.values())
+        if len(views) > 4 * MAX_CANDIDATES:
             sampled = self._filter_loadable(
-                self.random.sample(sites, MAX_CANDIDATES), item
+                self.random.sample(views, MAX_CANDIDATES), item
             )
-            if any(site.free_mb >= item.need.room_mb for site in sampled):
+            if any(view.free_mb >= item.spec.required_mb for view in sampled):
                 return sampled
-        return self._filter_loadable(sites, item)
+        return self._filter_loadable(views, item)
 
     def _filter_loadable(
-        self, sites: list[fleet.Site], item: fleet.Demanded
-    ) -> list[fleet.Site]:
+        self, views: list[fleet.EndpointView], item: fleet.ModelDemand
+    ) -> list[fleet.EndpointView]:
         return [
-            site
-            for site in sites
-            if site.open
-            and not site.loading
-            and site.memory_mb >= item.need.room_mb
-            and item.need.key not in site.memory_by_key
+            view
+            for view in views
+            if view.open
+            and not view.loading
+            and view.memory_mb >= item.spec.required_mb
+            and item.spec.key not in view.memory_by_key
         ]
 
 
 def _max_free_mb(planned: fleet.Fleet) -> int:
     """Return the largest free memory of an endpoint that can load now, MB."""
-    sites = planned.site_by_name.values()
-    return max((s.free_mb for s in sites if s.open and not s.loading), default=0)
+    views = planned.view_by_name.values()
+    return max((s.free_mb for s in views if s.open and not s.loading), default=0)
--- a/packages/mothworks/src/mothworks/placement_policy.py
+++ b/packages/mothworks/src/mothworks/placement_policy.py
@@ -38,28 +38,28 @@
         """Return whether the weight store's limit permits no further load."""
         return self.loads <= 0
 
-    def load(self, site: fleet.Site, need: fleet.Need, why: str) -> None:
+    def load(self, view: fleet.EndpointView, spec: fleet.ModelSpec, why: str) -> None:
         """Add a load.
 
-        :param site: the endpoint.
-        :param need: the model or adapter.
+        :param view: the endpoint.
+        :param spec: the model or adapter.
         :param why: the reason, for the audit trail.
         """
         self.loads -= 1
-        self.fleet.load(site, need)
+        self.fleet.load(view, spec)
         move = move_messages.Move(
-            site.name, endpoints.OrderKind.LOAD, need.name, need.version, why
+            view.name, endpoints.OrderKind.LOAD, spec.name, spec.version, why
         )
         self.moves.append(move)
 
-    def unload(self, site: fleet.Site, key: tuple[str, str], why: str) -> None:
+    def unload(self, view: fleet.EndpointView, key: tuple[str, str], why: str) -> None:
         """Add an unload.
 
-        :param site: the endpoint.
+        :param view: the endpoint.
         :param key: name and version.
         :param why: the reason, for the audit trail.
         """
-        self.fleet.unload(site, key)
+        self.fleet.unload(view, key)
         self.moves.append(
-            move_messages.Move(site.name, endpoints.OrderKind.UNLOAD, *key, why)
+            move_messages.Move(view.name, endpoints.OrderKind.UNLOAD, *key, why)
         )
--- a/packages/mothworks/src/mothworks/region_plan.py
+++ b/packages/mothworks/src/mothworks/region_plan.py
@@ -106,17 +106,19 @@
         self.declared_at = {
             name: self.declared_at.get(name, now) for name in self.endpoint_by_name
         }
-        for name in self.fleet.site_by_name.keys() - self.endpoint_by_name.keys():
+        for name in self.fleet.view_by_name.keys() - self.endpoint_by_name.keys():
             self.fleet.remove(name)
-        for name, site in self.fleet.site_by_name.items():
-            self._update_endpoint(site, self.endpoint_by_name[name])
-        self.fleet.declare(needs(index.catalogue))
+        for name, view in self.fleet.view_by_name.items():
+            self._update_endpoint(view, self.endpoint_by_name[name])
+        self.fleet.declare(model_specs(index.catalogue))
         self.changed_endpoints.update(self.holdings_by_endpoint)
 
-    def _update_endpoint(self, site: fleet.Site, declared: catalogue.Endpoint) -> None:
-        site.data_centre = declared.data_centre
-        site.memory_mb = declared.memory_mb
-        site.places = declared.slots * fleet.PLANNED_UTILISATION
+    def _update_endpoint(
+        self, view: fleet.EndpointView, declared: catalogue.Endpoint
+    ) -> None:
+        view.data_centre = declared.data_centre
+        view.memory_mb = declared.memory_mb
+        view.batch_slots = declared.slots * fleet.PLANNED_UTILISATION
 
     def take(self, holdings: move_messages.Holdings) -> None:
         """Store an owner's report unless a newer one is stored.
@@ -188,16 +190,16 @@
     def _set_demand(self, book: demand.Book) -> None:
         slots_by_name = collections.Counter()
         service_s_by_name = {}
-        for name, demanded in self.fleet.demanded_by_name.items():
+        for name, model_demand in self.fleet.demand_by_name.items():
             averages = book.averages_by_name.get(name)
             if averages is not None:
                 # A request for an adapter uses a batch slot of its model's endpoint.
-                slots_by_name[demanded.need.base or name] += averages.batch_slots
+                slots_by_name[model_demand.spec.base or name] += averages.batch_slots
                 slots_by_name[name] += (
-                    averages.batch_slots if demanded.need.base else 0.0
+                    averages.batch_slots if model_demand.spec.base else 0.0
                 )
                 service_s_by_name[name] = averages.service_s
-        for name in self.fleet.demanded_by_name:
+        for name in self.fleet.demand_by_name:
             service_s = service_s_by_name.get(name, demand.DEFAULT_SERVICE_S)
             self.fleet.set_demand(name, slots_by_name[name], service_s)
 
@@ -213,66 +215,68 @@
                     self.changed_endpoints.add(name)
 
     def _update_open(self, open_endpoints: frozenset[str]) -> None:
-        for site in self.fleet.site_by_name.values():
-            is_open = site.name in open_endpoints
-            if site.open != is_open:
-                site.open = is_open
-                self.fleet.refresh(site)
+        for view in self.fleet.view_by_name.values():
+            is_open = view.name in open_endpoints
+            if view.open != is_open:
+                view.open = is_open
+                self.fleet.refresh(view)
 
     def _apply_report(self, name: str) -> None:
         """Update one endpoint from its owner's report."""
         holdings = self.holdings_by_endpoint[name]
-        site = self.fleet.site_by_name.get(name)
-        if site is None:
-            site = fleet.Site(name, "", 0, 1.0, open=False)
-            self._update_endpoint(site, self.endpoint_by_name[name])
-            self.fleet.add(site)
+        view = self.fleet.view_by_name.get(name)
+        if view is None:
+            view = fleet.EndpointView(name, "", 0, 1.0, open=False)
+            self._update_endpoint(view, self.endpoint_by_name[name])
+            self.fleet.add(view)
         keys = zip(holdings.names, holdings.versions, strict=True)
-        site.memory_by_key = dict(zip(keys, holdings.reserved_mb, strict=True))
-        site.free_mb = holdings.free_mb
-        site.loading = set()
-        site.leaving = set()
-        self._apply_pending(site, holdings)
+        view.memory_by_key = dict(zip(keys, holdings.reserved_mb, strict=True))
+        view.free_mb = holdings.free_mb
+        view.loading = set()
+        view.unloading = set()
+        self._apply_pending(view, holdings)
         for move in list(self.outstanding[name]):
-            self._apply_outstanding(site, move)
-        self.fleet.refresh(site)
+            self._apply_outstanding(view, move)
+        self.fleet.refresh(view)
 
     def _apply_pending(
-        self, site: fleet.Site, holdings: move_messages.Holdings
+        self, view: fleet.EndpointView, holdings: move_messages.Holdings
     ) -> None:
         key = (holdings.pending_name, holdings.pending_version)
         match holdings.pending_kind:
             case endpoints.OrderKind.LOAD:
-                site.loading.add(key)
-                site.memory_by_key[key] = self._memory_mb(holdings.pending_name)
-            case endpoints.OrderKind.UNLOAD if key in site.memory_by_key:
-                site.leaving.add(key)
+                view.loading.add(key)
+                view.memory_by_key[key] = self._memory_mb(holdings.pending_name)
+            case endpoints.OrderKind.UNLOAD if key in view.memory_by_key:
+                view.unloading.add(key)
 
-    def _apply_outstanding(self, site: fleet.Site, move: move_messages.Move) -> None:
+    def _apply_outstanding(
+        self, view: fleet.EndpointView, move: move_messages.Move
+    ) -> None:
         key = (move.name, move.version)
         match move.kind:
-            case endpoints.OrderKind.LOAD if key in site.memory_by_key:
-                del self.outstanding[site.name][move]
+            case endpoints.OrderKind.LOAD if key in view.memory_by_key:
+                del self.outstanding[view.name][move]
             case endpoints.OrderKind.LOAD:
                 memory_mb = self._memory_mb(move.name)
-                site.memory_by_key[key] = memory_mb
-                site.loading.add(key)
-                site.free_mb -= memory_mb
-            case endpoints.OrderKind.UNLOAD if key not in site.memory_by_key:
-                del self.outstanding[site.name][move]
-            case endpoints.OrderKind.UNLOAD if key not in site.leaving:
-                site.leaving.add(key)
-                site.free_mb += site.memory_by_key[key]
+                view.memory_by_key[key] = memory_mb
+                view.loading.add(key)
+                view.free_mb -= memory_mb
+            case endpoints.OrderKind.UNLOAD if key not in view.memory_by_key:
+                del self.outstanding[view.name][move]
+            case endpoints.OrderKind.UNLOAD if key not in view.unloading:
+                view.unloading.add(key)
+                view.free_mb += view.memory_by_key[key]
 
     def _memory_mb(self, name: str) -> int:
-        demanded = self.fleet.demanded_by_name.get(name)
-        return demanded.need.memory_mb if demanded else 0
+        model_demand = self.fleet.demand_by_name.get(name)
+        return model_demand.spec.memory_mb if model_demand else 0
 
     def _running_loads(self) -> int:
-        return sum(len(site.loading) for site in self.fleet.site_by_name.values())
+        return sum(len(view.loading) for view in self.fleet.view_by_name.values())
 
 
-def needs(declared: catalogue.Catalogue) -> list[fleet.Need]:
+def model_specs(declared: catalogue.Catalogue) -> list[fleet.ModelSpec]:
     """Return the models and adapters that a catalogue requires, models first.
 
     :param declared: the catalogue.
@@ -282,7 +286,7 @@
     for adapter in declared.adapters:
         adapter_reserve_by_model[adapter.model] += adapter.memory_mb
     models = [
-        fleet.Need(
+        fleet.ModelSpec(
             item.name,
             item.version,
             item.memory_mb + item.working_mb,
@@ -292,7 +296,7 @@
         for item in declared.models
     ]
     adapters = [
-        fleet.Need(
+        fleet.ModelSpec(
             item.name,
             version_by_model[item.model],
             item.memory_mb,
--- a/packages/mothworks/src/mothworks/relocations.py
+++ b/packages/mothworks/src/mothworks/relocations.py
@@ -76,22 +76,22 @@
 
 
 def _problem(planned: fleet.Fleet, relocation: Relocation) -> str | None:
-    demanded = planned.demanded_by_name.get(relocation.model)
-    source = planned.site_by_name.get(relocation.source)
-    target = planned.site_by_name.get(relocation.target)
-    if demanded is None or demanded.need.base:
+    model_demand = planned.demand_by_name.get(relocation.model)
+    source = planned.view_by_name.get(relocation.source)
+    target = planned.view_by_name.get(relocation.target)
+    if model_demand is None or model_demand.spec.base:
         return f"no model is named {relocation.model!r}"
     if source is None or target is None:
         missing = relocation.source if source is None else relocation.target
         return f"the planner has no report of an endpoint {missing!r} in its region"
-    key = demanded.need.key
-    if key not in source.memory_by_key or key in source.leaving | source.loading:
+    key = model_demand.spec.key
+    if key not in source.memory_by_key or key in source.unloading | source.loading:
         return f"{relocation.model!r} is not resident on {relocation.source!r}"
     if key in target.memory_by_key:
         return f"{relocation.target!r} has {relocation.model!r} already"
     if not target.open:
         return f"{relocation.target!r} takes no new work"
-    needed_mb = sum(need.memory_mb for need in _needs(planned, relocation))
+    needed_mb = sum(spec.memory_mb for spec in _specs(planned, relocation))
     if target.free_mb < needed_mb:
         return (
             f"{relocation.target!r} has {target.free_mb} MB free; {relocation.model!r} "
@@ -100,56 +100,56 @@
     return None
 
 
-def _needs(planned: fleet.Fleet, relocation: Relocation) -> list[fleet.Need]:
+def _specs(planned: fleet.Fleet, relocation: Relocation) -> list[fleet.ModelSpec]:
     """Return what the target must load, the model first."""
-    source = planned.site_by_name[relocation.source]
+    source = planned.view_by_name[relocation.source]
     adapters = planned.adapters_by_model.get(relocation.model, set())
     names = [relocation.model, *sorted(adapters)]
-    needs = [planned.demanded_by_name[name].need for name in names]
-    return [needs[0], *(need for need in needs[1:] if need.key in source.memory_by_key)]
+    specs = [planned.demand_by_name[name].spec for name in names]
+    return [specs[0], *(spec for spec in specs[1:] if spec.key in source.memory_by_key)]
 
 
 def _next_moves(
     planned: fleet.Fleet, relocation: Relocation, loads: int
 ) -> list[move_messages.Move]:
-    source = planned.site_by_name.get(relocation.source)
-    target = planned.site_by_name.get(relocation.target)
+    source = planned.view_by_name.get(relocation.source)
+    target = planned.view_by_name.get(relocation.target)
     if (
         source is None
         or target is None
-        or relocation.model not in planned.demanded_by_name
+        or relocation.model not in planned.demand_by_name
     ):
         return []
-    needs = _needs(planned, relocation)
-    for need in needs:
-        if need.key in target.loading:
+    specs = _specs(planned, relocation)
+    for spec in specs:
+        if spec.key in target.loading:
             return []
-        if need.key not in target.memory_by_key:
-            if loads <= 0 or target.free_mb < need.memory_mb:
+        if spec.key not in target.memory_by_key:
+            if loads <= 0 or target.free_mb < spec.memory_mb:
                 return []
-            planned.load(target, need)
-            return [_move(target, endpoints.OrderKind.LOAD, need, relocation)]
+            planned.load(target, spec)
+            return [_move(target, endpoints.OrderKind.LOAD, spec, relocation)]
     moves = []
-    for need in reversed(needs):
-        if need.key in source.memory_by_key and need.key not in source.leaving:
-            planned.unload(source, need.key)
-            moves.append(_move(source, endpoints.OrderKind.UNLOAD, need, relocation))
+    for spec in reversed(specs):
+        if spec.key in source.memory_by_key and spec.key not in source.unloading:
+            planned.unload(source, spec.key)
+            moves.append(_move(source, endpoints.OrderKind.UNLOAD, spec, relocation))
     return moves
 
 
 def _move(
-    site: fleet.Site,
+    view: fleet.EndpointView,
     kind: endpoints.OrderKind,
-    need: fleet.Need,
+    spec: fleet.ModelSpec,
     relocation: Relocation,
 ) -> move_messages.Move:
     why = f"move from {relocation.source} to {relocation.target}: {relocation.why}"
-    return move_messages.Move(site.name, kind, need.name, need.version, why)
+    return move_messages.Move(view.name, kind, spec.name, spec.version, why)
 
 
 def _is_done(planned: fleet.Fleet, relocation: Relocation) -> bool:
-    demanded = planned.demanded_by_name.get(relocation.model)
-    source = planned.site_by_name.get(relocation.source)
-    if demanded is None or source is None:
+    model_demand = planned.demand_by_name.get(relocation.model)
+    source = planned.view_by_name.get(relocation.source)
+    if model_demand is None or source is None:
         return True
-    return demanded.need.key not in source.memory_by_key
+    return model_demand.spec.key not in source.memory_by_key
--- a/packages/mothworks/src/mothworks/room.py
+++ b/packages/mothworks/src/mothworks/room.py
@@ -9,7 +9,7 @@
 
 #: Returns the endpoints that can load a model.
 FindCandidates = collections.abc.Callable[
-    [fleet.Fleet, fleet.Demanded], list[fleet.Site]
+    [fleet.Fleet, fleet.ModelDemand], list[fleet.EndpointView]
 ]
 
 
@@ -17,12 +17,12 @@
 class PlacementCandidate:
     """An endpoint for a load, with the evictions that the load requires.
 
-    :param site: the endpoint.
+    :param view: the endpoint.
     :param victims: keys to unload before the load.
     :param gain: additional requests/s that meet their target.
     """
 
-    site: fleet.Site
+    view: fleet.EndpointView
     victims: tuple[tuple[str, str], ...] = ()
     gain: float = 0.0
 
@@ -31,40 +31,42 @@
 class ReplicaCopy:
     """A load on another endpoint that makes the original replica evictable.
 
-    :param site: the endpoint that loads the copy.
-    :param need: the model.
+    :param view: the endpoint that loads the copy.
+    :param spec: the model.
     """
 
-    site: fleet.Site
-    need: fleet.Need
+    view: fleet.EndpointView
+    spec: fleet.ModelSpec
 
 
 def find_victims(
-    planned: fleet.Fleet, site: fleet.Site, need: fleet.Need
+    planned: fleet.Fleet, view: fleet.EndpointView, spec: fleet.ModelSpec
 ) -> tuple[tuple[str, str], ...] | None:
     """Return surplus residents to evict for a load, or None if too few.
 
     :param planned: the fleet.
-    :param site: the endpoint.
-    :param need: what is to be loaded.
+    :param view: the endpoint.
+    :param spec: what is to be loaded.
     """
-    missing_mb = need.room_mb - site.free_mb
+    missing_mb = spec.required_mb - view.free_mb
     if missing_mb <= 0:
         return ()
-    evictable = [key for key in site.memory_by_key if is_evictable(planned, site, key)]
-    evictable.sort(key=lambda key: (used_slots(planned, site, key), key))
+    evictable = [key for key in view.memory_by_key if is_evictable(planned, view, key)]
+    evictable.sort(key=lambda key: (resident_slots(planned, view, key), key))
     victims = []
     for key in evictable:
         if missing_mb <= 0:
             break
         victims.append(key)
-        missing_mb -= site.memory_by_key[key]
+        missing_mb -= view.memory_by_key[key]
     if missing_mb > 0:
         return None
     return tuple(victims)
 
 
-def is_evictable(planned: fleet.Fleet, site: fleet.Site, key: tuple[str, str]) -> bool:
+def is_evictable(
+    planned: fleet.Fleet, view: fleet.EndpointView, key: tuple[str, str]
+) -> bool:
     """Return whether a resident is surplus.
 
     A resident is surplus if it is undeclared, if its new version is ready, or
@@ -72,58 +74,60 @@
     never surplus, nor is a model beside the only ready replica of an adapter.
 
     :param planned: the fleet.
-    :param site: the endpoint.
+    :param view: the endpoint.
     :param key: name and version of the resident.
     """
-    if key in site.leaving or key in site.loading:
+    if key in view.unloading or key in view.loading:
         return False
-    item = planned.demanded_by_name.get(key[0])
+    item = planned.demand_by_name.get(key[0])
     if item is None:
         return True
-    if item.need.version != key[1]:
-        return bool(planned.ready(key[0]))
+    if item.spec.version != key[1]:
+        return bool(planned.ready_replicas(key[0]))
     for name in planned.adapters_by_model.get(key[0], ()):
-        if name in site.names and planned.ready(name) == [site]:
+        if name in view.names and planned.ready_replicas(name) == [view]:
             return False
-    if item.need.base:
+    if item.spec.base:
         return False
-    others = [other for other in planned.ready(key[0]) if other is not site]
-    return len(others) >= item.need.replicas
+    others = [other for other in planned.ready_replicas(key[0]) if other is not view]
+    return len(others) >= item.spec.replicas
 
 
-def used_slots(planned: fleet.Fleet, site: fleet.Site, key: tuple[str, str]) -> float:
+def resident_slots(
+    planned: fleet.Fleet, view: fleet.EndpointView, key: tuple[str, str]
+) -> float:
     """Return the batch slots that a resident's demand uses.
 
     :param planned: the fleet.
-    :param site: the endpoint.
+    :param view: the endpoint.
     :param key: name and version of the resident.
     """
-    item = planned.demanded_by_name.get(key[0])
-    return 0.0 if item is None else item.share_by_site.get(site.name, 0.0)
+    item = planned.demand_by_name.get(key[0])
+    return 0.0 if item is None else item.share_by_view.get(view.name, 0.0)
 
 
 def eviction_cost(
-    planned: fleet.Fleet, site: fleet.Site, key: tuple[str, str]
+    planned: fleet.Fleet, view: fleet.EndpointView, key: tuple[str, str]
 ) -> float:
     """Return the requests/s that an eviction leaves unserved.
 
     :param planned: the fleet.
-    :param site: the endpoint.
+    :param view: the endpoint.
     :param key: name and version of the resident.
     """
-    demanded_slots = used_slots(planned, site, key)
+    demanded_slots = resident_slots(planned, view, key)
     if not demanded_slots:
         return 0.0
-    others = [other for other in planned.replicas(key[0]) if other is not site]
+    others = [other for other in planned.replicas(key[0]) if other is not view]
     free_slots = sum(max(0.0, other.free_slots) for other in others)
-    service_s = planned.demanded_by_name[key[0]].service_s
+    service_s = planned.demand_by_name[key[0]].service_s
     return max(0.0, demanded_slots - free_slots) / service_s
 
 
 def copies_before_eviction(
     planned: fleet.Fleet,
-    site: fleet.Site,
-    need: fleet.Need,
+    view: fleet.EndpointView,
+    spec: fleet.ModelSpec,
     find_candidates: FindCandidates,
 ) -> list[ReplicaCopy]:
     """Return copies to load elsewhere so that an endpoint can evict enough.
@@ -131,33 +135,34 @@
     Returns an empty list if copies would not help or none are needed.
 
     :param planned: the fleet.
-    :param site: the endpoint that evicts.
-    :param need: the model to load there.
+    :param view: the endpoint that evicts.
+    :param spec: the model to load there.
     :param find_candidates: returns the endpoints that can load a copy.
     """
-    missing_mb = need.room_mb - site.free_mb
+    missing_mb = spec.required_mb - view.free_mb
     reserved_mb: collections.Counter[str] = collections.Counter()
     copies_to_make = []
-    for key in sorted(site.memory_by_key, key=site.memory_by_key.get):
+    for key in sorted(view.memory_by_key, key=view.memory_by_key.get):
         if missing_mb <= 0:
             break
-        other = planned.demanded_by_name.get(key[0])
-        if other is None or other.need.base or other.need.version != key[1]:
+        other = planned.demand_by_name.get(key[0])
+        if other is None or other.spec.base or other.spec.version != key[1]:
             continue
-        if key in site.leaving or key in site.loading:
+        if key in view.unloading or key in view.loading:
             continue
-        missing_mb -= site.memory_by_key[key]
-        if is_evictable(planned, site, key):
+        missing_mb -= view.memory_by_key[key]
+        if is_evictable(planned, view, key):
             continue
         fitting = [
             candidate
             for candidate in find_candidates(planned, other)
-            if candidate is not site
-            and candidate.free_mb - reserved_mb[candidate.name] >= other.need.room_mb
+            if candidate is not view
+            and candidate.free_mb - reserved_mb[candidate.name]
+            >= other.spec.required_mb
         ]
         if not fitting:
             return []
         least_free = min(fitting, key=lambda candidate: candidate.free_mb)
-        reserved_mb[least_free.name] += other.need.room_mb
-        copies_to_make.append(ReplicaCopy(least_free, other.need))
+        reserved_mb[least_free.name] += other.spec.required_mb
+        copies_to_make.append(ReplicaCopy(least_free, other.spec))
     return copies_to_make if missing_mb <= 0 else []
--- a/packages/mothworks/tests/test_relocations.py
+++ b/packages/mothworks/tests/test_relocations.py
@@ -20,11 +20,11 @@
     declared = builders.make_catalogue(
         adapters=(catalogue.Adapter("menu-es", "menu", 200),)
     )
-    planned.declare(region_plan.needs(declared))
-    first = fleet.Site("engine-1", "dc-1", 50_000, 8.0, free_mb=29_800)
+    planned.declare(region_plan.model_specs(declared))
+    first = fleet.EndpointView("engine-1", "dc-1", 50_000, 8.0, free_mb=29_800)
     first.memory_by_key = {MENU: 20_000, SPANISH: 200}
     planned.add(first)
-    planned.add(fleet.Site("engine-2", "dc-1", 50_000, 8.0, free_mb=50_000))
+    planned.add(fleet.EndpointView("engine-2", "dc-1", 50_000, 8.0, free_mb=50_000))
     return planned
 
 
@@ -33,7 +33,7 @@
 
 
 def finish_loads(planned):
-    target = planned.site_by_name["engine-2"]
+    target = planned.view_by_name["engine-2"]
     target.loading.clear()
     planned.refresh(target)
 
@@ -74,11 +74,11 @@
     )
     reverse = make_relocation("engine-2", "engine-1")
     assert "not resident" in pending.accept(planned, reverse).unwrap_err()
-    planned.site_by_name["engine-2"].free_mb = 20_100
+    planned.view_by_name["engine-2"].free_mb = 20_100
     problem = pending.accept(planned, make_relocation()).unwrap_err()
     assert "20100 MB free" in problem
     assert "20200 MB" in problem
-    planned.site_by_name["engine-2"].free_mb = 50_000
+    planned.view_by_name["engine-2"].free_mb = 50_000
     pending.accept(planned, make_relocation()).unwrap()
     assert "already" in pending.accept(planned, make_relocation()).unwrap_err()
 
@@ -92,12 +92,12 @@
 
 def test_verdicts_on_endpoints_state_the_missing_memory():
     planned = make_fleet()
-    first, second = planned.site_by_name.values()
-    menu = planned.demanded_by_name["menu"].need
+    first, second = planned.view_by_name.values()
+    menu = planned.demand_by_name["menu"].spec
     assert local_facts.verdict(first, menu) == "is resident there"
     assert local_facts.verdict(second, menu) == "fits"
     second.free_mb = 1000
-    missing_mb = menu.room_mb - 1000
+    missing_mb = menu.required_mb - 1000
     assert local_facts.verdict(second, menu) == f"{missing_mb} MB are missing"
     second.memory_mb = 2000
     assert local_facts.verdict(second, menu) == "never fits: 2000 MB in all"
--- a/packages/mothworks_fakes/src/mothworks_fakes/placement_baselines.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/placement_baselines.py
@@ -23,15 +23,15 @@
 
     def __init__(self, weights: catalogue.Weights):
         super().__init__(weights)
-        self.wanted: dict[str, list[fleet.Need]] = {}
+        self.wanted: dict[str, list[fleet.ModelSpec]] = {}
 
     def plan(self, planned: fleet.Fleet, loads: int) -> list[move_messages.Move]:
         """Load what the split gives each endpoint; see the base class."""
-        if not self.wanted and all(s.open for s in planned.site_by_name.values()):
+        if not self.wanted and all(s.open for s in planned.view_by_name.values()):
             self.wanted = self._split(planned)
         batch = placement_policy.Batch(planned, loads)
         for name, needs in self.wanted.items():
-            site = planned.site_by_name[name]
+            site = planned.view_by_name[name]
             for need in needs:
                 if batch.full or not site.open:
                     break
@@ -39,12 +39,12 @@
                     batch.load(site, need, "static")
         return batch.moves
 
-    def _split(self, planned: fleet.Fleet) -> dict[str, list[fleet.Need]]:
-        free_mb = {name: site.memory_mb for name, site in planned.site_by_name.items()}
+    def _split(self, planned: fleet.Fleet) -> dict[str, list[fleet.ModelSpec]]:
+        free_mb = {name: site.memory_mb for name, site in planned.view_by_name.items()}
         wanted = collections.defaultdict(list)
-        needs = [item.need for item in planned.demanded_by_name.values()]
+        needs = [item.spec for item in planned.demand_by_name.values()]
         needs = [need for need in needs if not need.base]
-        needs.sort(key=lambda need: -need.room_mb)
+        needs.sort(key=lambda need: -need.required_mb)
         placed = True
         while placed:
             placed = False
@@ -52,12 +52,12 @@
                 fitting = [
                     name
                     for name in free_mb
-                    if free_mb[name] >= need.room_mb and need not in wanted[name]
+                    if free_mb[name] >= need.required_mb and need not in wanted[name]
                 ]
                 if fitting:
                     emptiest = max(fitting, key=free_mb.get)
                     wanted[emptiest].append(need)
-                    free_mb[emptiest] -= need.room_mb
+                    free_mb[emptiest] -= need.required_mb
                     placed = True
         return wanted
 
@@ -86,42 +86,42 @@
         """Load what was asked for; see the base class."""
         self.clock += 1
         batch = placement_policy.Batch(planned, loads)
-        for name, item in planned.demanded_by_name.items():
+        for name, item in planned.demand_by_name.items():
             asked = self.used_at[name] >= self.clock - 1
-            lacking = planned.excess(name) > 0
-            if not asked or item.need.base or not lacking or batch.full:
+            lacking = planned.missing_slots(name) > 0
+            if not asked or item.spec.base or not lacking or batch.full:
                 continue
             self._load(batch, item)
         return batch.moves
 
-    def _load(self, batch: placement_policy.Batch, item: fleet.Demanded) -> None:
+    def _load(self, batch: placement_policy.Batch, item: fleet.ModelDemand) -> None:
         sites = [
             site
-            for site in batch.fleet.site_by_name.values()
+            for site in batch.fleet.view_by_name.values()
             if site.open
-            and item.need.key not in site.memory_by_key
-            and site.memory_mb >= item.need.room_mb
+            and item.spec.key not in site.memory_by_key
+            and site.memory_mb >= item.spec.required_mb
             and not site.loading
         ]
         if not sites:
             return
         # The endpoint whose residents were asked for the longest ago.
-        site = min(sites, key=lambda site: (self._age(site, item), site.load))
+        site = min(sites, key=lambda site: (self._age(site, item), site.used_slots))
         residents = sorted(
-            site.memory_by_key.keys() - site.leaving,
+            site.memory_by_key.keys() - site.unloading,
             key=lambda key: (self.used_at[key[0]], key),
         )
         for key in residents:
-            if site.free_mb >= item.need.room_mb:
+            if site.free_mb >= item.spec.required_mb:
                 break
             batch.unload(site, key, "least recently used")
-        if site.free_mb >= item.need.room_mb:
-            batch.load(site, item.need, "on demand")
+        if site.free_mb >= item.spec.required_mb:
+            batch.load(site, item.spec, "on demand")
 
-    def _age(self, site: fleet.Site, item: fleet.Demanded) -> int:
-        if site.free_mb >= item.need.room_mb:
+    def _age(self, site: fleet.EndpointView, item: fleet.ModelDemand) -> int:
+        if site.free_mb >= item.spec.required_mb:
             return -1
-        keys = site.memory_by_key.keys() - site.leaving
+        keys = site.memory_by_key.keys() - site.unloading
         return min((self.used_at[key[0]] for key in keys), default=self.clock)
 
 
@@ -135,7 +135,7 @@
     def __init__(self, weights: catalogue.Weights):
         super().__init__(weights)
         self.passes = 0
-        self.wanted: dict[str, list[fleet.Need]] = {}
+        self.wanted: dict[str, list[fleet.ModelSpec]] = {}
 
     def plan(self, planned: fleet.Fleet, loads: int) -> list[move_messages.Move]:
         """Move towards the newest plan; see the base class."""
@@ -143,30 +143,32 @@
             self.wanted = self._recompute(planned)
         self.passes += 1
         batch = placement_policy.Batch(planned, loads)
-        for site in planned.site_by_name.values():
+        for site in planned.view_by_name.values():
             needs = self.wanted.get(site.name, [])
             keys = {need.key for need in needs}
-            for key in sorted(site.memory_by_key.keys() - site.leaving - site.loading):
-                if key not in keys and len(planned.ready(key[0])) > 1:
+            for key in sorted(
+                site.memory_by_key.keys() - site.unloading - site.loading
+            ):
+                if key not in keys and len(planned.ready_replicas(key[0])) > 1:
                     batch.unload(site, key, "recomputed")
             for need in needs:
                 missing = need.key not in site.memory_by_key
-                if missing and not batch.full and site.free_mb >= need.room_mb:
+                if missing and not batch.full and site.free_mb >= need.required_mb:
                     batch.load(site, need, "recomputed")
         return batch.moves
 
-    def _recompute(self, planned: fleet.Fleet) -> dict[str, list[fleet.Need]]:
-        sites = [site for site in planned.site_by_name.values() if site.open]
+    def _recompute(self, planned: fleet.Fleet) -> dict[str, list[fleet.ModelSpec]]:
+        sites = [site for site in planned.view_by_name.values() if site.open]
         free_mb = {site.name: site.memory_mb for site in sites}
-        spare = {site.name: site.places for site in sites}
+        spare = {site.name: site.batch_slots for site in sites}
         wanted = collections.defaultdict(list)
-        items = [i for i in planned.demanded_by_name.values() if not i.need.base]
-        for item in sorted(items, key=lambda item: -item.need.room_mb):
+        items = [i for i in planned.demand_by_name.values() if not i.spec.base]
+        for item in sorted(items, key=lambda item: -item.spec.required_mb):
             self._assign(item, 1, free_mb, spare, wanted)
         mean = sum(spare.values()) / max(1, len(spare))
-        for item in sorted(items, key=lambda item: -item.places):
+        for item in sorted(items, key=lambda item: -item.batch_slots):
             self._assign(
-                item, int(item.places / max(1.0, mean)), free_mb, spare, wanted
+                item, int(item.batch_slots / max(1.0, mean)), free_mb, spare, wanted
             )
         return wanted
 
@@ -175,11 +177,12 @@
             fitting = [
                 name
                 for name in free_mb
-                if free_mb[name] >= item.need.room_mb and item.need not in wanted[name]
+                if free_mb[name] >= item.spec.required_mb
+                and item.spec not in wanted[name]
             ]
             if not fitting:
                 return
             name = max(fitting, key=spare.get)
-            wanted[name].append(item.need)
-            free_mb[name] -= item.need.room_mb
-            spare[name] -= item.places / max(1, count)
+            wanted[name].append(item.spec)
+            free_mb[name] -= item.spec.required_mb
+            spare[name] -= item.batch_slots / max(1, count)
