--- a/packages/mothworks/src/mothworks/demand.py
+++ b/packages/mothworks/src/mothworks/demand.py
@@ -111,13 +111,13 @@
         return self.rate * self.service_s
 
 
-class Book:
+class DemandAverages:
     """Demand averages of all models and adapters of a region."""
 
     def __init__(self):
         self.averages_by_name: dict[str, Averages] = {}
 
-    def take(self, counts: Counts) -> None:
+    def add_counts(self, counts: Counts) -> None:
         """Add an entry VM's counts to the averages.
 
         :param counts: its report.
@@ -157,7 +157,7 @@
         self.membership = node_kernel.get(membership.Membership)
         self.peers = node_kernel.get(peers.Peers)
         self.count_by_name: dict[str, Count] = {}
-        self.book = Book()
+        self.averages = DemandAverages()
         self.peers.handle(Counts, self._receive)
 
     def start(self) -> None:
@@ -194,12 +194,12 @@
         counts = _counts(self.count_by_name)
         self.count_by_name = {}
         if planner.name == self.kernel.settings.name:
-            self.book.take(counts)
+            self.averages.add_counts(counts)
         else:
             self.peers.send(planner.name, counts)
 
     def _receive(self, _: str, counts: Counts, __: typing.Any) -> None:
-        self.book.take(counts)
+        self.averages.add_counts(counts)
 
 
 def _counts(count_by_name: dict[str, Count]) -> Counts:
--- a/packages/mothworks/src/mothworks/endpoint_task.py
+++ b/packages/mothworks/src/mothworks/endpoint_task.py
@@ -109,7 +109,7 @@
             len(self.queue),
         )
 
-    def under_way(self) -> list[row_classes.MoveRow]:
+    def unfinished_moves(self) -> list[row_classes.MoveRow]:
         """Return the order in progress and the moves queued behind it."""
         owner = self.part.kernel.settings.name
         rows = [
--- a/packages/mothworks/src/mothworks/ledger.py
+++ b/packages/mothworks/src/mothworks/ledger.py
@@ -177,7 +177,7 @@
 IntentError = InsufficientMemory | OrderPending | NoEffect
 
 
-def intend(
+def add_intent(
     ledger: Ledger,
     kind: endpoints.OrderKind,
     holding: Holding,
--- a/packages/mothworks/src/mothworks/local_facts.py
+++ b/packages/mothworks/src/mothworks/local_facts.py
@@ -75,7 +75,9 @@
 
     def _order_rows(self, target: str) -> list[row_classes.MoveRow]:
         """Return unfinished orders of a model; all where empty."""
-        return [row for row in self.orders.under_way() if target in ("", row.model)]
+        return [
+            row for row in self.orders.unfinished_moves() if target in ("", row.model)
+        ]
 
     def _load_target_rows(self, model: str) -> list[reason_rows.LoadTargetRow]:
         """Return where a model could be loaded; empty on VMs that do not plan.
--- a/packages/mothworks/src/mothworks/moves.py
+++ b/packages/mothworks/src/mothworks/moves.py
@@ -78,7 +78,7 @@
         :param kind: the kind of order.
         :param holding: what to load or unload.
         """
-        with_intent = ledger.intend(
+        with_intent = ledger.add_intent(
             self.current,
             kind,
             holding,
--- a/packages/mothworks/src/mothworks/operator_moves.py
+++ b/packages/mothworks/src/mothworks/operator_moves.py
@@ -113,9 +113,9 @@
             request.source,
             request.target,
             request.why,
-            time.monotonic() + relocations.PATIENCE_S,
+            time.monotonic() + relocations.RELOCATION_TIMEOUT_S,
         )
-        match self.planner.state.relocate(relocation):
+        match self.planner.state.add_relocation(relocation):
             case result.Err(problem):
                 return MoveReply(problem)
         what = f"move {request.model} from {request.source} to {request.target}"
--- a/packages/mothworks/src/mothworks/orders.py
+++ b/packages/mothworks/src/mothworks/orders.py
@@ -127,12 +127,12 @@
             return ledger.Holding(name, version, adapter.memory_mb, base=adapter.model)
         return None
 
-    def under_way(self) -> list[row_classes.MoveRow]:
+    def unfinished_moves(self) -> list[row_classes.MoveRow]:
         """Return the sent and queued orders of owned endpoints."""
         return [
             row
             for _, task in sorted(self.endpoint_task_by_name.items())
-            for row in task.under_way()
+            for row in task.unfinished_moves()
         ]
 
     def _accepts_orders(self, name: str) -> bool:
--- a/packages/mothworks/src/mothworks/packing.py
+++ b/packages/mothworks/src/mothworks/packing.py
@@ -36,26 +36,26 @@
 
     def plan(self, planned: fleet.Fleet, loads: int) -> list[move_messages.Move]:
         """Return the moves to start now; see :meth:`Policy.plan`."""
-        batch = placement_policy.Batch(planned, loads)
-        all_resident = self._load_missing_models(batch)
-        self._add_declared_replicas(batch)
-        self._add_demand_replicas(batch)
-        self._place_adapters(batch)
+        pass_moves = placement_policy.PassMoves(planned, loads)
+        all_resident = self._load_missing_models(pass_moves)
+        self._add_declared_replicas(pass_moves)
+        self._add_demand_replicas(pass_moves)
+        self._place_adapters(pass_moves)
         if all_resident:
             # Otherwise a missing model may still need the free memory.
-            self._add_second_data_centres(batch)
-            self._fill_free_memory(batch)
-        self._unload_stale(batch)
-        return batch.moves
+            self._add_second_data_centres(pass_moves)
+            self._fill_free_memory(pass_moves)
+        self._unload_stale(pass_moves)
+        return pass_moves.moves
 
-    def _load_missing_models(self, batch: placement_policy.Batch) -> bool:
+    def _load_missing_models(self, pass_moves: placement_policy.PassMoves) -> bool:
         """Load the models that are resident nowhere, those with demand first.
 
         :returns: whether each model is now resident or being loaded.
         """
         missing = [
             item
-            for item in batch.fleet.demand_by_name.values()
+            for item in pass_moves.fleet.demand_by_name.values()
             if not item.share_by_view and not item.spec.base
         ]
         # Among them, large models first: fewest endpoints have enough memory.
@@ -63,38 +63,38 @@
             key=lambda item: (item.batch_slots > 0, item.spec.required_mb), reverse=True
         )
         for item in missing:
-            if batch.full:
+            if pass_moves.is_full:
                 break
             candidate = self._find_free_memory(
-                batch.fleet, item
-            ) or self._find_by_eviction(batch, item)
+                pass_moves.fleet, item
+            ) or self._find_by_eviction(pass_moves, item)
             if candidate is not None:
-                self._add_moves(batch, candidate, item.spec, "resident nowhere")
+                self._add_moves(pass_moves, candidate, item.spec, "resident nowhere")
         return all(item.share_by_view for item in missing)
 
-    def _add_declared_replicas(self, batch: placement_policy.Batch) -> None:
+    def _add_declared_replicas(self, pass_moves: placement_policy.PassMoves) -> None:
         """Load the replicas that the catalogue requires."""
-        for item in batch.fleet.demand_by_name.values():
-            if batch.full:
+        for item in pass_moves.fleet.demand_by_name.values():
+            if pass_moves.is_full:
                 return
             count = len(item.share_by_view)
             if item.spec.base or not 0 < count < item.spec.replicas:
                 continue
-            candidate = self._find_free_memory(batch.fleet, item)
+            candidate = self._find_free_memory(pass_moves.fleet, item)
             if candidate is not None:
                 why = f"{count} of {item.spec.replicas} replicas"
-                self._add_moves(batch, candidate, item.spec, why)
+                self._add_moves(pass_moves, candidate, item.spec, why)
 
-    def _add_demand_replicas(self, batch: placement_policy.Batch) -> None:
+    def _add_demand_replicas(self, pass_moves: placement_policy.PassMoves) -> None:
         """Load replicas for unserved demand, the largest shortage first."""
         underserved = []
-        for name, item in batch.fleet.demand_by_name.items():
-            missing_slots = batch.fleet.missing_slots(name)
+        for name, item in pass_moves.fleet.demand_by_name.items():
+            missing_slots = pass_moves.fleet.missing_slots(name)
             if self._needs_replica(item, missing_slots):
                 underserved.append((missing_slots / item.service_s, name))
         underserved.sort(reverse=True)
         for _, name in underserved:
-            self._add_replicas_of(batch, batch.fleet.demand_by_name[name])
+            self._add_replicas_of(pass_moves, pass_moves.fleet.demand_by_name[name])
 
     def _needs_replica(self, item: fleet.ModelDemand, missing_slots: float) -> bool:
         """Return whether the unserved demand outweighs the cost of one move."""
@@ -106,47 +106,51 @@
         )
 
     def _add_replicas_of(
-        self, batch: placement_policy.Batch, item: fleet.ModelDemand
+        self, pass_moves: placement_policy.PassMoves, item: fleet.ModelDemand
     ) -> None:
-        while not batch.full:
-            missing_slots = batch.fleet.missing_slots(item.spec.name)
+        while not pass_moves.is_full:
+            missing_slots = pass_moves.fleet.missing_slots(item.spec.name)
             if not self._needs_replica(item, missing_slots):
                 return
-            candidate = self._find_by_benefit(batch.fleet, item, missing_slots)
+            candidate = self._find_by_benefit(pass_moves.fleet, item, missing_slots)
             if candidate is None:
                 return
             why = f"{missing_slots / item.service_s:.1f} requests/s too many"
-            self._add_moves(batch, candidate, item.spec, why)
+            self._add_moves(pass_moves, candidate, item.spec, why)
 
-    def _add_second_data_centres(self, batch: placement_policy.Batch) -> None:
+    def _add_second_data_centres(self, pass_moves: placement_policy.PassMoves) -> None:
         """Load models that are in one data centre into free memory of another."""
-        max_free_mb = _max_free_mb(batch.fleet)
-        for item in batch.fleet.demand_by_name.values():
-            if batch.full:
+        max_free_mb = _max_free_mb(pass_moves.fleet)
+        for item in pass_moves.fleet.demand_by_name.values():
+            if pass_moves.is_full:
                 return
             if item.spec.base or item.spec.required_mb > max_free_mb:
                 continue
-            views = batch.fleet.replicas(item.spec.name)
+            views = pass_moves.fleet.replicas(item.spec.name)
             used_data_centres = {view.data_centre for view in views}
             if len(used_data_centres) > 1:
                 continue
-            candidate = self._find_free_memory(batch.fleet, item, used_data_centres)
+            candidate = self._find_free_memory(
+                pass_moves.fleet, item, used_data_centres
+            )
             if candidate is not None:
-                self._add_moves(batch, candidate, item.spec, "a second data centre")
+                self._add_moves(
+                    pass_moves, candidate, item.spec, "a second data centre"
+                )
 
-    def _fill_free_memory(self, batch: placement_policy.Batch) -> None:
+    def _fill_free_memory(self, pass_moves: placement_policy.PassMoves) -> None:
         """Fill free memory with more replicas of the models in demand.
 
         A surge then has replicas at once; surplus replicas are evicted when
         their memory is needed. If a move weighs more than one request/s,
         memory stays free instead.
         """
-        if batch.moves or self.weights.moves > self.weights.attainment:
+        if pass_moves.moves or self.weights.moves > self.weights.attainment:
             return
-        max_free_mb = _max_free_mb(batch.fleet)
+        max_free_mb = _max_free_mb(pass_moves.fleet)
         in_demand = [
             item
-            for item in batch.fleet.demand_by_name.values()
+            for item in pass_moves.fleet.demand_by_name.values()
             if item.batch_slots > MIN_DEMAND_SLOTS
             and item.spec.required_mb <= max_free_mb
             and not item.spec.base
@@ -155,25 +159,27 @@
             key=lambda item: -item.batch_slots / (1 + len(item.share_by_view))
         )
         for item in in_demand:
-            if batch.full:
+            if pass_moves.is_full:
                 return
-            candidate = self._find_free_memory(batch.fleet, item)
+            candidate = self._find_free_memory(pass_moves.fleet, item)
             if candidate is not None:
-                self._add_moves(batch, candidate, item.spec, "stands by in free memory")
+                self._add_moves(
+                    pass_moves, candidate, item.spec, "stands by in free memory"
+                )
 
-    def _place_adapters(self, batch: placement_policy.Batch) -> None:
+    def _place_adapters(self, pass_moves: placement_policy.PassMoves) -> None:
         """Load adapters onto replicas of their models.
 
         Without demand, two replicas hold each adapter, so that an adapter
         stays reachable if one of them is lost. Demand adds more.
         """
-        for item in batch.fleet.demand_by_name.values():
-            if batch.full:
+        for item in pass_moves.fleet.demand_by_name.values():
+            if pass_moves.is_full:
                 return
-            base = batch.fleet.demand_by_name.get(item.spec.base)
+            base = pass_moves.fleet.demand_by_name.get(item.spec.base)
             if base is None or not base.share_by_view:
                 continue
-            base_replicas = batch.fleet.ready_replicas(base.spec.name)
+            base_replicas = pass_moves.fleet.ready_replicas(base.spec.name)
             without_adapter = [
                 view for view in base_replicas if view.name not in item.share_by_view
             ]
@@ -187,16 +193,16 @@
             ]
             if is_needed and fitting:
                 emptiest = max(fitting, key=lambda view: view.free_slots)
-                batch.load(emptiest, item.spec, f"adapter of {item.spec.base}")
+                pass_moves.load(emptiest, item.spec, f"adapter of {item.spec.base}")
 
-    def _unload_stale(self, batch: placement_policy.Batch) -> None:
+    def _unload_stale(self, pass_moves: placement_policy.PassMoves) -> None:
         """Unload undeclared models and old versions."""
-        for view in batch.fleet.view_by_name.values():
+        for view in pass_moves.fleet.view_by_name.values():
             for key in sorted(
                 view.memory_by_key.keys() - view.unloading - view.loading
             ):
-                if self._is_stale(batch.fleet, key):
-                    batch.unload(view, key, "not declared any more")
+                if self._is_stale(pass_moves.fleet, key):
+                    pass_moves.unload(view, key, "not declared any more")
 
     def _is_stale(self, planned: fleet.Fleet, key: tuple[str, str]) -> bool:
         item = planned.demand_by_name.get(key[0])
@@ -262,7 +268,7 @@
         return best
 
     def _find_by_eviction(
-        self, batch: placement_policy.Batch, item: fleet.ModelDemand
+        self, pass_moves: placement_policy.PassMoves, item: fleet.ModelDemand
     ) -> room.PlacementCandidate | None:
         """Return the endpoint with the lowest eviction cost, or None.
 
@@ -271,14 +277,14 @@
         then evicts the originals as surplus.
         """
         candidates = []
-        for view in batch.fleet.view_by_name.values():
+        for view in pass_moves.fleet.view_by_name.values():
             busy = bool(view.loading or view.unloading)
             if not view.open or busy or item.spec.key in view.memory_by_key:
                 continue
-            victims = room.find_victims(batch.fleet, view, item.spec)
+            victims = room.find_victims(pass_moves.fleet, view, item.spec)
             if victims is not None:
                 eviction_cost = sum(
-                    room.eviction_cost(batch.fleet, view, key) for key in victims
+                    room.eviction_cost(pass_moves.fleet, view, key) for key in victims
                 )
                 candidates.append(
                     room.PlacementCandidate(view, victims, -eviction_cost)
@@ -287,42 +293,42 @@
             return max(
                 candidates, key=lambda option: (option.gain, -len(option.victims))
             )
-        self._copy_to_free_memory(batch, item)
+        self._copy_to_free_memory(pass_moves, item)
         return None
 
     def _copy_to_free_memory(
-        self, batch: placement_policy.Batch, item: fleet.ModelDemand
+        self, pass_moves: placement_policy.PassMoves, item: fleet.ModelDemand
     ) -> None:
         views = [
             view
-            for view in batch.fleet.view_by_name.values()
+            for view in pass_moves.fleet.view_by_name.values()
             if view.open and view.memory_mb >= item.spec.required_mb
         ]
         views.sort(key=lambda view: view.free_mb, reverse=True)
         for view in views[:MAX_EVICTION_CANDIDATES]:
             copies = room.copies_before_eviction(
-                batch.fleet, view, item.spec, self._candidates
+                pass_moves.fleet, view, item.spec, self._candidates
             )
-            if copies and len(copies) <= batch.loads:
+            if copies and len(copies) <= pass_moves.loads:
                 for copy in copies:
-                    batch.load(copy.view, copy.spec, f"room for {item.spec.name}")
+                    pass_moves.load(copy.view, copy.spec, f"room for {item.spec.name}")
                 return
 
     def _add_moves(
         self,
-        batch: placement_policy.Batch,
+        pass_moves: placement_policy.PassMoves,
         candidate: room.PlacementCandidate,
         spec: fleet.ModelSpec,
         reason: str,
     ) -> None:
         why = f"room for {spec.name}"
         for key in candidate.victims:
-            for name in batch.fleet.adapters_by_model.get(key[0], ()):
-                adapter = batch.fleet.demand_by_name[name].spec
+            for name in pass_moves.fleet.adapters_by_model.get(key[0], ()):
+                adapter = pass_moves.fleet.demand_by_name[name].spec
                 if name in candidate.view.names:
-                    batch.unload(candidate.view, adapter.key, why)
-            batch.unload(candidate.view, key, why)
-        batch.load(candidate.view, spec, reason)
+                    pass_moves.unload(candidate.view, adapter.key, why)
+            pass_moves.unload(candidate.view, key, why)
+        pass_moves.load(candidate.view, spec, reason)
 
     def _candidates(
         self, planned: fleet.Fleet, item: fleet.ModelDemand
--- a/packages/mothworks/src/mothworks/placement_policy.py
+++ b/packages/mothworks/src/mothworks/placement_policy.py
@@ -21,7 +21,7 @@
         raise NotImplementedError
 
 
-class Batch:
+class PassMoves:
     """The moves of one planning pass.
 
     :param planned: the fleet; the moves are applied to it.
@@ -34,7 +34,7 @@
         self.moves: list[move_messages.Move] = []
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Return whether the weight store's limit permits no further load."""
         return self.loads <= 0
 
--- a/packages/mothworks/src/mothworks/planner.py
+++ b/packages/mothworks/src/mothworks/planner.py
@@ -67,7 +67,7 @@
         elif self.state is None:
             policy = self.policy_class(self.configuration.index.catalogue.weights)
             self.state = region_plan.RegionPlan(region, time.monotonic(), policy)
-            self.demand.book = demand.Book()
+            self.demand.averages = demand.DemandAverages()
         return self.state is not None
 
     def update_holdings(self, holdings: move_messages.Holdings) -> None:
@@ -76,7 +76,7 @@
         :param holdings: the summary of an endpoint's ledger.
         """
         if self._update_role():
-            self.state.take(holdings)
+            self.state.update_holdings(holdings)
 
     def _receive(
         self, _: str, holdings: move_messages.Holdings, __: peers.Answer
@@ -87,10 +87,10 @@
         if not self._update_role():
             return
         index = self.configuration.index
-        self.state.follow(self.configuration.revision, index, time.monotonic())
+        self.state.apply_catalogue(self.configuration.revision, index, time.monotonic())
         started_s = time.thread_time()
         moves = self.state.plan(
-            time.monotonic(), self.demand.book, self._open_endpoints()
+            time.monotonic(), self.demand.averages, self._open_endpoints()
         )
         self.pass_seconds.add({}, time.thread_time() - started_s)
         for move in moves:
--- a/packages/mothworks/src/mothworks/region_plan.py
+++ b/packages/mothworks/src/mothworks/region_plan.py
@@ -19,7 +19,7 @@
 PASS_INTERVAL_S = 1.0
 #: Minimum and maximum time that a new planner waits for owners' reports before
 #: it plans, seconds. The maximum covers the interval of periodic reports.
-LISTEN_S = 4.0
+MIN_REPORT_WAIT_S = 4.0
 MAX_REPORT_WAIT_S = 8.0
 #: Time after which a move expires if its owner reports no unfinished move, seconds.
 IDLE_MOVE_TIMEOUT_S = 10.0
@@ -66,7 +66,7 @@
 
     def __init__(self, name: str, now: float, policy: placement_policy.Policy):
         self.name = name
-        self.began = now
+        self.started_at = now
         self.planned_at = now
         self.revision = -1
         self.fleet = fleet.Fleet()
@@ -84,7 +84,9 @@
         self.holdings_by_endpoint: dict[str, move_messages.Holdings] = {}
         self.changed_endpoints: set[str] = set()
 
-    def follow(self, revision: int, index: catalogue.Index, now: float) -> None:
+    def apply_catalogue(
+        self, revision: int, index: catalogue.Index, now: float
+    ) -> None:
         """Apply the current catalogue.
 
         :param revision: its revision.
@@ -120,7 +122,7 @@
         view.memory_mb = declared.memory_mb
         view.batch_slots = declared.slots * fleet.PLANNED_UTILISATION
 
-    def take(self, holdings: move_messages.Holdings) -> None:
+    def update_holdings(self, holdings: move_messages.Holdings) -> None:
         """Store an owner's report unless a newer one is stored.
 
         :param holdings: the summary of an endpoint's ledger.
@@ -132,7 +134,9 @@
             self.holdings_by_endpoint[holdings.endpoint] = holdings
             self.changed_endpoints.add(holdings.endpoint)
 
-    def relocate(self, relocation: relocations.Relocation) -> result.Result[None, str]:
+    def add_relocation(
+        self, relocation: relocations.Relocation
+    ) -> result.Result[None, str]:
         """Start a relocation that an operator ordered.
 
         :param relocation: the relocation.
@@ -141,18 +145,21 @@
         return self.relocations.accept(self.fleet, relocation)
 
     def plan(
-        self, now: float, book: demand.Book, open_endpoints: frozenset[str]
+        self,
+        now: float,
+        demand_averages: demand.DemandAverages,
+        open_endpoints: frozenset[str],
     ) -> list[move_messages.Move]:
         """Return the moves to send to owners now.
 
         :param now: monotonic time, seconds.
-        :param book: the region's demand.
+        :param averages: the region's demand.
         :param open_endpoints: endpoints that accept new work.
         """
         elapsed_s = max(1e-3, now - self.planned_at)
         self.planned_at = now
-        book.update(elapsed_s)
-        self._set_demand(book)
+        demand_averages.update(elapsed_s)
+        self._set_demand(demand_averages)
         self._expire_moves(now)
         for name in sorted(self.changed_endpoints & self.endpoint_by_name.keys()):
             self._apply_report(name)
@@ -178,7 +185,7 @@
         nowhere and would be loaded again. While only this VM's own endpoints
         have reported, every model would be loaded there.
         """
-        if now - self.began < LISTEN_S:
+        if now - self.started_at < MIN_REPORT_WAIT_S:
             return True
         unreported = self.endpoint_by_name.keys() - self.holdings_by_endpoint.keys()
         declared_times = (self.declared_at[name] for name in unreported)
@@ -187,11 +194,11 @@
             for first_declared in declared_times
         )
 
-    def _set_demand(self, book: demand.Book) -> None:
+    def _set_demand(self, demand_averages: demand.DemandAverages) -> None:
         slots_by_name = collections.Counter()
         service_s_by_name = {}
         for name, model_demand in self.fleet.demand_by_name.items():
-            averages = book.averages_by_name.get(name)
+            averages = demand_averages.averages_by_name.get(name)
             if averages is not None:
                 # A request for an adapter uses a batch slot of its model's endpoint.
                 slots_by_name[model_demand.spec.base or name] += averages.batch_slots
--- a/packages/mothworks/src/mothworks/relocations.py
+++ b/packages/mothworks/src/mothworks/relocations.py
@@ -12,7 +12,7 @@
 from mothworks import endpoints, fleet, move_messages
 
 #: Time after which an unfinished relocation is abandoned, seconds.
-PATIENCE_S = 600.0
+RELOCATION_TIMEOUT_S = 600.0
 
 
 @attrs.define
--- a/packages/mothworks/tests/test_planner.py
+++ b/packages/mothworks/tests/test_planner.py
@@ -40,20 +40,20 @@
         self.region = region_plan.RegionPlan(
             "region-1", 0.0, packing.Packing(self.declared.weights)
         )
-        self.region.follow(1, catalogue.Index(self.declared), 0.0)
-        self.book = demand.Book()
-        self.now = region_plan.LISTEN_S
+        self.region.apply_catalogue(1, catalogue.Index(self.declared), 0.0)
+        self.averages = demand.DemandAverages()
+        self.now = region_plan.MIN_REPORT_WAIT_S
 
     def report(self, *reports):
         for report in reports:
-            self.region.take(report)
+            self.region.update_holdings(report)
 
     def report_empty(self):
         self.report(*(holdings(name) for name in sorted(self.open)))
 
     def plan(self, seconds=1.0):
         self.now += seconds
-        return self.region.plan(self.now, self.book, self.open)
+        return self.region.plan(self.now, self.averages, self.open)
 
 
 def test_a_new_planner_waits_for_reports():
@@ -65,7 +65,7 @@
     assert planning.plan() == []
     for number in range(5):
         planning.report(holdings(f"engine-{number}", names=[f"model-{number}"]))
-    assert planning.plan(region_plan.LISTEN_S) == []
+    assert planning.plan(region_plan.MIN_REPORT_WAIT_S) == []
     planning.report(holdings("engine-5", names=["model-5"]))
     moves = planning.plan()
     assert all(move.why != "resident nowhere" for move in moves)
@@ -78,8 +78,10 @@
     """
     planning = RegionPlanning()
     planning.now = 1000.0
-    planning.region.follow(2, catalogue.Index(builders.make_catalogue()), 990.0)
-    planning.region.follow(3, catalogue.Index(planning.declared), 1000.0)
+    planning.region.apply_catalogue(
+        2, catalogue.Index(builders.make_catalogue()), 990.0
+    )
+    planning.region.apply_catalogue(3, catalogue.Index(planning.declared), 1000.0)
     planning.report(holdings("engine-0"))
     assert planning.plan() == []
     planning.report_empty()
@@ -137,26 +139,26 @@
 
 
 def test_demand_rises_quickly_and_falls_slowly():
-    book = demand.Book()
+    demand_averages = demand.DemandAverages()
     for _ in range(30):
-        book.take(demand.Counts(["menu"], [10], [10], [5000]))
-        book.update(1.0)
-    averages = book.averages_by_name["menu"]
+        demand_averages.add_counts(demand.Counts(["menu"], [10], [10], [5000]))
+        demand_averages.update(1.0)
+    averages = demand_averages.averages_by_name["menu"]
     assert averages.rate > 9.0
     assert abs(averages.service_s - 0.5) < 0.1
     for _ in range(60):
-        book.update(1.0)
+        demand_averages.update(1.0)
     assert 0.1 < averages.rate < 2.0
     for _ in range(5000):
-        book.update(1.0)
-    assert book.averages_by_name == {}
+        demand_averages.update(1.0)
+    assert demand_averages.averages_by_name == {}
 
 
 def test_requests_without_an_endpoint_count_as_demand():
-    book = demand.Book()
-    book.take(demand.Counts(["menu"], [20], [0], [0]))
-    book.update(1.0)
-    assert book.averages_by_name["menu"].batch_slots > 0
+    demand_averages = demand.DemandAverages()
+    demand_averages.add_counts(demand.Counts(["menu"], [20], [0], [0]))
+    demand_averages.update(1.0)
+    assert demand_averages.averages_by_name["menu"].batch_slots > 0
 
 
 def test_two_planners_cannot_overcommit():
--- a/packages/mothworks_fakes/src/mothworks_fakes/measure_placement.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/measure_placement.py
@@ -174,17 +174,17 @@
     declared = demand_traces.deployment(size, 0)
     trace = demand_traces.Trace(size, demand_traces.Shape.TENFOLD, 0)
     region = region_plan.RegionPlan(
-        "region", -region_plan.LISTEN_S, packing.Packing(weights)
+        "region", -region_plan.MIN_REPORT_WAIT_S, packing.Packing(weights)
     )
-    region.follow(1, catalogue.Index(declared), region.began)
+    region.apply_catalogue(1, catalogue.Index(declared), region.started_at)
     names = [item.name for item in declared.models]
     open_endpoints = frozenset(item.name for item in declared.endpoints)
     for endpoint in declared.endpoints:
         report = move_messages.Holdings(
             endpoint.name, 1, (), (), (), endpoint.memory_mb
         )
-        region.take(report)
-    book = demand.Book()
+        region.update_holdings(report)
+    demand_averages = demand.DemandAverages()
     rates = list(trace.rates(-1.0))
     seconds = []
     loads = 0
@@ -193,9 +193,9 @@
             rates = list(trace.rates(400.0))
         arrivals = [round(rate) for rate in rates]
         held_ms = [round(count * 2000) for count in arrivals]
-        book.take(demand.Counts(names, arrivals, arrivals, held_ms))
+        demand_averages.add_counts(demand.Counts(names, arrivals, arrivals, held_ms))
         began = time.thread_time()
-        moves = region.plan(float(number), book, open_endpoints)
+        moves = region.plan(float(number), demand_averages, open_endpoints)
         seconds.append(time.thread_time() - began)
         loads += len(moves)
         for move in moves:
--- a/packages/mothworks_fakes/src/mothworks_fakes/placement_baselines.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/placement_baselines.py
@@ -29,11 +29,11 @@
         """Load what the split gives each endpoint; see the base class."""
         if not self.wanted and all(s.open for s in planned.view_by_name.values()):
             self.wanted = self._split(planned)
-        batch = placement_policy.Batch(planned, loads)
+        batch = placement_policy.PassMoves(planned, loads)
         for name, needs in self.wanted.items():
             site = planned.view_by_name[name]
             for need in needs:
-                if batch.full or not site.open:
+                if batch.is_full or not site.open:
                     break
                 if need.key not in site.memory_by_key:
                     batch.load(site, need, "static")
@@ -85,16 +85,16 @@
     def plan(self, planned: fleet.Fleet, loads: int) -> list[move_messages.Move]:
         """Load what was asked for; see the base class."""
         self.clock += 1
-        batch = placement_policy.Batch(planned, loads)
+        batch = placement_policy.PassMoves(planned, loads)
         for name, item in planned.demand_by_name.items():
             asked = self.used_at[name] >= self.clock - 1
             lacking = planned.missing_slots(name) > 0
-            if not asked or item.spec.base or not lacking or batch.full:
+            if not asked or item.spec.base or not lacking or batch.is_full:
                 continue
             self._load(batch, item)
         return batch.moves
 
-    def _load(self, batch: placement_policy.Batch, item: fleet.ModelDemand) -> None:
+    def _load(self, batch: placement_policy.PassMoves, item: fleet.ModelDemand) -> None:
         sites = [
             site
             for site in batch.fleet.view_by_name.values()
@@ -142,7 +142,7 @@
         if self.passes % RECOMPUTE_PASSES == 0:
             self.wanted = self._recompute(planned)
         self.passes += 1
-        batch = placement_policy.Batch(planned, loads)
+        batch = placement_policy.PassMoves(planned, loads)
         for site in planned.view_by_name.values():
             needs = self.wanted.get(site.name, [])
             keys = {need.key for need in needs}
@@ -153,7 +153,7 @@
                     batch.unload(site, key, "recomputed")
             for need in needs:
                 missing = need.key not in site.memory_by_key
-                if missing and not batch.full and site.free_mb >= need.required_mb:
+                if missing and not batch.is_full and site.free_mb >= need.required_mb:
                     batch.load(site, need, "recomputed")
         return batch.moves
 
--- a/packages/mothworks_fakes/src/mothworks_fakes/placement_trial.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/placement_trial.py
@@ -104,7 +104,7 @@
         while self.queue and self.ledger.intent is None and not self.lost:
             move = self.queue.popleft()
             kind = endpoints.OrderKind(move.kind)
-            intended = ledger.intend(
+            intended = ledger.add_intent(
                 self.ledger,
                 kind,
                 holdings[move.name],
@@ -183,11 +183,13 @@
         self.holdings = _holdings(self.declared)
         self.region = region_plan.RegionPlan(
             "region",
-            -demand_traces.WARM_UP_S - region_plan.LISTEN_S,
+            -demand_traces.WARM_UP_S - region_plan.MIN_REPORT_WAIT_S,
             plugins.find(plugins.PLACEMENT, policy)(self.declared.weights),
         )
-        self.region.follow(1, catalogue.Index(self.declared), self.region.began)
-        self.book = demand.Book()
+        self.region.apply_catalogue(
+            1, catalogue.Index(self.declared), self.region.started_at
+        )
+        self.averages = demand.DemandAverages()
         self.outcome = Outcome()
         self.lost_since: dict[str, int] = {}
 
@@ -249,7 +251,7 @@
         arrivals = list(arrivals_by_name.values())
         held_ms = [round(count * demand_traces.SERVICE_S * 1000) for count in arrivals]
         counts = demand.Counts(list(arrivals_by_name), arrivals, arrivals, held_ms)
-        self.book.take(counts)
+        self.averages.add_counts(counts)
         noted = getattr(self.region.policy, "arrived", None)
         for name in arrivals_by_name if noted else ():
             noted(name)
@@ -258,12 +260,12 @@
         for engine in self.engines:
             if engine.changed:
                 engine.changed = False
-                self.region.take(engine.holdings())
+                self.region.update_holdings(engine.holdings())
         open_endpoints = frozenset(
             engine.declared.name for engine in self.engines if not engine.lost
         )
         began = time.thread_time()
-        moves = self.region.plan(float(second), self.book, open_endpoints)
+        moves = self.region.plan(float(second), self.averages, open_endpoints)
         self.outcome.planner_s += time.thread_time() - began
         by_name = {engine.declared.name: engine for engine in self.engines}
         for move in moves:
