--- a/packages/mothworks/src/mothworks/endpoint_task.py
+++ b/packages/mothworks/src/mothworks/endpoint_task.py
@@ -16,9 +16,9 @@
     endpoints,
     ledger,
     ledger_store,
+    model_drain,
     move_messages,
-    moves,
-    offering,
+    order_execution,
     row_classes,
 )
 
@@ -53,8 +53,10 @@
         declared = index.endpoint_by_name[name]
         adapter = part.health.adapters.get(declared.kind)
         late_order_s = index.catalogue.weights.late_order_s
-        self.executor = moves.OrderExecutor(declared, part.store, adapter, late_order_s)
-        self.model_drain = offering.ModelDrain(part.kernel, name)
+        self.executor = order_execution.OrderExecutor(
+            declared, part.store, adapter, late_order_s
+        )
+        self.model_drain = model_drain.ModelDrain(part.kernel, name)
         self.queue: collections.deque[move_messages.Move] = collections.deque()
         self.wakeup = gevent.event.Event()
         self.reconciled_at = float("-inf")
--- a/packages/mothworks/src/mothworks/orders.py
+++ b/packages/mothworks/src/mothworks/orders.py
@@ -1,8 +1,8 @@
 """Orders: executes the moves of the endpoints that this VM owns.
 
 One task per owned endpoint executes moves step by step; see
-:mod:`mothworks.moves`. The planner sends the moves and receives reports of the
-endpoints' ledgers as :class:`move_messages.Holdings`.
+:mod:`mothworks.order_execution`. The planner sends the moves and receives reports of
+    the endpoints' ledgers as :class:`move_messages.Holdings`.
 """
 
 import gevent
--- a/packages/mothworks/src/mothworks/packing.py
+++ b/packages/mothworks/src/mothworks/packing.py
@@ -11,7 +11,14 @@
 import collections.abc
 import random
 
-from mothworks import catalogue, fleet, move_messages, placement_policy, plugins, room
+from mothworks import (
+    catalogue,
+    eviction,
+    fleet,
+    move_messages,
+    placement_policy,
+    plugins,
+)
 
 #: Endpoints sampled for one load in a large fleet.
 MAX_CANDIDATES = 64
@@ -216,7 +223,7 @@
         planned: fleet.Fleet,
         item: fleet.ModelDemand,
         avoided: collections.abc.Set[str] = frozenset(),
-    ) -> room.PlacementCandidate | None:
+    ) -> eviction.PlacementCandidate | None:
         """Return the best endpoint with enough free memory for a load, or None."""
         used_data_centres = {
             view.data_centre for view in planned.replicas(item.spec.name)
@@ -235,11 +242,11 @@
             ),
             default=None,
         )
-        return None if best is None else room.PlacementCandidate(best)
+        return None if best is None else eviction.PlacementCandidate(best)
 
     def _find_by_benefit(
         self, planned: fleet.Fleet, item: fleet.ModelDemand, missing_slots: float
-    ) -> room.PlacementCandidate | None:
+    ) -> eviction.PlacementCandidate | None:
         """Return the endpoint whose benefit most exceeds its moves, or None."""
         candidates = self._candidates(planned, item)
         candidates = [view for view in candidates if view.free_slots > 0]
@@ -248,18 +255,18 @@
         evaluated = 0
         for view in candidates:
             gain = min(missing_slots, view.free_slots) / item.service_s
-            victims = room.find_victims(planned, view, item.spec)
+            victims = eviction.find_victims(planned, view, item.spec)
             if victims is None:
                 continue
             eviction_cost = sum(
-                room.eviction_cost(planned, view, key) for key in victims
+                eviction.eviction_cost(planned, view, key) for key in victims
             )
             gain -= eviction_cost
             move_cost = self.weights.moves * (1 + len(victims))
             benefit = self.weights.attainment * gain - move_cost
             if benefit > best_benefit:
                 best, best_benefit = (
-                    room.PlacementCandidate(view, victims, gain),
+                    eviction.PlacementCandidate(view, victims, gain),
                     benefit,
                 )
             evaluated += 1
@@ -269,7 +276,7 @@
 
     def _find_by_eviction(
         self, pass_moves: placement_policy.PassMoves, item: fleet.ModelDemand
-    ) -> room.PlacementCandidate | None:
+    ) -> eviction.PlacementCandidate | None:
         """Return the endpoint with the lowest eviction cost, or None.
 
         If evicting surplus replicas does not free enough memory on any
@@ -281,13 +288,14 @@
             busy = bool(view.loading or view.unloading)
             if not view.open or busy or item.spec.key in view.memory_by_key:
                 continue
-            victims = room.find_victims(pass_moves.fleet, view, item.spec)
+            victims = eviction.find_victims(pass_moves.fleet, view, item.spec)
             if victims is not None:
                 eviction_cost = sum(
-                    room.eviction_cost(pass_moves.fleet, view, key) for key in victims
+                    eviction.eviction_cost(pass_moves.fleet, view, key)
+                    for key in victims
                 )
                 candidates.append(
-                    room.PlacementCandidate(view, victims, -eviction_cost)
+                    eviction.PlacementCandidate(view, victims, -eviction_cost)
                 )
         if candidates:
             return max(
@@ -306,7 +314,7 @@
         ]
         views.sort(key=lambda view: view.free_mb, reverse=True)
         for view in views[:MAX_EVICTION_CANDIDATES]:
-            copies = room.copies_before_eviction(
+            copies = eviction.copies_before_eviction(
                 pass_moves.fleet, view, item.spec, self._candidates
             )
             if copies and len(copies) <= pass_moves.loads:
@@ -317,7 +325,7 @@
     def _add_moves(
         self,
         pass_moves: placement_policy.PassMoves,
-        candidate: room.PlacementCandidate,
+        candidate: eviction.PlacementCandidate,
         spec: fleet.ModelSpec,
         reason: str,
     ) -> None:
--- a/packages/mothworks/tests/movers.py
+++ b/packages/mothworks/tests/order_execution_world.py
@@ -10,7 +10,7 @@
 
 import builders
 import stored
-from mothworks import endpoints, ledger, ledger_store, moves
+from mothworks import endpoints, ledger, ledger_store, order_execution
 from mothworks_fakes import engine_memory
 
 LATE_ORDER_S = 30.0
@@ -81,9 +81,9 @@
         self.endpoint = builders.endpoint(memory_mb=CAPACITY_MB, fencing=fencing)
 
     def new_owner(self):
-        clock = moves.Clock(lambda: self.now, lambda: self.now)
+        clock = order_execution.Clock(lambda: self.now, lambda: self.now)
         store = ledger_store.LedgerStore(self.api, patience_s=0.0)
-        return moves.OrderExecutor(
+        return order_execution.OrderExecutor(
             self.endpoint, store, self.adapter, LATE_ORDER_S, clock
         )
 
--- a/packages/mothworks/tests/test_ledger_machine.py
+++ b/packages/mothworks/tests/test_ledger_machine.py
@@ -4,18 +4,20 @@
 import hypothesis.stateful
 from hypothesis import strategies
 
-import movers
+import order_execution_world
 import stored
-from mothworks import endpoints, moves
+from mothworks import endpoints, order_execution
 
 ITEMS = (
-    movers.holding("menu", 60),
-    movers.holding("menu", 60, "2"),
-    movers.holding("tickets", 60),
-    movers.holding("status", 40),
+    order_execution_world.holding("menu", 60),
+    order_execution_world.holding("menu", 60, "2"),
+    order_execution_world.holding("tickets", 60),
+    order_execution_world.holding("status", 40),
 )
 #: Maximum transit time of a copy of an order; with a pause, within LATE_ORDER_S.
-MAX_TRANSIT_S = movers.LATE_ORDER_S - moves.MAX_LEDGER_AGE_S - 1.0
+MAX_TRANSIT_S = (
+    order_execution_world.LATE_ORDER_S - order_execution.MAX_LEDGER_AGE_S - 1.0
+)
 
 SECONDS = (1.0, 4.0, 12.0, 31.0)
 #: Possible actions; an action listed twice is twice as likely.
@@ -44,7 +46,11 @@
 owners = strategies.integers(0, 1)
 items = strategies.sampled_from(ITEMS)
 deliveries = strategies.sampled_from(
-    (*movers.Delivery, movers.Delivery.DELAYED, movers.Delivery.DUPLICATED)
+    (
+        *order_execution_world.Delivery,
+        order_execution_world.Delivery.DELAYED,
+        order_execution_world.Delivery.DUPLICATED,
+    )
 )
 write_faults = strategies.sampled_from(
     (None, None, None, stored.Fault.LOST, stored.Fault.DROPPED, stored.Fault.DOWN)
@@ -57,7 +63,7 @@
     @hypothesis.stateful.initialize(fencing=strategies.booleans())
     def set_up(self, fencing):
         self.fencing = fencing
-        self.world = movers.World(fencing)
+        self.world = order_execution_world.World(fencing)
         self.executors = [self.world.new_owner(), self.world.new_owner()]
         self.picked_intents = [None, None]
         self.outcomes = [None, None]
@@ -117,7 +123,7 @@
         executor.reconcile({})
         if executor.current is not None and executor.current.intent is None:
             self.intend(owner, item, load, None)
-        for delivery in (first, second, movers.Delivery.DELIVERED):
+        for delivery in (first, second, order_execution_world.Delivery.DELIVERED):
             if executor.current is not None and executor.current.intent is not None:
                 self.pick_intent(owner)
                 self.send(owner, delivery)
@@ -131,11 +137,15 @@
         for resident in executor.current.holdings:
             if resident.key != item.key:
                 self.execute_move(
-                    owner, resident, False, movers.Delivery.DELIVERED, second
+                    owner,
+                    resident,
+                    False,
+                    order_execution_world.Delivery.DELIVERED,
+                    second,
                 )
         self.fence_late_load(owner)
         self.pick_intent(owner)
-        self.send(owner, movers.Delivery.DELIVERED)
+        self.send(owner, order_execution_world.Delivery.DELIVERED)
         self.settle(owner, None)
         self.execute_move(owner, item, True, first, second)
 
@@ -194,7 +204,9 @@
             if self.world.now - sent <= MAX_TRANSIT_S
         ]
         for owner, executor in enumerate(self.executors):
-            paused = self.world.now - executor.read_at > moves.MAX_LEDGER_AGE_S
+            paused = (
+                self.world.now - executor.read_at > order_execution.MAX_LEDGER_AGE_S
+            )
             if paused and self.outcomes[owner] is None:
                 self.picked_intents[owner] = None
 
@@ -207,7 +219,7 @@
     @hypothesis.stateful.invariant()
     def memory_is_not_overcommitted(self):
         if hasattr(self, "world"):
-            assert self.world.engine.peak_mb <= movers.CAPACITY_MB
+            assert self.world.engine.peak_mb <= order_execution_world.CAPACITY_MB
 
     def teardown(self):
         """After the faults end, one owner completes all unfinished steps."""
@@ -215,17 +227,17 @@
             return
         world = self.world
         world.engine.bad_versions = set()
-        world.adapter.delivery = movers.Delivery.DELIVERED
+        world.adapter.delivery = order_execution_world.Delivery.DELIVERED
         world.copies.clear()
-        world.now += movers.LATE_ORDER_S + 1
+        world.now += order_execution_world.LATE_ORDER_S + 1
         final_owner = world.new_owner()
         final_owner.read_ledger()
-        movers.resolve(final_owner, world)
+        order_execution_world.resolve(final_owner, world)
         world.finish_loads()
         final_owner.reconcile({}).unwrap()
         resident = set(world.engine.resident_by_key)
         assert {item.key for item in final_owner.current.holdings} == resident
-        assert world.engine.peak_mb <= movers.CAPACITY_MB
+        assert world.engine.peak_mb <= order_execution_world.CAPACITY_MB
 
     def _set_fault(self, fault):
         if fault is not None:
--- a/packages/mothworks/tests/test_moves.py
+++ b/packages/mothworks/tests/test_order_execution.py
@@ -3,15 +3,15 @@
 import pytest
 import result
 
-import movers
+import order_execution_world
 import stored
-from mothworks import endpoints, ledger, ledger_store, moves, objects
+from mothworks import endpoints, ledger, ledger_store, objects, order_execution
 from mothworks_fakes import engine_memory
 
 LOAD = endpoints.OrderKind.LOAD
 UNLOAD = endpoints.OrderKind.UNLOAD
-MENU = movers.holding("menu", 60)
-TICKETS = movers.holding("tickets", 60)
+MENU = order_execution_world.holding("menu", 60)
+TICKETS = order_execution_world.holding("tickets", 60)
 
 #: Initial residents and the moves to execute.
 MOVES = {
@@ -72,7 +72,7 @@
                 operation()
                 raise OwnerDiedError
             case "owner pauses":
-                self.world.now += movers.LATE_ORDER_S / 2
+                self.world.now += order_execution_world.LATE_ORDER_S / 2
                 recover(self.world)
                 return operation()
             case "engine restarts":
@@ -84,15 +84,15 @@
             case "write's reply lost":
                 api.put_faults.append(stored.Fault.LOST)
             case "order lost":
-                adapter.delivery = movers.Delivery.LOST
+                adapter.delivery = order_execution_world.Delivery.LOST
             case "order's reply lost":
-                adapter.delivery = movers.Delivery.REPLY_LOST
+                adapter.delivery = order_execution_world.Delivery.REPLY_LOST
             case "order late":
-                adapter.delivery = movers.Delivery.DELAYED
+                adapter.delivery = order_execution_world.Delivery.DELAYED
             case "order doubled":
-                adapter.delivery = movers.Delivery.DUPLICATED
+                adapter.delivery = order_execution_world.Delivery.DUPLICATED
         outcome = operation()
-        adapter.delivery = movers.Delivery.DELIVERED
+        adapter.delivery = order_execution_world.Delivery.DELIVERED
         return outcome
 
 
@@ -100,7 +100,7 @@
     """A new owner resolves the pending order and reconciles the ledger."""
     owner = world.new_owner()
     owner.read_ledger().unwrap()
-    movers.resolve(owner, world)
+    order_execution_world.resolve(owner, world)
     owner.reconcile({}).unwrap()
     return owner
 
@@ -120,13 +120,13 @@
         if not surplus and not missing and late is None:
             return
         if surplus:
-            movers.execute_move(owner, world, UNLOAD, surplus[0])
+            order_execution_world.execute_move(owner, world, UNLOAD, surplus[0])
         elif missing and owner.write_intent(LOAD, missing[0]).is_ok():
-            movers.resolve(owner, world)
+            order_execution_world.resolve(owner, world)
         elif late is not None:
-            movers.execute_move(owner, world, UNLOAD, late)
+            order_execution_world.execute_move(owner, world, UNLOAD, late)
         else:
-            world.now += movers.LATE_ORDER_S
+            world.now += order_execution_world.LATE_ORDER_S
     raise AssertionError("the expected residents were not reached")
 
 
@@ -140,9 +140,9 @@
     arrive, and the move ends with the expected residents.
     """
     initial, steps = MOVES[name]
-    world = movers.World(fencing)
+    world = order_execution_world.World(fencing)
     for item in initial:
-        movers.execute_move(world.reconciled_owner(), world, LOAD, item)
+        order_execution_world.execute_move(world.reconciled_owner(), world, LOAD, item)
     injection = FaultInjection(world, step, fault)
     try:
         for kind, item in steps:
@@ -158,7 +158,7 @@
         world.finish_loads()
     converge(world, expected_by_key)
     assert set(world.engine.resident_by_key) == set(expected_by_key)
-    assert world.engine.peak_mb <= movers.CAPACITY_MB
+    assert world.engine.peak_mb <= order_execution_world.CAPACITY_MB
 
 
 def test_a_resumed_owner_sends_no_old_order():
@@ -166,20 +166,20 @@
     load, unloads the model again and fills the memory. After the pause, the
     first must not send its old order, and its write must be rejected.
     """
-    world = movers.World(fencing=False)
+    world = order_execution_world.World(fencing=False)
     paused, other = world.reconciled_owner(), world.new_owner()
     paused.write_intent(LOAD, MENU).unwrap()
     intent = paused.current.intent
     other.read_ledger()
-    movers.resolve(other, world)
-    world.now += movers.LATE_ORDER_S + 1
-    movers.execute_move(other, world, UNLOAD, MENU)
+    order_execution_world.resolve(other, world)
+    world.now += order_execution_world.LATE_ORDER_S + 1
+    order_execution_world.execute_move(other, world, UNLOAD, MENU)
     other.reconcile({})
-    movers.execute_move(other, world, LOAD, TICKETS)
+    order_execution_world.execute_move(other, world, LOAD, TICKETS)
     assert paused.sendable_intent() is None
     done = paused.write_outcome(intent, result.Ok(None))
     assert done == result.Err(ledger_store.WriteConflict())
-    assert world.engine.peak_mb <= movers.CAPACITY_MB
+    assert world.engine.peak_mb <= order_execution_world.CAPACITY_MB
 
 
 @pytest.mark.parametrize("fencing", [True, False])
@@ -187,19 +187,19 @@
     """A load fails, but a delayed copy of the order later succeeds. If the memory
     were released at once, the next load and the copy would both occupy it.
     """
-    world = movers.World(fencing)
+    world = order_execution_world.World(fencing)
     owner = world.reconciled_owner()
     world.engine.bad_versions = {"1"}
-    world.adapter.delivery = movers.Delivery.DUPLICATED
-    movers.execute_move(owner, world, LOAD, MENU)
+    world.adapter.delivery = order_execution_world.Delivery.DUPLICATED
+    order_execution_world.execute_move(owner, world, LOAD, MENU)
     world.engine.bad_versions = set()
-    world.adapter.delivery = movers.Delivery.DELIVERED
+    world.adapter.delivery = order_execution_world.Delivery.DELIVERED
     assert owner.write_intent(LOAD, TICKETS) == result.Err(
         ledger.InsufficientMemory(20)
     )
     world.deliver(world.copies.pop()[0])
     converge(world, {TICKETS.key: TICKETS})
-    assert world.engine.peak_mb <= movers.CAPACITY_MB
+    assert world.engine.peak_mb <= order_execution_world.CAPACITY_MB
 
 
 @pytest.mark.parametrize("fencing", [True, False])
@@ -208,11 +208,11 @@
     Reconciliation finds the model missing. If another model were loaded at
     once, it and the copy would overcommit the memory.
     """
-    world = movers.World(fencing)
+    world = order_execution_world.World(fencing)
     owner = world.reconciled_owner()
-    world.adapter.delivery = movers.Delivery.DUPLICATED
-    movers.execute_move(owner, world, LOAD, MENU)
-    world.adapter.delivery = movers.Delivery.DELIVERED
+    world.adapter.delivery = order_execution_world.Delivery.DUPLICATED
+    order_execution_world.execute_move(owner, world, LOAD, MENU)
+    world.adapter.delivery = order_execution_world.Delivery.DELIVERED
     world.engine.restart()
     owner.reconcile({})
     assert owner.current.holdings == ()
@@ -221,19 +221,19 @@
     )
     world.deliver(world.copies.pop()[0])
     converge(world, {TICKETS.key: TICKETS})
-    assert world.engine.peak_mb <= movers.CAPACITY_MB
+    assert world.engine.peak_mb <= order_execution_world.CAPACITY_MB
 
 
 def test_a_restarted_engine_reloads_its_models_at_once():
     """After a restart the same models are loaded again without a delay: late
     copies of their own loads occupy no additional memory.
     """
-    world = movers.World(fencing=False)
+    world = order_execution_world.World(fencing=False)
     owner = world.reconciled_owner()
-    movers.execute_move(owner, world, LOAD, MENU)
+    order_execution_world.execute_move(owner, world, LOAD, MENU)
     world.engine.restart()
     owner.reconcile({})
-    movers.execute_move(owner, world, LOAD, MENU)
+    order_execution_world.execute_move(owner, world, LOAD, MENU)
     assert set(world.engine.resident_by_key) == {MENU.key}
 
 
@@ -241,8 +241,10 @@
     """An operator lowers a model's declared memory while a copy of its load is
     delayed. The copy loads the ordered size, so that size stays reserved.
     """
-    late = ledger.LateLoad(movers.holding(memory_mb=60), until=ledger.NEVER)
-    resident = movers.holding(memory_mb=40)
+    late = ledger.LateLoad(
+        order_execution_world.holding(memory_mb=60), until=ledger.NEVER
+    )
+    resident = order_execution_world.holding(memory_mb=40)
     assert ledger.Ledger("e", holdings=(resident,), late=(late,)).reserved_mb() == 60
 
 
@@ -250,27 +252,27 @@
     """A late copy of a load starts just before its time limit. The engine does
     not list the model as resident yet, but its memory must stay reserved.
     """
-    world = movers.World(fencing=False)
+    world = order_execution_world.World(fencing=False)
     owner = world.reconciled_owner()
-    world.adapter.delivery = movers.Delivery.DUPLICATED
-    movers.execute_move(owner, world, LOAD, MENU)
-    world.adapter.delivery = movers.Delivery.DELIVERED
-    movers.execute_move(owner, world, UNLOAD, MENU)
-    world.now += movers.LATE_ORDER_S - 1
+    world.adapter.delivery = order_execution_world.Delivery.DUPLICATED
+    order_execution_world.execute_move(owner, world, LOAD, MENU)
+    world.adapter.delivery = order_execution_world.Delivery.DELIVERED
+    order_execution_world.execute_move(owner, world, UNLOAD, MENU)
+    world.now += order_execution_world.LATE_ORDER_S - 1
     world.deliver(world.copies.pop()[0])
     world.now += 2
     owner.reconcile({})
     assert owner.write_intent(LOAD, TICKETS) == result.Err(
         ledger.InsufficientMemory(20)
     )
-    assert world.engine.peak_mb <= movers.CAPACITY_MB
+    assert world.engine.peak_mb <= order_execution_world.CAPACITY_MB
 
 
 def test_residents_loaded_manually_are_counted():
     """A model was loaded manually. Reconciliation adds it to the ledger, so that
     no load is sent that would not fit.
     """
-    world = movers.World(fencing=True)
+    world = order_execution_world.World(fencing=True)
     world.engine.place(engine_memory.Item("by-hand", "1", 60))
     owner = world.reconciled_owner()
     assert [item.name for item in owner.current.holdings] == ["by-hand"]
@@ -281,7 +283,7 @@
     """The object API is down when a move starts: no order may be sent. After
     the outage the same move succeeds.
     """
-    world = movers.World(fencing=True)
+    world = order_execution_world.World(fencing=True)
     owner = world.reconciled_owner()
     world.api.down = True
     assert isinstance(owner.write_intent(LOAD, MENU).err(), objects.Unavailable)
@@ -294,27 +296,27 @@
     """The object API lost the newest ledger, so that fencing numbers restart. The
     engine refuses the first order and reports its number; the next succeeds.
     """
-    world = movers.World(fencing=True)
+    world = order_execution_world.World(fencing=True)
     world.engine.highest_fence = 40
     converge(world, {MENU.key: MENU})
     assert world.engine.highest_fence > 40
 
 
 def test_a_change_of_role_uses_the_ledger():
-    world = movers.World(fencing=True)
+    world = order_execution_world.World(fencing=True)
     owner = world.reconciled_owner()
     role = ledger.Holding("prefill", "", 0)
-    movers.execute_move(owner, world, endpoints.OrderKind.ROLE, role)
+    order_execution_world.execute_move(owner, world, endpoints.OrderKind.ROLE, role)
     assert world.engine.role == "prefill"
     assert owner.current.holdings == ()
     assert owner.current.fence == world.engine.highest_fence
 
 
 def test_an_order_is_sent_only_shortly_after_a_ledger_read():
-    world = movers.World(fencing=True)
+    world = order_execution_world.World(fencing=True)
     owner = world.reconciled_owner()
     owner.write_intent(LOAD, MENU).unwrap()
-    world.now += moves.MAX_LEDGER_AGE_S + 0.1
+    world.now += order_execution.MAX_LEDGER_AGE_S + 0.1
     assert owner.sendable_intent() is None
     owner.read_ledger()
     assert owner.sendable_intent() is not None
@@ -325,7 +327,7 @@
     """During an upgrade a newer VM owned the endpoint and stored fields that this
     version does not know. It must neither fail on reading nor overwrite them.
     """
-    world = movers.World(fencing=True)
+    world = order_execution_world.World(fencing=True)
     key = ledger_store.PREFIX + "engine-1"
     world.api.put(key, body, None)
     owner = world.new_owner()
--- a/packages/mothworks/tests/test_orders.py
+++ b/packages/mothworks/tests/test_orders.py
@@ -6,7 +6,7 @@
 import pytest
 
 import builders
-import movers
+import order_execution_world
 from mothworks import (
     catalogue,
     configuration,
@@ -26,9 +26,11 @@
 def task(monkeypatch):
     """The task of an endpoint that holds the model ``menu``."""
     monkeypatch.setattr(gevent, "sleep", lambda seconds: None)
-    world = movers.World(fencing=True)
+    world = order_execution_world.World(fencing=True)
     executor = world.reconciled_owner()
-    movers.execute_move(executor, world, endpoints.OrderKind.LOAD, movers.holding())
+    order_execution_world.execute_move(
+        executor, world, endpoints.OrderKind.LOAD, order_execution_world.holding()
+    )
     declared = builders.make_catalogue(endpoints=(world.endpoint,), services=())
     part = unittest.mock.Mock()
     part.configuration.index = catalogue.Index(declared)
--- a/packages/mothworks/tests/test_planner.py
+++ b/packages/mothworks/tests/test_planner.py
@@ -3,7 +3,7 @@
 import attrs
 
 import builders
-import movers
+import order_execution_world
 from mothworks import catalogue, demand, endpoints, move_messages, packing, region_plan
 
 LOAD = endpoints.OrderKind.LOAD
@@ -165,12 +165,15 @@
     """In a partition two planners each send the same endpoint a load. Each load
     fits alone, but not both together.
     """
-    world = movers.World(fencing=False)
+    world = order_execution_world.World(fencing=False)
     first, second = world.reconciled_owner(), world.reconciled_owner()
-    menu, tickets = movers.holding("menu", 60), movers.holding("tickets", 60)
+    menu, tickets = (
+        order_execution_world.holding("menu", 60),
+        order_execution_world.holding("tickets", 60),
+    )
     assert first.write_intent(endpoints.OrderKind.LOAD, menu).is_ok()
     assert second.write_intent(endpoints.OrderKind.LOAD, tickets).is_err()
-    movers.resolve(first, world)
+    order_execution_world.resolve(first, world)
     second.read_ledger()
     assert second.write_intent(endpoints.OrderKind.LOAD, tickets).is_err()
-    assert world.engine.peak_mb <= movers.CAPACITY_MB
+    assert world.engine.peak_mb <= order_execution_world.CAPACITY_MB
