--- a/packages/mothworks/src/mothworks/answers.py
+++ b/packages/mothworks/src/mothworks/answers.py
@@ -58,10 +58,10 @@
 Outcome = result.Result[Answer, outcomes.Refusal]
 
 
-def gathered(
+def merge_results(
     revision: int,
     tables: collections.abc.Iterable[Table],
-    parts: collections.abc.Iterable[fan_out.Gathered],
+    parts: collections.abc.Iterable[fan_out.QueryResult],
     notes: tuple[str, ...] = (),
 ) -> Answer:
     """Return an answer that names unresponsive VMs and counts omitted items.
--- a/packages/mothworks/src/mothworks/explanations.py
+++ b/packages/mothworks/src/mothworks/explanations.py
@@ -75,7 +75,7 @@
             omitted = len(waiting.rows) - MAX_WAITING_LISTED
             notes = (*notes, f"{omitted} more wait: show waiting where model = {name}")
         return result.Ok(
-            answers.gathered(
+            answers.merge_results(
                 self.configuration.revision, tables, [batches, waiting, moves], notes
             )
         )
@@ -86,8 +86,8 @@
         :param request_id: the request's ID.
         """
         topics = (fan_out.Topic.TRACE, fan_out.Topic.STEPS, fan_out.Topic.WAITING)
-        trace, steps, waiting = self.fan_out.ask_each(
-            *(fan_out.Wanted(topic, request_id) for topic in topics)
+        trace, steps, waiting = self.fan_out.query_all(
+            *(fan_out.Query(topic, request_id) for topic in topics)
         )
         if not trace.rows and not waiting.rows and not trace.unanswered:
             message = (
@@ -101,7 +101,7 @@
             answers.Table("waiting", row_classes.WaitingRow, waiting.rows),
         ]
         return result.Ok(
-            answers.gathered(
+            answers.merge_results(
                 self.configuration.revision, tables, [trace, steps, waiting]
             )
         )
@@ -113,20 +113,20 @@
 
     def _query_model(
         self, name: str, candidates: list[catalogue.Endpoint]
-    ) -> list[fan_out.Gathered]:
+    ) -> list[fan_out.QueryResult]:
         """Query owners for queues, and all VMs for orders and load targets."""
         rows = [self.inventory.endpoint(endpoint) for endpoint in candidates]
         owners = frozenset(row.owner for row in rows) - {""}
         topics = fan_out.Topic
-        return self.fan_out.ask_each(
-            fan_out.Wanted(topics.BATCHES, name, owners),
-            fan_out.Wanted(topics.WAITING, name, owners),
-            fan_out.Wanted(topics.MOVES, name),
-            fan_out.Wanted(topics.PLACES, name),
+        return self.fan_out.query_all(
+            fan_out.Query(topics.BATCHES, name, owners),
+            fan_out.Query(topics.WAITING, name, owners),
+            fan_out.Query(topics.MOVES, name),
+            fan_out.Query(topics.LOAD_TARGETS, name),
         )
 
     def _replicas(
-        self, candidates: list[catalogue.Endpoint], batches: fan_out.Gathered
+        self, candidates: list[catalogue.Endpoint], batches: fan_out.QueryResult
     ) -> list[reason_rows.ReplicaRow]:
         batch_by_endpoint = {row.endpoint: row for row in batches.rows}
         return [
--- a/packages/mothworks/src/mothworks/fan_out.py
+++ b/packages/mothworks/src/mothworks/fan_out.py
@@ -33,7 +33,7 @@
     STEPS = "steps"
     BATCHES = "batches"
     MOVES = "moves"
-    PLACES = "places"
+    LOAD_TARGETS = "places"
     ATTAINMENT = "attainment"
 
 
@@ -66,7 +66,7 @@
 
 
 @attrs.frozen
-class Wanted:
+class Query:
     """A query of one topic.
 
     :param topic: the topic.
@@ -80,7 +80,7 @@
 
 
 @attrs.frozen
-class Gathered:
+class QueryResult:
     """The rows of all queried VMs.
 
     :param rows: typed rows.
@@ -117,7 +117,7 @@
         self.handler_by_topic: dict[str, _Handler] = {}
         self.peers.handle(RowsRequest, self._serve_request)
 
-    def serve(self, topic: Topic, row_class: type, source: RowSource) -> None:
+    def register(self, topic: Topic, row_class: type, source: RowSource) -> None:
         """Register the source of a topic's rows on this VM.
 
         :param topic: the topic.
@@ -126,12 +126,12 @@
         """
         self.handler_by_topic[topic] = _Handler(row_class, source)
 
-    def ask(
+    def query(
         self,
         topic: Topic,
         argument: str = "",
         vms: collections.abc.Collection[str] | None = None,
-    ) -> Gathered:
+    ) -> QueryResult:
         """Query VMs, by default all including this one, and wait for their rows.
 
         :param topic: the topic.
@@ -153,19 +153,19 @@
                 continue
             rows += vm_rows
             left_out += reply.left_out
-        return Gathered(tuple(rows), tuple(unanswered), left_out)
+        return QueryResult(tuple(rows), tuple(unanswered), left_out)
 
-    def ask_each(self, *wanted: Wanted) -> list[Gathered]:
-        """Run several queries concurrently; see :meth:`ask`.
+    def query_all(self, *queries: Query) -> list[QueryResult]:
+        """Run several queries concurrently; see :meth:`query`.
 
         One after the other, each query would wait for the timeout of a VM that
         does not reply.
 
-        :param wanted: the queries.
+        :param queries: the queries.
         """
-        pool = gevent.pool.Pool(len(wanted))
+        pool = gevent.pool.Pool(len(queries))
         return pool.map(
-            lambda query: self.ask(query.topic, query.argument, query.vms), wanted
+            lambda query: self.query(query.topic, query.argument, query.vms), queries
         )
 
     def _request_rows(self, vm: str, request: RowsRequest) -> RowsReply | None:
--- a/packages/mothworks/src/mothworks/local_facts.py
+++ b/packages/mothworks/src/mothworks/local_facts.py
@@ -41,14 +41,14 @@
         self.planner = node_kernel.get(planner.Planner)
         self.slots = node_kernel.get(slot_owner.SlotOwner)
         topics = fan_out.Topic
-        serve = node_kernel.get(fan_out.FanOut).serve
-        serve(topics.WAITING, row_classes.WaitingRow, self._waiting_rows)
-        serve(topics.BATCHES, row_classes.BatchRow, self._batch_rows)
-        serve(topics.ATTAINMENT, reason_rows.CountRow, self._attainment_rows)
-        serve(topics.MOVES, row_classes.MoveRow, self._order_rows)
-        serve(topics.PLACES, reason_rows.LoadTargetRow, self._load_target_rows)
-        serve(topics.TRACE, reason_rows.TraceRow, self._trace_rows)
-        serve(topics.STEPS, reason_rows.StepRow, self._step_rows)
+        register = node_kernel.get(fan_out.FanOut).register
+        register(topics.WAITING, row_classes.WaitingRow, self._waiting_rows)
+        register(topics.BATCHES, row_classes.BatchRow, self._batch_rows)
+        register(topics.ATTAINMENT, reason_rows.CountRow, self._attainment_rows)
+        register(topics.MOVES, row_classes.MoveRow, self._order_rows)
+        register(topics.LOAD_TARGETS, reason_rows.LoadTargetRow, self._load_target_rows)
+        register(topics.TRACE, reason_rows.TraceRow, self._trace_rows)
+        register(topics.STEPS, reason_rows.StepRow, self._step_rows)
 
     def _waiting_rows(self, argument: str) -> list[row_classes.WaitingRow]:
         """Return queued requests of a request ID or model; of all where empty."""
--- a/packages/mothworks/src/mothworks/questions.py
+++ b/packages/mothworks/src/mothworks/questions.py
@@ -75,7 +75,7 @@
                 return error
         row_class = row_classes.row_class(collection)
         return row_filters.keep(collected.rows, conditions).map(
-            lambda rows: answers.gathered(
+            lambda rows: answers.merge_results(
                 self.configuration.revision,
                 [answers.Table(collection, row_class, rows)],
                 [collected],
@@ -86,7 +86,7 @@
         self,
         collection: statements.Collection,
         conditions: tuple[statements.Condition, ...],
-    ) -> result.Result[fan_out.Gathered, outcomes.Refusal]:
+    ) -> result.Result[fan_out.QueryResult, outcomes.Refusal]:
         match collection:
             case statements.Collection.MODELS:
                 rows = self.inventory.models()
@@ -97,22 +97,22 @@
             case statements.Collection.PEERS:
                 rows = self.inventory.peers()
             case statements.Collection.WAITING:
-                return result.Ok(self.fan_out.ask(fan_out.Topic.WAITING))
+                return result.Ok(self.fan_out.query(fan_out.Topic.WAITING))
             case statements.Collection.QUEUES:
-                return result.Ok(self.fan_out.ask(fan_out.Topic.BATCHES))
+                return result.Ok(self.fan_out.query(fan_out.Topic.BATCHES))
             case statements.Collection.ATTAINMENT:
                 return result.Ok(self._attainment())
             case statements.Collection.MOVES:
-                return result.Ok(self.fan_out.ask(fan_out.Topic.MOVES))
+                return result.Ok(self.fan_out.query(fan_out.Topic.MOVES))
             case statements.Collection.AUDIT:
                 return self._audit(conditions)
             case statements.Collection.QUARANTINE:
                 rows = self._quarantine()
-        return result.Ok(fan_out.Gathered(tuple(rows)))
+        return result.Ok(fan_out.QueryResult(tuple(rows)))
 
     def _audit(
         self, conditions: tuple[statements.Condition, ...]
-    ) -> result.Result[fan_out.Gathered, outcomes.Refusal]:
+    ) -> result.Result[fan_out.QueryResult, outcomes.Refusal]:
         live = frozenset(member.name for member in self.membership.live())
         trail_result = audit_reading.read(self.audit.api, live, _audit_days(conditions))
         match trail_result:
@@ -128,7 +128,7 @@
                     if (entry.vm, entry.at, entry.number) not in stored_ids
                 ]
                 rows = (*trail.entries, *pending)
-                return result.Ok(fan_out.Gathered(rows, left_out=len(trail.unread)))
+                return result.Ok(fan_out.QueryResult(rows, left_out=len(trail.unread)))
             case result.Err(unavailable):
                 message = f"the object API does not answer: {unavailable.reason}"
                 return result.Err(outcomes.overloaded(message, 5.0, "object_api"))
@@ -146,8 +146,8 @@
             for item in self.suspects.listed()
         ]
 
-    def _attainment(self) -> fan_out.Gathered:
-        collected = self.fan_out.ask(fan_out.Topic.ATTAINMENT)
+    def _attainment(self) -> fan_out.QueryResult:
+        collected = self.fan_out.query(fan_out.Topic.ATTAINMENT)
         rows = attainment_rows.summed(collected.rows, self.inventory.accelerators())
         return attrs.evolve(collected, rows=rows)
 
