--- a/packages/mothctl/src/mothctl/execution.py
+++ b/packages/mothctl/src/mothctl/execution.py
@@ -100,7 +100,7 @@
         text = pathlib.Path(file).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         return result.Err(WrongFile(str(error)))
-    return catalogue_checks.read(text, file).map_err(
+    return catalogue_checks.parse_and_check(text, file).map_err(
         lambda error: WrongFile(str(error))
     )
 
--- a/packages/mothworks/src/mothworks/attainment_rows.py
+++ b/packages/mothworks/src/mothworks/attainment_rows.py
@@ -9,7 +9,7 @@
 ALL_CLASSES = "all"
 
 
-def summed(
+def sum_counts(
     counts: collections.abc.Iterable[reason_rows.CountRow], accelerators: int
 ) -> tuple[row_classes.AttainmentRow, ...]:
     """Return one row for each class and one for all classes.
--- a/packages/mothworks/src/mothworks/audit_reading.py
+++ b/packages/mothworks/src/mothworks/audit_reading.py
@@ -25,11 +25,11 @@
     """Entries of all VMs.
 
     :param entries: oldest first, with an entry for each gap.
-    :param unread: keys of older objects that were not read.
+    :param skipped_keys: keys of older objects that were not read.
     """
 
     entries: tuple[audit.Entry, ...]
-    unread: tuple[str, ...] = ()
+    skipped_keys: tuple[str, ...] = ()
 
 
 def read(
--- a/packages/mothworks/src/mothworks/catalogue_checks.py
+++ b/packages/mothworks/src/mothworks/catalogue_checks.py
@@ -13,7 +13,7 @@
 from mothworks import catalogue, documents, memory_packing, plugins
 
 
-def read(
+def parse_and_check(
     text: str, source: str
 ) -> result.Result[catalogue.Catalogue, documents.DocumentError]:
     """Parse and check a catalogue.
@@ -112,7 +112,7 @@
             )
 
 
-def fit(
+def check_capacity(
     declared: catalogue.Catalogue, source: str
 ) -> result.Result[catalogue.Catalogue, documents.DocumentError]:
     """Check that all models fit into the memory of each region at the same time.
--- a/packages/mothworks/src/mothworks/changes.py
+++ b/packages/mothworks/src/mothworks/changes.py
@@ -149,7 +149,7 @@
 
 def _check(changed: catalogue.Catalogue):
     checked = catalogue_checks.check(changed, "catalogue").and_then(
-        lambda consistent: catalogue_checks.fit(consistent, "catalogue")
+        lambda consistent: catalogue_checks.check_capacity(consistent, "catalogue")
     )
     return checked.map_err(
         lambda problem: outcomes.invalid(str(problem), "invalid_catalogue", 422)
--- a/packages/mothworks/src/mothworks/cli.py
+++ b/packages/mothworks/src/mothworks/cli.py
@@ -60,7 +60,7 @@
     file: pathlib.Path,
 ) -> result.Result[catalogues.Catalogue, documents.DocumentError]:
     return documents.load(file).and_then(
-        lambda text: catalogue_checks.read(text, str(file))
+        lambda text: catalogue_checks.parse_and_check(text, str(file))
     )
 
 
--- a/packages/mothworks/src/mothworks/configuration.py
+++ b/packages/mothworks/src/mothworks/configuration.py
@@ -108,7 +108,7 @@
         #: Set once this VM has a revision or knows that none is stored.
         self.loaded = gevent.event.Event()
         #: Callbacks without arguments, run after a new revision is in force.
-        self.on_change: list[collections.abc.Callable[[], None]] = []
+        self.change_callbacks: list[collections.abc.Callable[[], None]] = []
         #: Sources of parts that are tried before the object API.
         self.part_sources: list[PartSource] = []
         #: The stored bytes of the head in force; empty before the first.
@@ -232,7 +232,7 @@
             self.head_body = body
             self.rejected_by_nonce.clear()
         log.info("revision {} by {} is in force", head.revision, head.who)
-        for callback in self.on_change:
+        for callback in self.change_callbacks:
             callback()
 
     def _reject(
--- a/packages/mothworks/src/mothworks/configuration_gossip.py
+++ b/packages/mothworks/src/mothworks/configuration_gossip.py
@@ -83,7 +83,7 @@
         self.peers.handle(HeadUpdate, self._serve_head_update)
         self.peers.handle(HeadRequest, self._serve_head_request)
         self.peers.handle(PartRequest, self._serve_part_request)
-        self.configuration.on_change.append(self._push_head)
+        self.configuration.change_callbacks.append(self._push_head)
         self.configuration.part_sources.append(self._request_part_from_any)
 
     def start(self) -> None:
--- a/packages/mothworks/src/mothworks/dashboard.py
+++ b/packages/mothworks/src/mothworks/dashboard.py
@@ -28,7 +28,7 @@
     operator_keys,
     outcomes,
     plugins,
-    questions,
+    queries,
     statements,
 )
 
@@ -125,7 +125,7 @@
     def __init__(self, node_kernel: kernel.Kernel):
         self.kernel = node_kernel
         self.configuration = node_kernel.get(configuration.Configuration)
-        self.questions = node_kernel.get(questions.Questions)
+        self.queries = node_kernel.get(queries.Queries)
 
     def serve(self, call: calls.Call) -> calls.Reply:
         """Answer one call.
@@ -153,7 +153,7 @@
     def _render_page(self) -> str:
         warnings, sections = [], []
         for section in SECTIONS:
-            match self.questions.answer(statements.Show(section.collection)):
+            match self.queries.answer(statements.Show(section.collection)):
                 case result.Ok(answer):
                     sections.append(_render_section(section, answer.tables[0]))
                     if answer.unanswered:
--- a/packages/mothworks/src/mothworks/decisions.py
+++ b/packages/mothworks/src/mothworks/decisions.py
@@ -13,9 +13,9 @@
 from mothworks import kernel, requests
 
 #: Most traces kept of ended requests.
-RECENT = 512
+MAX_ENDED_TRACES = 512
 #: Most steps kept in one trace; later ones are dropped.
-MOST_STEPS = 32
+MAX_STEPS = 32
 
 
 @attrs.frozen
@@ -60,13 +60,13 @@
         #: The request's outcome; empty while it runs.
         self.outcome = ""
 
-    def add(self, endpoint: str, what: str) -> None:
+    def add_step(self, endpoint: str, what: str) -> None:
         """Add a step, unless the trace is full.
 
         :param endpoint: the endpoint concerned, or empty.
         :param what: the event or decision.
         """
-        if len(self.steps) < MOST_STEPS:
+        if len(self.steps) < MAX_STEPS:
             self.steps.append(Step(time.monotonic(), endpoint, what))
 
 
@@ -79,7 +79,9 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.trace_by_request: dict[str, Trace] = {}
-        self.recent: collections.deque[Trace] = collections.deque(maxlen=RECENT)
+        self.recent: collections.deque[Trace] = collections.deque(
+            maxlen=MAX_ENDED_TRACES
+        )
 
     def open(self, request: requests.Request) -> Trace:
         """Start the trace of a request.
@@ -90,7 +92,7 @@
         self.trace_by_request[request.id] = trace
         return trace
 
-    def step(self, request_id: str, endpoint: str, what: str) -> None:
+    def add_step(self, request_id: str, endpoint: str, what: str) -> None:
         """Add a step to the trace of a running request.
 
         :param request_id: the request's ID.
@@ -99,7 +101,7 @@
         """
         trace = self.trace_by_request.get(request_id)
         if trace is not None:
-            trace.add(endpoint, what)
+            trace.add_step(endpoint, what)
 
     def close(self, request_id: str, outcome: str) -> None:
         """End the trace of a request; a repeated call has no effect.
--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -142,11 +142,13 @@
                 self._trace_closed(request, trace)
                 break
             names = ", ".join(endpoint.name for endpoint in candidates)
-            trace.add("", f"considered, best first: {names}")
+            trace.add_step("", f"considered, best first: {names}")
             match self._attempt(request, candidates, watch, claim):
                 case result.Ok(started):
                     grant = started.grant
-                    trace.add(grant.endpoint.name, f"granted by {grant.owner or '-'}")
+                    trace.add_step(
+                        grant.endpoint.name, f"granted by {grant.owner or '-'}"
+                    )
                     return result.Ok(started)
                 case result.Err(failed):
                     # If an earlier attempt may have run, the caller must not read
@@ -155,7 +157,7 @@
                     if refusal.ran is outcomes.Ran.UNKNOWN:
                         ran = refusal.ran
                     refusal = attrs.evolve(failed.refusal, ran=ran)
-                    trace.add(failed.endpoint, refusal.message)
+                    trace.add_step(failed.endpoint, refusal.message)
             tried.add(failed.endpoint)
             claim_lost = claim is not None and claim.lost
             has_alternative = not claim_lost and bool(
@@ -222,7 +224,7 @@
 
     def _trace_closed(self, request: requests.Request, trace: decisions.Trace) -> None:
         for name in self.placement.holders(request.target):
-            trace.add(name, self.placement.closed_reason(name) or "already tried")
+            trace.add_step(name, self.placement.closed_reason(name) or "already tried")
 
     def choose_endpoints(
         self, request: requests.Request, tried: set[str]
--- a/packages/mothworks/src/mothworks/explanations.py
+++ b/packages/mothworks/src/mothworks/explanations.py
@@ -43,7 +43,7 @@
         self.inventory = node_kernel.get(inventory.Inventory)
         self.placement = node_kernel.get(placement.Placement)
 
-    def model(self, name: str) -> answers.Outcome:
+    def explain_model(self, name: str) -> answers.Outcome:
         """Return where a model is resident, whether it takes work, and its queue.
 
         :param name: the model, adapter or service.
@@ -80,7 +80,7 @@
             )
         )
 
-    def request(self, request_id: str) -> answers.Outcome:
+    def explain_request(self, request_id: str) -> answers.Outcome:
         """Return a request's trace, its steps and its positions in queues.
 
         :param request_id: the request's ID.
@@ -92,7 +92,7 @@
         if not trace.rows and not waiting.rows and not trace.unanswered:
             message = (
                 f"no VM has a trace of request {request_id!r:.80}; each VM keeps "
-                f"its last {decisions.RECENT} and those that run or wait"
+                f"its last {decisions.MAX_ENDED_TRACES} and those that run or wait"
             )
             return result.Err(outcomes.invalid(message, "not_found", 404))
         tables = [
--- a/packages/mothworks/src/mothworks/health.py
+++ b/packages/mothworks/src/mothworks/health.py
@@ -67,7 +67,7 @@
         self.withheld_by_endpoint: dict[str, frozenset[str]] = {}
         #: Functions called without arguments after :meth:`owned` changed.
         self.on_owned_changed: list = []
-        self.configuration.on_change.append(self.update_owned)
+        self.configuration.change_callbacks.append(self.update_owned)
         self.membership.on_change.append(self.update_owned)
 
     def start(self) -> None:
--- a/packages/mothworks/src/mothworks/local_facts.py
+++ b/packages/mothworks/src/mothworks/local_facts.py
@@ -97,7 +97,7 @@
                 planner=self.kernel.settings.name,
                 free_mb=view.free_mb,
                 needed_mb=model_demand.spec.required_mb,
-                verdict=verdict(view, model_demand.spec),
+                verdict=load_verdict(view, model_demand.spec),
             )
             for view in views
         ]
@@ -146,7 +146,7 @@
         return rows
 
 
-def verdict(view: fleet.EndpointView, spec: fleet.ModelSpec) -> str:
+def load_verdict(view: fleet.EndpointView, spec: fleet.ModelSpec) -> str:
     """Return why a planner would not load a model on an endpoint, or ``fits``.
 
     :param view: the endpoint, as its planner sees it.
--- a/packages/mothworks/src/mothworks/operator_calls.py
+++ b/packages/mothworks/src/mothworks/operator_calls.py
@@ -26,7 +26,7 @@
     operator_moves,
     outcomes,
     plugins,
-    questions,
+    queries,
     settings,
     statements,
     suspects,
@@ -61,7 +61,7 @@
         self.configuration = node_kernel.get(configuration.Configuration)
         self.commands = node_kernel.get(operator_commands.Commands)
         self.moves = node_kernel.get(operator_moves.OperatorMoves)
-        self.questions = node_kernel.get(questions.Questions)
+        self.queries = node_kernel.get(queries.Queries)
         self.suspects = node_kernel.get(suspects.Suspects)
         self.audit = node_kernel.get(audit.Audit)
 
@@ -87,7 +87,7 @@
                 return self._show(path.removeprefix(SHOW_PREFIX))
             case (_, path):
                 return calls.refuse(
-                    outcomes.invalid(f"nothing is at {path}", "not_found", 404)
+                    outcomes.invalid(f"no resource at {path}", "not_found", 404)
                 )
 
     def _ask(self, call: calls.Call, operator: settings.Operator) -> calls.Reply:
@@ -98,7 +98,7 @@
                 return calls.refuse(refusal)
         match statement:
             case statements.Show() | statements.WhyModel() | statements.WhyRequest():
-                return _query_reply(self.questions.answer(statement))
+                return _query_reply(self.queries.answer(statement))
             case _ if operator.role is not settings.Role.OPERATOR:
                 return _forbidden()
             case statements.Move():
@@ -148,7 +148,7 @@
                 )
             )
         statement = statements.Show(statements.Collection(name))
-        match self.questions.answer(statement):
+        match self.queries.answer(statement):
             case result.Ok(answer):
                 return calls.json_reply(answer.tables[0].plain()["rows"])
             case result.Err(refusal):
@@ -224,7 +224,11 @@
     checked = documents.structure(value, Change, "change").and_then(
         lambda change: (
             catalogue_checks.check(change.catalogue, "catalogue")
-            .and_then(lambda consistent: catalogue_checks.fit(consistent, "catalogue"))
+            .and_then(
+                lambda consistent: catalogue_checks.check_capacity(
+                    consistent, "catalogue"
+                )
+            )
             .map(lambda _: change)
         )
     )
--- a/packages/mothworks/src/mothworks/placement.py
+++ b/packages/mothworks/src/mothworks/placement.py
@@ -102,7 +102,7 @@
         self.digest = Digest()
         self.endpoints_by_model: dict[str, set[str]] = {}
         self.peers.handle(EndpointStatus, self._handle_status)
-        self.configuration.on_change.append(self._remove_undeclared)
+        self.configuration.change_callbacks.append(self._remove_undeclared)
 
     def announce(
         self, endpoint: str, state: EndpointState, models: tuple[str, ...]
--- a/packages/mothworks/src/mothworks/questions.py
+++ b/packages/mothworks/src/mothworks/queries.py
@@ -34,7 +34,7 @@
 
 
 @plugins.register(plugins.PART, "questions")
-class Questions(kernel.Part):
+class Queries(kernel.Part):
     """Runs read-only statements.
 
     :param node_kernel: the node's kernel.
@@ -59,9 +59,9 @@
             case statements.Show(collection, conditions):
                 return self._show(collection, conditions)
             case statements.WhyModel(name):
-                return self.explanations.model(name)
+                return self.explanations.explain_model(name)
             case statements.WhyRequest(request_id):
-                return self.explanations.request(request_id)
+                return self.explanations.explain_request(request_id)
 
     def _show(
         self,
@@ -74,7 +74,7 @@
             case error:
                 return error
         row_class = row_classes.row_class(collection)
-        return row_filters.keep(collected.rows, conditions).map(
+        return row_filters.filter_rows(collected.rows, conditions).map(
             lambda rows: answers.merge_results(
                 self.configuration.revision,
                 [answers.Table(collection, row_class, rows)],
@@ -128,7 +128,9 @@
                     if (entry.vm, entry.at, entry.number) not in stored_ids
                 ]
                 rows = (*trail.entries, *pending)
-                return result.Ok(fan_out.QueryResult(rows, left_out=len(trail.unread)))
+                return result.Ok(
+                    fan_out.QueryResult(rows, left_out=len(trail.skipped_keys))
+                )
             case result.Err(unavailable):
                 message = f"the object API does not answer: {unavailable.reason}"
                 return result.Err(outcomes.overloaded(message, 5.0, "object_api"))
@@ -148,7 +150,7 @@
 
     def _attainment(self) -> fan_out.QueryResult:
         collected = self.fan_out.query(fan_out.Topic.ATTAINMENT)
-        rows = attainment_rows.summed(collected.rows, self.inventory.accelerators())
+        rows = attainment_rows.sum_counts(collected.rows, self.inventory.accelerators())
         return attrs.evolve(collected, rows=rows)
 
 
--- a/packages/mothworks/src/mothworks/row_filters.py
+++ b/packages/mothworks/src/mothworks/row_filters.py
@@ -18,7 +18,7 @@
 }
 
 
-def keep(
+def filter_rows(
     rows: collections.abc.Iterable[typing.Any],
     conditions: tuple[statements.Condition, ...],
 ) -> result.Result[tuple[typing.Any, ...], outcomes.Refusal]:
--- a/packages/mothworks/src/mothworks/slots.py
+++ b/packages/mothworks/src/mothworks/slots.py
@@ -94,7 +94,7 @@
         self.peers.handle(slot_messages.CheckSlots, self._serve_check)
         self.peers.on_lost.append(self._recover_after_loss)
         self.membership.on_change.append(self._update_owners)
-        self.configuration.on_change.append(self._update_owners)
+        self.configuration.change_callbacks.append(self._update_owners)
 
     def acquire(
         self,
--- a/packages/mothworks/tests/test_attainment.py
+++ b/packages/mothworks/tests/test_attainment.py
@@ -60,7 +60,7 @@
 
 
 def test_sums_over_vms_and_classes():
-    rows = attainment_rows.summed(
+    rows = attainment_rows.sum_counts(
         [
             reason_rows.CountRow("urgent", V.MET, 30),
             reason_rows.CountRow("urgent", V.MET, 60),
--- a/packages/mothworks/tests/test_bad_documents.py
+++ b/packages/mothworks/tests/test_bad_documents.py
@@ -150,7 +150,7 @@
         models=[item("model", memory_mb=100_000), item("model", name="late")],
         endpoints=[item("endpoint", kind="abacus", data_centre="dc-9")],
     )
-    problems = catalogue_checks.read(text, "example").unwrap_err().problems
+    problems = catalogue_checks.parse_and_check(text, "example").unwrap_err().problems
     assert len(problems) >= 3
 
 
--- a/packages/mothworks/tests/test_examples.py
+++ b/packages/mothworks/tests/test_examples.py
@@ -15,7 +15,7 @@
 )
 def test_catalogue_is_valid(name, data_centres, engines, models, adapters):
     text = (EXAMPLES / name).read_text(encoding="utf-8")
-    declared = catalogue_checks.read(text, name).unwrap()
+    declared = catalogue_checks.parse_and_check(text, name).unwrap()
     assert len(declared.data_centres) == data_centres
     assert sum(item.memory_mb > 0 for item in declared.endpoints) == engines
     assert len(declared.models) == models
--- a/packages/mothworks/tests/test_memory_packing.py
+++ b/packages/mothworks/tests/test_memory_packing.py
@@ -11,7 +11,9 @@
 def find_problems(**changes):
     declared = builders.make_catalogue(services=(), **changes)
     checked = catalogue_checks.check(declared, "test").and_then(
-        lambda checked_catalogue: catalogue_checks.fit(checked_catalogue, "test")
+        lambda checked_catalogue: catalogue_checks.check_capacity(
+            checked_catalogue, "test"
+        )
     )
     return checked.err().problems if checked.is_err() else ()
 
@@ -53,7 +55,7 @@
 
 def test_a_late_order_time_below_the_minimum_is_refused():
     text = '{"weights": {"late_order_s": 1}}'
-    (problem,) = catalogue_checks.read(text, "test").err().problems
+    (problem,) = catalogue_checks.parse_and_check(text, "test").err().problems
     assert "expected at least 5" in problem
 
 
--- a/packages/mothworks/tests/test_placement_map.py
+++ b/packages/mothworks/tests/test_placement_map.py
@@ -134,7 +134,7 @@
     empty = vm.placement.digest.overall_hash()
     vm.placement.announce("engine-1", OPEN, ("menu",))
     vm.placement.configuration.index = catalogue.Index(catalogue.Catalogue())
-    for notify in vm.placement.configuration.on_change:
+    for notify in vm.placement.configuration.change_callbacks:
         notify()
     assert not vm.placement.status_by_endpoint
     assert not vm.placement.endpoints_by_model
--- a/packages/mothworks/tests/test_relocations.py
+++ b/packages/mothworks/tests/test_relocations.py
@@ -94,14 +94,14 @@
     planned = make_fleet()
     first, second = planned.view_by_name.values()
     menu = planned.demand_by_name["menu"].spec
-    assert local_facts.verdict(first, menu) == "is resident there"
-    assert local_facts.verdict(second, menu) == "fits"
+    assert local_facts.load_verdict(first, menu) == "is resident there"
+    assert local_facts.load_verdict(second, menu) == "fits"
     second.free_mb = 1000
     missing_mb = menu.required_mb - 1000
-    assert local_facts.verdict(second, menu) == f"{missing_mb} MB are missing"
+    assert local_facts.load_verdict(second, menu) == f"{missing_mb} MB are missing"
     second.memory_mb = 2000
-    assert local_facts.verdict(second, menu) == "never fits: 2000 MB in all"
+    assert local_facts.load_verdict(second, menu) == "never fits: 2000 MB in all"
     second.open = False
-    assert local_facts.verdict(second, menu) == "takes no new work"
+    assert local_facts.load_verdict(second, menu) == "takes no new work"
     planned.unload(first, MENU)
-    assert local_facts.verdict(first, menu) == "is being unloaded there"
+    assert local_facts.load_verdict(first, menu) == "is being unloaded there"
--- a/packages/mothworks/tests/test_row_filters.py
+++ b/packages/mothworks/tests/test_row_filters.py
@@ -19,7 +19,7 @@
         statements.Condition(field, statements.Comparison(comparison), value)
         for field, comparison, value in conditions
     )
-    return row_filters.keep(ROWS, parsed)
+    return row_filters.filter_rows(ROWS, parsed)
 
 
 @pytest.mark.parametrize(
--- a/packages/mothworks/tests/test_slot_moves.py
+++ b/packages/mothworks/tests/test_slot_moves.py
@@ -61,7 +61,7 @@
         part = vm.kernel.get(health.Health)
         part.adapters.adapter_by_kind["vllm"] = Endpoint(self)
         part.configuration.index = self.index
-        for notify in part.configuration.on_change:
+        for notify in part.configuration.change_callbacks:
             notify()
         vm.slots = vm.kernel.get(slots.Slots)
         vm.placement = vm.kernel.get(placement.Placement)
--- a/packages/mothworks_fakes/src/mothworks_fakes/demo.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/demo.py
@@ -89,7 +89,7 @@
 def _play(scene: Scene, bed: testbed.Testbed, path: pathlib.Path) -> None:
     _say(f"{path}: stand-ins and three nodes")
     text = path.read_text(encoding="utf-8")
-    declared = catalogue_checks.read(text, str(path)).unwrap()
+    declared = catalogue_checks.parse_and_check(text, str(path)).unwrap()
     started = attrs.evolve(
         declared, endpoints=tuple(bed.add(item) for item in declared.endpoints)
     )
--- a/packages/mothworks_fakes/src/mothworks_fakes/measure_state.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/measure_state.py
@@ -117,7 +117,7 @@
     caller = catalogue.Caller("guest", "0" * 64)
     made = [_request(f"{number:032x}", caller) for number in range(TIMES)]
     tracemalloc.start()
-    for request in made[: decisions.RECENT]:
+    for request in made[: decisions.MAX_ENDED_TRACES]:
         _trace(kept, request)
     memory_kb = tracemalloc.get_traced_memory()[0] / 1024
     tracemalloc.stop()
@@ -125,7 +125,7 @@
     for request in made:
         _trace(kept, request)
     spent_us = (time.process_time() - began) / TIMES * 1e6
-    note = f"{decisions.RECENT} ended requests of 3 steps"
+    note = f"{decisions.MAX_ENDED_TRACES} ended requests of 3 steps"
     return [
         _slope("traces of requests, memory", memory_kb, "KB a node", note),
         _slope("traces of requests, processor time", spent_us, "us a request", note),
@@ -151,9 +151,9 @@
 
 def _trace(kept: decisions.Decisions, request: requests.Request) -> None:
     trace = kept.open(request)
-    trace.add("", f"considered, best first: {request.id}")
-    trace.add("engine-1", "no capacity in time")
-    trace.add("engine-2", f"granted by {request.caller.name}")
+    trace.add_step("", f"considered, best first: {request.id}")
+    trace.add_step("engine-1", "no capacity in time")
+    trace.add_step("engine-2", f"granted by {request.caller.name}")
     kept.close(request.id, "ok")
 
 
