--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -117,9 +117,11 @@
         if claim.lost:
             return claim.wait_for_winner().map(answer_recording.Replay)
         match started:
-            case result.Ok(running):
+            case result.Ok(active_request):
                 return result.Ok(
-                    answer_recording.RecordedRequest(running, claim, self.claims.tasks)
+                    answer_recording.RecordedRequest(
+                        active_request, claim, self.claims.tasks
+                    )
                 )
             case result.Err(outcomes.Refusal(ran=outcomes.Ran.NO)):
                 claim.store_outcome(claim_records.State.RELEASED)
@@ -175,33 +177,39 @@
         return self.resumption.resume(broken)
 
     def release_endpoint(
-        self, running: running_request.RunningRequest, outcome: slots.Outcome
+        self, active_request: running_request.RunningRequest, outcome: slots.Outcome
     ) -> None:
         """Release the slot of a request at its current endpoint.
 
-        :param running: the request.
+        :param active_request: the request.
         :param outcome: how the request ended there.
         """
-        self.demand.count_end(running.request.target, running.progress.sent_at)
-        end = running.progress.summary(outcome)
-        self.metrics.count_answer_end(running.request.caller.urgency, end)
-        self.release(running.grant, end)
+        self.demand.count_end(
+            active_request.request.target, active_request.progress.sent_at
+        )
+        end = active_request.progress.summary(outcome)
+        self.metrics.count_answer_end(active_request.request.caller.urgency, end)
+        self.release(active_request.grant, end)
         match outcome:
             case slots.Outcome.OK:
-                self.suspects.clear(running.request)
+                self.suspects.clear(active_request.request)
             case slots.Outcome.CRASHED:
-                self.suspects.report_broken(running.request, running.grant.endpoint)
+                self.suspects.report_broken(
+                    active_request.request, active_request.grant.endpoint
+                )
 
-    def finish(self, running: running_request.RunningRequest) -> None:
+    def finish(self, active_request: running_request.RunningRequest) -> None:
         """Record the end of a request whose response had begun.
 
-        :param running: the request.
+        :param active_request: the request.
         """
-        request = running.request
-        waited_s = running.progress.caller_first_token_at - request.arrived
+        request = active_request.request
+        waited_s = active_request.progress.caller_first_token_at - request.arrived
         self.metrics.observe_first_token(request.caller.urgency, waited_s)
-        self.attainment.count_answer(request, running.outcome, running.progress)
-        self.decisions.close(request.id, running.outcome.name.lower())
+        self.attainment.count_answer(
+            request, active_request.outcome, active_request.progress
+        )
+        self.decisions.close(request.id, active_request.outcome.name.lower())
 
     def _report_crash(
         self,
--- a/packages/mothworks/src/mothworks/running_request.py
+++ b/packages/mothworks/src/mothworks/running_request.py
@@ -17,15 +17,15 @@
 class Dispatch(typing.Protocol):
     """Interface of dispatch that a running request uses."""
 
-    def resume(self, running: "RunningRequest") -> bool:
+    def resume(self, active_request: "RunningRequest") -> bool:
         """Attach another endpoint that continues the response, if one can."""
 
     def release_endpoint(
-        self, running: "RunningRequest", outcome: slots.Outcome
+        self, active_request: "RunningRequest", outcome: slots.Outcome
     ) -> None:
         """Release the slot at the current endpoint."""
 
-    def finish(self, running: "RunningRequest") -> None:
+    def finish(self, active_request: "RunningRequest") -> None:
         """Record the end of the request."""
 
 
