--- a/packages/mothworks_gateway/src/mothworks_gateway/answering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/answering.py
@@ -105,7 +105,7 @@
                 self.attempts.load.note_late(self.request.target)
 
     def _record_break(self, reason: str) -> None:
-        self.outcome = f"broken off: {reason}"[:100]
+        self.outcome = f"broke: {reason}"[:100]
         if time.monotonic() >= self.request.deadline - MIN_RESUME_S:
             return
         self.attempts.health.failed(self.endpoint, reason)
--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -267,7 +267,7 @@
             case adapters.Verdict.ABSENT:
                 self.residency.missed(endpoint, request.target)
             case adapters.Verdict.MISDIRECTED:
-                self.registry.dismiss(endpoint, "its address is another's")
+                self.registry.dismiss(endpoint, "another endpoint has its address")
             case adapters.Verdict.FOREIGN:
                 progress.may_have_run = True
                 self.health.failed(endpoint, "not an answer to the request")
--- a/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
@@ -179,7 +179,9 @@
                 case adapters.OrderOutcome.MISDIRECTED:
                     # Its inventory came from the endpoint that now has its address, and
                     # looked like an endpoint with all of its memory free.
-                    self.registry.dismiss(state.endpoint, "its address is another's")
+                    self.registry.dismiss(
+                        state.endpoint, "another endpoint has its address"
+                    )
                     return False
                 case _:
                     state.pause()
--- a/packages/mothworks_gateway/tests/test_registry.py
+++ b/packages/mothworks_gateway/tests/test_registry.py
@@ -72,7 +72,7 @@
     entry = gateway_builders.endpoint("i-2", models=("m",)).entry
     endpoints.put(attrs.evolve(entry, born=5), b"")
     previous = endpoints.named("i-2")
-    endpoints.dismiss(previous, "its address is another's")
+    endpoints.dismiss(previous, "another endpoint has its address")
     endpoints.put(attrs.evolve(entry, born=9, adapters_by_model={}), b"")
     restarted = endpoints.named("i-2")
     assert restarted.open and restarted.id != previous.id
