--- a/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
@@ -18,7 +18,7 @@
 import result
 
 from mothworks import kernel, logs, plugins
-from mothworks_gateway import adapters, suspension
+from mothworks_gateway import adapters, boot_clock
 
 log = logbook.Logger("feeding")
 
@@ -92,7 +92,7 @@
     :param answer_due_at: monotonic time by which the next answer must arrive.
     :param latency_s: recent latency of the platform's answers, seconds.
     :param as_of: the data received is complete as of this time, on the clock of
-        :func:`suspension.now`: just before the last answered call was sent, since it
+        :func:`boot_clock.now`: just before the last answered call was sent, since it
         is not known when within the call the platform read its state.
     :param poll_started_at: monotonic time at which the last call started.
     """
@@ -311,7 +311,7 @@
             self._poll.kill(block=False)
 
     def _fetch_listing(self) -> result.Result:
-        sent_at = suspension.now()
+        sent_at = boot_clock.now()
         response = self.feed.read()
         if response.is_ok():
             self._record_call_answered()
@@ -321,10 +321,10 @@
         return response
 
     def _fetch_changes(self, wait_s: float) -> result.Result:
-        sent_at = suspension.now()
+        sent_at = boot_clock.now()
         response = self.feed.wait(self.cursor, wait_s)
         if response.is_ok() or isinstance(response.err(), adapters.FeedExpired):
-            self._record_latency(suspension.now() - sent_at - wait_s)
+            self._record_latency(boot_clock.now() - sent_at - wait_s)
             self._record_call_answered()
         if response.is_ok():
             self.on_changes(response.ok_value)
--- a/packages/mothworks_gateway/src/mothworks_gateway/fleet_size.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/fleet_size.py
@@ -5,7 +5,7 @@
 """
 
 from mothworks import kernel, membership
-from mothworks_gateway import suspension
+from mothworks_gateway import boot_clock
 
 #: Time for which the peak is retained while a majority of those VMs is still live,
 #: seconds: longer than a partition that callers should notice.
@@ -29,14 +29,14 @@
         self.live = 1
         #: Recent peak of live VMs.
         self._peak = 1
-        #: Time at which so many were last live, on the clock of :func:`suspension.now`.
-        self._peak_at = suspension.now()
+        #: Time at which so many were last live, on the clock of :func:`boot_clock.now`.
+        self._peak_at = boot_clock.now()
         self._count()
 
     @property
     def most(self) -> int:
         """Return the recent peak of live VMs, including this one."""
-        now = suspension.now()
+        now = boot_clock.now()
         is_minority = 2 * self.live <= self._peak
         retention_s = MINORITY_PEAK_RETENTION_S if is_minority else PEAK_RETENTION_S
         if self.live >= self._peak:
@@ -51,4 +51,4 @@
         peak = self.most
         self.live = 1 + len(self.membership.near())
         if self.live >= peak:
-            self._peak, self._peak_at = self.live, suspension.now()
+            self._peak, self._peak_at = self.live, boot_clock.now()
--- a/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
@@ -23,12 +23,12 @@
 
 from mothworks import kernel, logs, membership, messages, peers
 from mothworks_gateway import (
+    boot_clock,
     collectors,
     declarations,
     feeding,
     fleet_size,
     owners,
-    suspension,
     watching,
 )
 
@@ -82,7 +82,7 @@
         self.feeding = node_kernel.get(feeding.Feeding)
         self.watching = node_kernel.get(watching.Watching)
         self.owners = node_kernel.get(owners.Owners)
-        #: The time derived from peers' replies, on the clock of :func:`suspension.now`.
+        #: The time derived from peers' replies, on the clock of :func:`boot_clock.now`.
         self.peer_as_of = -math.inf
         #: The VM that the next request goes to, since its last reply advanced the time;
         #: empty if the last request did not.
@@ -102,7 +102,7 @@
     def as_of(self) -> float:
         """Return as of when the declaration was the newest.
 
-        The time is on the clock of :func:`suspension.now`.
+        The time is on the clock of :func:`boot_clock.now`.
         """
         if not self.declarations.readable:
             # There is a newer document that this VM can't decode.
@@ -112,7 +112,7 @@
 
     def age_s(self) -> float:
         """Return the seconds since the declaration was proven to be the newest."""
-        return suspension.now() - self.as_of
+        return boot_clock.now() - self.as_of
 
     @property
     def bound_s(self) -> float:
@@ -133,7 +133,7 @@
         if 2 * self.fleet.live < self.fleet.most:
             return False
         is_only_vm = self.fleet.live == 1
-        return is_only_vm or suspension.now() - self.peer_reached_at <= REACHABLE_S
+        return is_only_vm or boot_clock.now() - self.peer_reached_at <= REACHABLE_S
 
     def _check(self) -> None:
         if self.declarations.current is None:
@@ -176,10 +176,10 @@
         if not self.peers.linked(vm):
             self.peers.open(vm)
             return
-        sent_at = suspension.now()
+        sent_at = boot_clock.now()
         match self.peers.call(vm, FreshnessRequest(), REPLY_TIMEOUT_S):
             case result.Ok(FreshnessReply(version, age_s)):
-                self.peer_reached_at = suspension.now()
+                self.peer_reached_at = boot_clock.now()
                 self._apply_reply(vm, version, sent_at - age_s)
 
     def _apply_reply(self, vm: str, version: int, as_of: float) -> None:
--- a/packages/mothworks_gateway/src/mothworks_gateway/lease.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease.py
@@ -29,7 +29,7 @@
 import result
 
 from mothworks import kernel, logs, membership, objects, ownership
-from mothworks_gateway import heartbeat, lease_record, relayed_objects, suspension
+from mothworks_gateway import boot_clock, heartbeat, lease_record, relayed_objects
 
 log = logbook.Logger("lease")
 
@@ -97,7 +97,7 @@
         self.valid_until = 0.0
         self.orders_from = 0.0
         self.known_renewal: lease_record.KnownRenewal | None = None
-        self.checked_at = suspension.now()
+        self.checked_at = boot_clock.now()
         #: Functions to call after this VM acquired the lease.
         self.on_gained: list = []
         self._rejected_fence = 0
@@ -118,8 +118,8 @@
         return (
             self.record is not None
             and self.record.holder == self.name
-            and self.orders_from <= suspension.now() < self.valid_until
-            and suspension.now() - self.checked_at < MAX_CHECK_GAP_S
+            and self.orders_from <= boot_clock.now() < self.valid_until
+            and boot_clock.now() - self.checked_at < MAX_CHECK_GAP_S
         )
 
     def holder(self) -> str:
@@ -159,7 +159,7 @@
         While the store is unreachable no other VM can acquire the lease, and models
         must still be loaded: the holder goes on until the store answers again.
         """
-        while self.record is not None and suspension.now() < self.valid_until:
+        while self.record is not None and boot_clock.now() < self.valid_until:
             if self._read() is not None:
                 self.give_up("shutting down")
                 return
@@ -183,13 +183,13 @@
 
     def _check_suspension(self) -> None:
         """Stop trusting the lease after a suspension, until it is renewed."""
-        if suspension.now() - self.checked_at >= MAX_CHECK_GAP_S:
+        if boot_clock.now() - self.checked_at >= MAX_CHECK_GAP_S:
             self.valid_until = 0.0
-        self.checked_at = suspension.now()
+        self.checked_at = boot_clock.now()
 
     def _renew(self) -> None:
         record = attrs.evolve(self.record, renewals=self.record.renewals + 1)
-        sent_at = suspension.now()
+        sent_at = boot_clock.now()
         match self.api.put(KEY, record.body(), self.version):
             case result.Ok(version):
                 if self.record is not None:
@@ -197,7 +197,7 @@
             case result.Err(objects.Unknown()):
                 self._verify_write(sent_at, record)
             case result.Err(objects.Unavailable(reason)):
-                if suspension.now() > self.valid_until:
+                if boot_clock.now() > self.valid_until:
                     self._drop(f"not renewed: {reason}")
             case result.Err(failure):
                 self._drop(f"renewal failed: {failure}")
@@ -223,7 +223,7 @@
         self.version = version
         self.valid_until = sent_at + self.duration_s - EXPIRY_MARGIN_S
         if acquired:
-            self.orders_from = suspension.now() + self.order_delay_s
+            self.orders_from = boot_clock.now() + self.order_delay_s
             logs.event(
                 log, "lease", fence=record.fence, version=version, outcome="held"
             )
@@ -251,7 +251,7 @@
         is_changed = received.lease_version != newest.version
         if is_changed and received.fence >= newest.fence:
             self.known_renewal = lease_record.KnownRenewal(
-                received.fence, received.lease_version, suspension.now()
+                received.fence, received.lease_version, boot_clock.now()
             )
 
     def _seek(self) -> None:
@@ -270,7 +270,7 @@
         else:
             if self.known_renewal is None or self.known_renewal.version != version:
                 self.known_renewal = lease_record.KnownRenewal(
-                    record.fence, version, suspension.now()
+                    record.fence, version, boot_clock.now()
                 )
             self._take_over(self.known_renewal)
 
@@ -282,11 +282,11 @@
 
     def _await_takeover(self, renewal: lease_record.KnownRenewal) -> bool:
         """Wait until this VM may take over; return False if a holder appears."""
-        while suspension.now() < renewal.at + self.watch_s:
+        while boot_clock.now() < renewal.at + self.watch_s:
             gevent.sleep(
                 max(
                     0.01,
-                    min(POLL_INTERVAL_S, renewal.at + self.watch_s - suspension.now()),
+                    min(POLL_INTERVAL_S, renewal.at + self.watch_s - boot_clock.now()),
                 )
             )
             if self.holder():
@@ -304,7 +304,7 @@
         record = lease_record.Record(
             self.name, max(fence, self._rejected_fence) + 1, 0, self.life
         )
-        sent_at = suspension.now()
+        sent_at = boot_clock.now()
         match self.api.put(KEY, record.body(), version):
             case result.Ok(new_version):
                 self._accept(record, new_version, sent_at)
@@ -313,7 +313,7 @@
             case result.Err(failure):
                 logs.event(log, "lease", reason=str(failure)[:120], outcome="not taken")
         if orders_from and self.record is not None:
-            self.orders_from = max(suspension.now(), orders_from)
+            self.orders_from = max(boot_clock.now(), orders_from)
 
     def _read(self) -> tuple[lease_record.Record | None, str | None] | None:
         """Return the stored lease and its version; None without an answer."""
--- a/packages/mothworks_gateway/src/mothworks_gateway/lease_record.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease_record.py
@@ -49,7 +49,7 @@
     :param fence: the fencing token of the lease.
     :param version: the stored object's version after it.
     :param at: time at which this VM first observed it, seconds; see
-        :func:`suspension.now`.
+        :func:`boot_clock.now`.
     """
 
     fence: int
--- a/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
@@ -16,7 +16,7 @@
 import typing
 
 from mothworks import kernel
-from mothworks_gateway import fleet_size, heartbeat, owners, suspension
+from mothworks_gateway import boot_clock, fleet_size, heartbeat, owners
 
 #: Timeout of a call to an owner, seconds: several times the longest round trip between
 #: data centres of a region plus one iteration of a busy VM's event loop.
@@ -54,7 +54,7 @@
         self.is_candidate = True
         #: Whether this VM may have missed what others spent since then.
         self.is_incomplete = False
-        #: Time of each VM's last heartbeat, on the clock of :func:`suspension.now`.
+        #: Time of each VM's last heartbeat, on the clock of :func:`boot_clock.now`.
         self.received_at_by_vm: dict[str, float] = {}
         #: Units that this VM spent since its last heartbeat, by budget and granter.
         self.spent: collections.Counter[tuple[str, str]] = collections.Counter()
@@ -117,7 +117,7 @@
     def _receives_majority(self) -> bool:
         """Return whether heartbeats of most candidates arrived recently."""
         candidates = self.owners.candidates()
-        oldest_at = suspension.now() - HEARTBEAT_TIMEOUT_S
+        oldest_at = boot_clock.now() - HEARTBEAT_TIMEOUT_S
         received_vms = [
             vm
             for vm in candidates
@@ -146,7 +146,7 @@
         """Report what others granted, in case this VM becomes the next owner."""
         if received.relayed:
             return
-        self.received_at_by_vm[vm] = suspension.now()
+        self.received_at_by_vm[vm] = boot_clock.now()
         if self.is_incomplete and self._receives_majority():
             self._reset()
         if not self.is_candidate:
--- a/packages/mothworks_gateway/tests/virtual_time.py
+++ b/packages/mothworks_gateway/tests/virtual_time.py
@@ -1,6 +1,6 @@
 """A virtual clock for modules that read the time themselves."""
 
-from mothworks_gateway import suspension
+from mothworks_gateway import boot_clock
 
 
 class Clock:
@@ -16,7 +16,7 @@
         self.suspended = 0.0
         for module in modules:
             monkeypatch.setattr(module, "time", self)
-        monkeypatch.setattr(suspension, "now", lambda: self.now)
+        monkeypatch.setattr(boot_clock, "now", lambda: self.now)
 
     def monotonic(self):
         return self.now - self.suspended
