--- a/packages/mothworks_gateway/src/mothworks_gateway/budget.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/budget.py
@@ -10,7 +10,7 @@
 import collections
 
 from mothworks import kernel
-from mothworks_gateway import fleet_size, windows
+from mothworks_gateway import fleet_size, sliding_windows
 
 #: Share of the allowance that is used; the rest covers moments in which VMs disagree
 #: on how many VMs there are.
@@ -51,6 +51,8 @@
         retries.add()
         return True
 
-    def _new_window_by_service(self) -> collections.defaultdict[str, windows.Window]:
+    def _new_window_by_service(
+        self,
+    ) -> collections.defaultdict[str, sliding_windows.WindowedCount]:
         seconds = self.kernel.settings.bounds.retry_window_s
-        return collections.defaultdict(lambda: windows.Window(seconds))
+        return collections.defaultdict(lambda: sliding_windows.WindowedCount(seconds))
--- a/packages/mothworks_gateway/src/mothworks_gateway/credit.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/credit.py
@@ -23,7 +23,7 @@
     declarations,
     freshness,
     shared_budgets,
-    windows,
+    sliding_windows,
 )
 
 #: Oldest declaration on which an owner grants, seconds: more than the usual age of one
@@ -291,6 +291,8 @@
         # A budget of another kind matches no account and is ignored.
         self._debit(budget, units)
 
-    def _make_windows(self) -> collections.defaultdict[str, windows.Amounts]:
+    def _make_windows(
+        self,
+    ) -> collections.defaultdict[str, sliding_windows.WindowedSum]:
         window_s = self.kernel.settings.bounds.cap_window_s
-        return collections.defaultdict(lambda: windows.Amounts(window_s))
+        return collections.defaultdict(lambda: sliding_windows.WindowedSum(window_s))
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -26,7 +26,7 @@
     heartbeat,
     registry,
     shared_budgets,
-    windows,
+    sliding_windows,
 )
 
 log = logbook.Logger("send_slots")
@@ -186,7 +186,9 @@
         self.randomised_ids: set[str] = set()
         #: Monotonic time until which, by its owner's reply, an endpoint is full.
         self.full_until_by_id: dict[str, float] = {}
-        self.sent_by_id = collections.defaultdict(lambda: windows.Window(RATE_WINDOW_S))
+        self.sent_by_id = collections.defaultdict(
+            lambda: sliding_windows.WindowedCount(RATE_WINDOW_S)
+        )
         self.peers.handle(SendSlotRequest, self._serve)
         metrics = node_kernel.metrics
         self.limit_gauge = metrics.gauge(
--- a/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
@@ -30,8 +30,8 @@
     lease,
     residency,
     sites,
+    sliding_windows,
     unload_time,
-    windows,
 )
 
 log = logbook.Logger("orders")
@@ -73,7 +73,7 @@
         self.late_orders = node_kernel.get(late_orders.LateOrders)
         self.residency = node_kernel.get(residency.Residency)
         self.unload_time = unload_time.UnloadTime()
-        self.store_loads = windows.Window(self.bounds.load_window_s)
+        self.store_loads = sliding_windows.WindowedCount(self.bounds.load_window_s)
         self.published = 0
         self.orders_total = node_kernel.metrics.counter(
             "orders_total", "Orders to endpoints, by kind and outcome."
--- a/packages/mothworks_gateway/src/mothworks_gateway/windows.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/sliding_windows.py
@@ -4,12 +4,12 @@
 import time
 
 
-class Window:
+class WindowedCount:
     """Counts events in a sliding window.
 
     Example::
 
-        loads = Window(10.0)
+        loads = WindowedCount(10.0)
         loads.add()
         loads.count()  # 1, and 0 after 10 s
 
@@ -32,12 +32,12 @@
         return len(self.times)
 
 
-class Amounts:
+class WindowedSum:
     """Sums amounts in a sliding window.
 
     Example::
 
-        tokens = Amounts(8.0)
+        tokens = WindowedSum(8.0)
         tokens.add(500)
         tokens.total()  # 500, and 0 after 8 s
 
--- a/packages/mothworks_gateway/tests/limited_fleet.py
+++ b/packages/mothworks_gateway/tests/limited_fleet.py
@@ -32,7 +32,7 @@
     seen_answers,
     send_slots,
     shared_budgets,
-    windows,
+    sliding_windows,
 )
 
 #: Time from a request's arrival at its endpoint to the head of its answer, seconds.
@@ -134,7 +134,7 @@
             seen_answers,
             send_slots,
             shared_budgets,
-            windows,
+            sliding_windows,
         )
         self.clock = virtual_time.Clock(monkeypatch, *modules)
         self.rng = random.Random(seed)
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -38,7 +38,7 @@
     seen_answers,
     settings,
     shared_budgets,
-    windows,
+    sliding_windows,
 )
 
 BOUNDS = settings.Bounds(cap_window_s=8.0, cap_over=0.1, cap_slack=17_000.0)
@@ -153,7 +153,7 @@
             heartbeat,
             seen_answers,
             shared_budgets,
-            windows,
+            sliding_windows,
         )
         self.clock = virtual_time.Clock(monkeypatch, *modules)
         self.random = random.Random(seed)
--- a/packages/mothworks_gateway/tests/test_windows.py
+++ b/packages/mothworks_gateway/tests/test_sliding_windows.py
@@ -1,12 +1,12 @@
 """Sliding windows: an event counts until it is older than the window's length."""
 
-from mothworks_gateway import windows
+from mothworks_gateway import sliding_windows
 
 
 def test_events_leave_the_window(monkeypatch):
     now = 100.0
-    monkeypatch.setattr(windows.time, "monotonic", lambda: now)
-    window = windows.Window(10.0)
+    monkeypatch.setattr(sliding_windows.time, "monotonic", lambda: now)
+    window = sliding_windows.WindowedCount(10.0)
     window.add()
     now = 104.0
     window.add()
