--- a/packages/mothworks_gateway/src/mothworks_gateway/evidence.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/evidence.py
@@ -1,7 +1,7 @@
 """Shared outlier detection: ejects endpoints by the answers that all VMs received.
 
 Each VM publishes in its heartbeats how endpoints answered its requests, and adds up the
-counts of all VMs; see :mod:`seen_answers`. An outlier is ejected as if it had failed
+counts of all VMs; see :mod:`error_rates`. An outlier is ejected as if it had failed
 requests of this VM.
 """
 
@@ -9,7 +9,7 @@
 import collections.abc
 
 from mothworks import kernel
-from mothworks_gateway import discovery, health, heartbeat, registry, seen_answers
+from mothworks_gateway import discovery, error_rates, health, heartbeat, registry
 
 #: Reason of the ejection, for the log.
 EJECTION_REASON = "high error rate over all VMs"
@@ -53,7 +53,7 @@
         self.registry = node_kernel.get(discovery.Discovery).registry
         self.registry.on_change.append(self._remove_gone)
         self.own_counts = AnswerCounts()
-        self.error_rates = seen_answers.ErrorRates()
+        self.error_rates = error_rates.ErrorRates()
         heartbeats = node_kernel.get(heartbeat.Heartbeats)
         heartbeats.on_heartbeat.append(lambda: {"answers": self.own_counts.take()})
         heartbeats.on_received.append(self._on_heartbeat)
--- a/packages/mothworks_gateway/tests/test_gathering.py
+++ b/packages/mothworks_gateway/tests/test_gathering.py
@@ -17,6 +17,7 @@
     collectors,
     declarations,
     discovery,
+    error_rates,
     evidence,
     feeding,
     gathering,
@@ -26,7 +27,6 @@
     load,
     ranking,
     registry,
-    seen_answers,
 )
 
 VMS = 195
@@ -39,7 +39,7 @@
 
     def __init__(self, monkeypatch):
         self.now = 100.0
-        for module in (gathering, health, load, heartbeat, seen_answers):
+        for module in (gathering, health, load, heartbeat, error_rates):
             monkeypatch.setattr(module, "time", self)
 
     def monotonic(self):
