--- a/packages/mothworks_gateway/src/mothworks_gateway/gathering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/gathering.py
@@ -19,11 +19,11 @@
 from mothworks_gateway import (
     collectors,
     endpoint_limits,
-    evidence,
     heartbeat,
     lease,
     load,
     ranking,
+    shared_health,
 )
 
 #: Time after an endpoint's last error for which totals include its answers, seconds.
@@ -67,7 +67,7 @@
         self.arrived: collections.Counter[tuple[str, str, str]] = collections.Counter()
         self.tokens: collections.Counter[tuple[str, str, str]] = collections.Counter()
         self.late: collections.Counter[tuple[str, str]] = collections.Counter()
-        self.answers = evidence.AnswerCounts()
+        self.answers = shared_health.AnswerCounts()
         self.spent: collections.Counter[tuple[str, str]] = collections.Counter()
         self.limits = endpoint_limits.NewestLimits()
 
@@ -153,9 +153,9 @@
         self.own_collector = collectors.OwnCollector(self.name)
         #: The holder's name and its last heartbeat that is not in any totals yet.
         self.holder_update: tuple[str, heartbeat.Heartbeat] | None = None
-        self.evidence = node_kernel.get(evidence.Evidence)
+        self.evidence = node_kernel.get(shared_health.SharedHealth)
         #: Answers of endpoints to all VMs, for the next totals.
-        self.answers = evidence.AnswerCounts()
+        self.answers = shared_health.AnswerCounts()
         self.suspect_until_by_id: dict[str, float] = {}
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
         #: Limits that endpoints reported, for the next totals.
--- a/packages/mothworks_gateway/src/mothworks_gateway/evidence.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/shared_health.py
@@ -40,7 +40,7 @@
         return rows
 
 
-class Evidence(kernel.Part):
+class SharedHealth(kernel.Part):
     """Publishes this VM's answer counts, and evaluates those of all VMs.
 
     :param node_kernel: the node's kernel.
--- a/packages/mothworks_gateway/tests/limited_fleet.py
+++ b/packages/mothworks_gateway/tests/limited_fleet.py
@@ -20,7 +20,6 @@
     discovery,
     endpoint_limits,
     error_rates,
-    evidence,
     feeding,
     fleet_size,
     gathering,
@@ -32,6 +31,7 @@
     registry,
     send_slots,
     shared_budgets,
+    shared_health,
     sliding_windows,
 )
 
@@ -103,7 +103,7 @@
         for part_class in (
             load.Load,
             health.Health,
-            evidence.Evidence,
+            shared_health.SharedHealth,
             owners.Owners,
             fleet_size.FleetSize,
             shared_budgets.SharedBudgets,
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -25,7 +25,6 @@
     declarations,
     discovery,
     error_rates,
-    evidence,
     feeding,
     fleet_size,
     freshness,
@@ -38,6 +37,7 @@
     registry,
     settings,
     shared_budgets,
+    shared_health,
     sliding_windows,
 )
 
@@ -125,7 +125,7 @@
         )
         kernel.parts[load.Load] = load.Load(kernel)
         kernel.parts[health.Health] = health.Health(kernel)
-        kernel.parts[evidence.Evidence] = evidence.Evidence(kernel)
+        kernel.parts[shared_health.SharedHealth] = shared_health.SharedHealth(kernel)
         kernel.parts[owners.Owners] = owners.Owners(kernel)
         kernel.parts[fleet_size.FleetSize] = fleet_size.FleetSize(kernel)
         kernel.parts[shared_budgets.SharedBudgets] = shared_budgets.SharedBudgets(
--- a/packages/mothworks_gateway/tests/test_gathering.py
+++ b/packages/mothworks_gateway/tests/test_gathering.py
@@ -18,7 +18,6 @@
     declarations,
     discovery,
     error_rates,
-    evidence,
     feeding,
     gathering,
     health,
@@ -27,6 +26,7 @@
     load,
     ranking,
     registry,
+    shared_health,
 )
 
 VMS = 195
@@ -71,7 +71,7 @@
         )
         kernel.parts[load.Load] = self.load = load.Load(kernel)
         kernel.parts[health.Health] = self.health = health.Health(kernel)
-        kernel.parts[evidence.Evidence] = evidence.Evidence(kernel)
+        kernel.parts[shared_health.SharedHealth] = shared_health.SharedHealth(kernel)
         fleet_builders.add_limits(kernel)
         self.gathering = gathering.Gathering(kernel)
         #: Number of arrived requests in all heartbeats that this VM received.
