--- a/packages/mothworks_gateway/src/mothworks_gateway/answering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/answering.py
@@ -7,7 +7,7 @@
 import result
 
 from mothworks import connections, logs, transport
-from mothworks_gateway import adapters, asked, events, registry
+from mothworks_gateway import adapters, asked, registry, server_sent_events
 
 log = logbook.Logger("answering")
 
@@ -44,7 +44,9 @@
         self.closed = False
         self.relayed_bytes = 0
         self.longest_gap_s = 0.0
-        self.cutter = events.Cutter() if request.route.resumable else None
+        self.event_splitter = (
+            server_sent_events.EventSplitter() if request.route.resumable else None
+        )
 
     def __iter__(self) -> collections.abc.Iterator[bytes]:
         """Yield the stream's bytes; raises BrokenAnswer if it ends early."""
@@ -87,12 +89,12 @@
             now = time.monotonic()
             self.longest_gap_s = max(self.longest_gap_s, now - last_chunk_at)
             last_chunk_at = now
-            if self.cutter is not None:
-                data = self.cutter.feed(data)
+            if self.event_splitter is not None:
+                data = self.event_splitter.feed(data)
             if data:
                 self.relayed_bytes += len(data)
                 yield data
-        if self.cutter is not None and self.cutter.rest:
+        if self.event_splitter is not None and self.event_splitter.buffer:
             raise ConnectionResetError("the stream ended inside an event")
 
     def _release(self) -> None:
@@ -115,9 +117,9 @@
     def _resume(self) -> bool:
         """Resume the stream at another endpoint; returns whether that succeeded."""
         route = self.request.route
-        if self.cutter is None or len(self.tried_ids) >= route.most_endpoints:
+        if self.event_splitter is None or len(self.tried_ids) >= route.most_endpoints:
             return False
-        if self.relayed_bytes and not self.cutter.last_id:
+        if self.relayed_bytes and not self.event_splitter.last_id:
             return False
         left_s = self.request.deadline - time.monotonic()
         if left_s < MIN_RESUME_S or not self.attempts.budget.try_spend(
@@ -137,8 +139,8 @@
     def _resume_at(self, endpoint: registry.Endpoint, left_s: float) -> bool:
         protocol = self.attempts.protocol
         self.tried_ids.add(endpoint.id)
-        self.cutter.rest = b""
-        last_id = self.cutter.last_id
+        self.event_splitter.buffer = b""
+        last_id = self.event_splitter.last_id
         deadline = self.request.deadline
         sent_at = time.monotonic()
         sent = protocol.send(endpoint, self.request, left_s, deadline, last_id)
--- a/packages/mothworks_gateway/src/mothworks_gateway/events.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/server_sent_events.py
@@ -16,10 +16,10 @@
     """A stream repeated an event, so it does not continue the previous run."""
 
 
-class Cutter:
+class EventSplitter:
     """Buffers bytes until they form complete events.
 
-    >>> cutter = Cutter()
+    >>> cutter = EventSplitter()
     >>> cutter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda")
     b'id: 1\\ndata: a\\n\\n'
     >>> cutter.last_id
@@ -30,18 +30,18 @@
         #: The id of the last complete event.
         self.last_id = ""
         #: Bytes of an incomplete event.
-        self.rest = b""
+        self.buffer = b""
 
     def feed(self, data: bytes) -> bytes:
         """Return the complete events once some bytes are appended.
 
         :param data: the bytes received.
         """
-        data = self.rest + data
+        data = self.buffer + data
         end = 0
         for match in END.finditer(data):
             end = match.end()
-        complete, self.rest = data[:end], data[end:]
+        complete, self.buffer = data[:end], data[end:]
         for event_id in ID.findall(complete):
             self._set_last_id(event_id.decode("latin-1"))
         return complete
--- a/packages/mothworks_gateway/tests/test_events.py
+++ b/packages/mothworks_gateway/tests/test_server_sent_events.py
@@ -4,7 +4,7 @@
 import hypothesis.strategies as st
 import pytest
 
-from mothworks_gateway import events
+from mothworks_gateway import server_sent_events
 
 STREAM = b"".join(b"id: %d\ndata: text %d\n\n" % (n, n) for n in range(1, 9))
 
@@ -13,7 +13,7 @@
 @hypothesis.settings(max_examples=200, deadline=None)
 def test_events_are_complete_and_in_order(cuts):
     ends = [0, *sorted(cuts), len(STREAM)]
-    cutter = events.Cutter()
+    cutter = server_sent_events.EventSplitter()
     forwarded = b""
     for begin, end in zip(ends, ends[1:], strict=False):
         complete = cutter.feed(STREAM[begin:end])
@@ -28,22 +28,22 @@
 @hypothesis.settings(max_examples=300, deadline=None)
 def test_any_bytes_are_kept(data):
     # An engine may send bytes that are not events; none is lost or duplicated.
-    cutter = events.Cutter()
+    cutter = server_sent_events.EventSplitter()
     try:
         complete = cutter.feed(data)
-    except events.OutOfOrderError:
+    except server_sent_events.OutOfOrderError:
         return
     assert complete + cutter.rest == data
 
 
 def test_a_repeated_event_breaks_the_stream():
-    cutter = events.Cutter()
+    cutter = server_sent_events.EventSplitter()
     cutter.feed(b"id: 2\ndata: b\n\n")
-    with pytest.raises(events.OutOfOrderError):
+    with pytest.raises(server_sent_events.OutOfOrderError):
         cutter.feed(b"id: 1\ndata: a\n\n")
 
 
 def test_both_kinds_of_line_ends_are_accepted():
-    cutter = events.Cutter()
+    cutter = server_sent_events.EventSplitter()
     assert cutter.feed(b"id: 1\r\ndata: a\r\n\r\nid: 2") == b"id: 1\r\ndata: a\r\n\r\n"
     assert cutter.last_id == "1"
