--- a/packages/mothworks_gateway/src/mothworks_gateway/credit.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/credit.py
@@ -18,12 +18,12 @@
 
 from mothworks import kernel, messages, peers
 from mothworks_gateway import (
-    bucket,
     client_accounts,
     declarations,
     freshness,
     shared_budgets,
     sliding_windows,
+    token_bucket,
 )
 
 #: Oldest declaration on which an owner grants, seconds: more than the usual age of one
@@ -137,7 +137,7 @@
         self.freshness = node_kernel.get(freshness.Freshness)
         self.budgets = node_kernel.get(shared_budgets.SharedBudgets)
         self.budgets.on_spent.append(self._on_spent)
-        self.bucket_by_account: dict[str, bucket.Bucket] = {}
+        self.bucket_by_account: dict[str, token_bucket.TokenBucket] = {}
         self.budgets.on_begin.append(self.bucket_by_account.clear)
         self.granted_by_account = self._make_windows()
         self.reserve_used_by_account = self._make_windows()
@@ -257,7 +257,7 @@
         is_fresh = self.freshness.age_s() <= MAX_DECLARATION_AGE_S
         return is_fresh or self.freshness.shared_by_all()
 
-    def _bucket(self, account: str) -> bucket.Bucket | None:
+    def _bucket(self, account: str) -> token_bucket.TokenBucket | None:
         """Return an account's bucket; None where it has no cap here."""
         current = self.declarations.current
         accounts = current and current.accounts
@@ -270,7 +270,9 @@
             return account_bucket
         grace = GRACE_SHARE * self._tolerated_excess(cap)
         if account_bucket is None:
-            account_bucket = bucket.Bucket(cap, self.budgets.synced_since, grace)
+            account_bucket = token_bucket.TokenBucket(
+                cap, self.budgets.synced_since, grace
+            )
             self.bucket_by_account[account] = account_bucket
         else:
             account_bucket.change(cap, time.monotonic(), grace)
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -19,7 +19,6 @@
 from mothworks import kernel, logs, messages, peers
 from mothworks_gateway import (
     asked,
-    bucket,
     client_accounts,
     declared,
     endpoint_limits,
@@ -27,6 +26,7 @@
     registry,
     shared_budgets,
     sliding_windows,
+    token_bucket,
 )
 
 log = logbook.Logger("send_slots")
@@ -179,7 +179,7 @@
         self.limits.on_change.append(self._on_limit_change)
         self.budgets = node_kernel.get(shared_budgets.SharedBudgets)
         self.budgets.on_spent.append(self._on_spent)
-        self.bucket_by_id: dict[str, bucket.Bucket] = {}
+        self.bucket_by_id: dict[str, token_bucket.TokenBucket] = {}
         self.budgets.on_begin.append(self.bucket_by_id.clear)
         self.refusals_by_id = collections.defaultdict(RefusalStreak)
         #: Endpoints whose bucket was set to a random level and granted no slot since.
@@ -351,7 +351,9 @@
         self.randomised_ids.discard(endpoint_id)
         return SendSlotReply(True, True, wait_s)
 
-    def _randomise_level(self, endpoint_id: str, limit_bucket: bucket.Bucket) -> None:
+    def _randomise_level(
+        self, endpoint_id: str, limit_bucket: token_bucket.TokenBucket
+    ) -> None:
         """Randomise the level of a full bucket on a small side of a network partition.
 
         Several hundred VMs that are all cut off from each other would otherwise send
@@ -363,7 +365,7 @@
             self.randomised_ids.add(endpoint_id)
             limit_bucket.note(random.random(), now)
 
-    def _bucket_of(self, endpoint_id: str) -> bucket.Bucket:
+    def _bucket_of(self, endpoint_id: str) -> token_bucket.TokenBucket:
         """Return the token bucket of an endpoint that reports a limit."""
         now = time.monotonic()
         per_s = max(MIN_RATE_PER_S, self.limits.per_s(endpoint_id))
@@ -371,7 +373,7 @@
         limit_bucket = self.bucket_by_id.get(endpoint_id)
         if limit_bucket is None:
             empty_since = max(now - cap.burst / cap.per_s, self.budgets.synced_since)
-            limit_bucket = self.bucket_by_id[endpoint_id] = bucket.Bucket(
+            limit_bucket = self.bucket_by_id[endpoint_id] = token_bucket.TokenBucket(
                 cap, empty_since
             )
         elif limit_bucket.cap != cap:
--- a/packages/mothworks_gateway/src/mothworks_gateway/bucket.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/token_bucket.py
@@ -9,7 +9,7 @@
 MIN_RETRY_DELAY_S = 0.05
 
 
-class Bucket:
+class TokenBucket:
     """A token bucket that staggers the retries of refused requests.
 
     A request that costs more than the burst is granted once the bucket is full, and
@@ -21,7 +21,7 @@
     :param grace: units that may be granted beyond the available credit.
 
     >>> cap = client_accounts.UsageCap(per_s=10.0, burst=20.0)
-    >>> bucket = Bucket(cap, since=0.0)
+    >>> bucket = TokenBucket(cap, since=0.0)
     >>> bucket.take(15, now=2.0)
     0.0
     >>> bucket.take(10, now=2.0), bucket.take(10, now=2.0)
@@ -44,7 +44,7 @@
 
         :param cap: the new cap.
         :param now: monotonic time.
-        :param grace: see :class:`Bucket`.
+        :param grace: see :class:`TokenBucket`.
         """
         self._refill(now)
         self.cap = cap
--- a/packages/mothworks_gateway/tests/cap_ways.py
+++ b/packages/mothworks_gateway/tests/cap_ways.py
@@ -9,7 +9,7 @@
 import result
 
 import test_credit
-from mothworks_gateway import bucket, client_accounts, credit
+from mothworks_gateway import client_accounts, credit, token_bucket
 
 #: Share of a cap that is split equally where the rest follows demand.
 EQUAL_SHARE = 0.2
@@ -34,7 +34,9 @@
         now = self.clock.monotonic()
         vm_bucket = self.bucket_by_key.get((vm, name))
         if vm_bucket is None:
-            vm_bucket = self.bucket_by_key[vm, name] = bucket.Bucket(vm_cap, 0.0)
+            vm_bucket = self.bucket_by_key[vm, name] = token_bucket.TokenBucket(
+                vm_cap, 0.0
+            )
         vm_bucket.change(vm_cap, now)
         wait_s = vm_bucket.take(units, now)
         if wait_s:
--- a/packages/mothworks_gateway/tests/limit_ways.py
+++ b/packages/mothworks_gateway/tests/limit_ways.py
@@ -9,7 +9,7 @@
 import result
 
 import limited_fleet
-from mothworks_gateway import bucket, client_accounts, send_slots
+from mothworks_gateway import client_accounts, send_slots, token_bucket
 
 #: Requested rate as a multiple of the limit.
 OVERLOAD_FACTOR = 6.0
@@ -36,7 +36,7 @@
         )
         now = self.clock.monotonic()
         limit_bucket = self.bucket_by_key.setdefault(
-            (name, cap), bucket.Bucket(cap, now)
+            (name, cap), token_bucket.TokenBucket(cap, now)
         )
         wait_s = limit_bucket.wait_s(1, now)
         retry_after_s = limit_bucket.take(1, now, max_wait_s)
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -19,7 +19,6 @@
 import virtual_time
 from mothworks import messages, peers
 from mothworks_gateway import (
-    bucket,
     client_accounts,
     credit,
     declarations,
@@ -39,6 +38,7 @@
     shared_budgets,
     shared_health,
     sliding_windows,
+    token_bucket,
 )
 
 BOUNDS = settings.Bounds(cap_window_s=8.0, cap_over=0.1, cap_slack=17_000.0)
@@ -431,7 +431,7 @@
 def test_an_account_has_a_bucket(monkeypatch):
     fleet = Fleet(monkeypatch, 1, {"small": SMALL})
     account_bucket = fleet.vm_by_name["vm-0"].credits._bucket("small")
-    assert isinstance(account_bucket, bucket.Bucket)
+    assert isinstance(account_bucket, token_bucket.TokenBucket)
 
 
 # Guards against a partition whose two sides both reach the platform: declarations stay
--- a/packages/mothworks_gateway/tests/test_bucket.py
+++ b/packages/mothworks_gateway/tests/test_token_bucket.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from mothworks_gateway import bucket, client_accounts
+from mothworks_gateway import client_accounts, token_bucket
 
 CAP = client_accounts.UsageCap(4200.0, 4200.0, client_accounts.CapUnit.TOKENS, 200)
 
@@ -12,7 +12,7 @@
 def test_granted_units_exceed_the_cap_by_at_most_one_request():
     # An account requests six times its cap, with requests of 800 to 9,000 tokens.
     draw = random.Random(5)
-    account_bucket = bucket.Bucket(CAP, since=0.0)
+    account_bucket = token_bucket.TokenBucket(CAP, since=0.0)
     granted = []
     now = 0.0
     while now < 60.0:
@@ -28,7 +28,7 @@
 
 def test_a_request_that_costs_more_than_the_burst_is_granted():
     # The bucket never holds its cost, so it would be refused on every retry.
-    account_bucket = bucket.Bucket(CAP, since=0.0)
+    account_bucket = token_bucket.TokenBucket(CAP, since=0.0)
     assert account_bucket.take(9000, now=1.0) == 0.0
     assert account_bucket.take(800, now=1.0) == pytest.approx(5600 / 4200)
 
@@ -36,7 +36,7 @@
 def test_retries_of_refused_requests_are_staggered():
     # With equal retry delays, forty callers would retry together, and all but one
     # would be refused again.
-    account_bucket = bucket.Bucket(CAP, since=0.0)
+    account_bucket = token_bucket.TokenBucket(CAP, since=0.0)
     account_bucket.take(4200, now=1.0)
     waits = [account_bucket.take(420, now=1.0) for _ in range(40)]
     assert waits == sorted(waits)
@@ -45,14 +45,14 @@
 
 
 def test_a_retry_after_the_given_delay_is_granted():
-    account_bucket = bucket.Bucket(CAP, since=0.0)
+    account_bucket = token_bucket.TokenBucket(CAP, since=0.0)
     account_bucket.take(4200, now=1.0)
     waits = [account_bucket.take(420, now=1.0) for _ in range(10)]
     assert all(not account_bucket.take(420, now=1.001 + wait) for wait in waits)
 
 
 def test_a_lower_cap_applies_at_once_and_a_higher_one_adds_no_credit():
-    account_bucket = bucket.Bucket(CAP, since=0.0)
+    account_bucket = token_bucket.TokenBucket(CAP, since=0.0)
     account_bucket.change(client_accounts.UsageCap(100.0, 100.0), now=10.0)
     assert account_bucket.take(100, now=10.0) == 0.0
     assert account_bucket.take(1, now=10.0) > 0.0
@@ -64,13 +64,13 @@
 def test_a_tolerated_excess_is_granted_once():
     # Requests that arrive together briefly exceed the available credit. A retry would
     # make them late, although the operator accepts the excess.
-    account_bucket = bucket.Bucket(CAP, since=0.0, grace=5000.0)
+    account_bucket = token_bucket.TokenBucket(CAP, since=0.0, grace=5000.0)
     granted = [account_bucket.take(1000, now=1.0) for _ in range(12)]
     assert granted.count(0.0) == 9
 
 
 def test_requests_that_can_wait_are_granted_credit_in_advance():
-    account_bucket = bucket.Bucket(
+    account_bucket = token_bucket.TokenBucket(
         client_accounts.UsageCap(per_s=2.0, burst=1.0), since=0.0
     )
     assert account_bucket.take(1, now=0.5) == 0.0
@@ -82,7 +82,7 @@
 
 # Guards against a request that waits for more credit than a small bucket can hold.
 def test_a_request_that_costs_more_than_the_burst_waits_only_for_a_full_bucket():
-    account_bucket = bucket.Bucket(
+    account_bucket = token_bucket.TokenBucket(
         client_accounts.UsageCap(per_s=0.1, burst=0.2), since=0.0
     )
     assert account_bucket.wait_s(1, now=1.0) == pytest.approx(1.0)
