--- a/packages/mothworks_gateway/src/mothworks_gateway/answering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/answering.py
@@ -122,7 +122,7 @@
         if self.relayed_bytes and not self.event_splitter.last_id:
             return False
         left_s = self.request.deadline - time.monotonic()
-        if left_s < MIN_RESUME_S or not self.attempts.budget.try_spend(
+        if left_s < MIN_RESUME_S or not self.attempts.retry_budget.try_spend(
             self.request.target.service
         ):
             return False
--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -17,7 +17,6 @@
     adapters,
     answering,
     asked,
-    budget,
     choice,
     endpoint_limits,
     endpoints_client,
@@ -27,6 +26,7 @@
     reading,
     registry,
     residency,
+    retry_budget,
     send_slots,
 )
 
@@ -77,7 +77,7 @@
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
         self.slots = node_kernel.get(send_slots.SendSlots)
         self.load = node_kernel.get(load.Load)
-        self.budget = node_kernel.get(budget.RetryBudget)
+        self.retry_budget = node_kernel.get(retry_budget.RetryBudget)
         self.poison = node_kernel.get(poison.PoisonRequests)
         self.reading = node_kernel.get(reading.Reading)
         self.residency = node_kernel.get(residency.Residency)
--- a/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
@@ -15,12 +15,12 @@
 from mothworks_gateway import (
     asked,
     attempts,
-    budget,
     choice,
     load,
     poison,
     registry,
     residency,
+    retry_budget,
     send_slots,
     turns,
 )
@@ -61,7 +61,7 @@
         self.attempts = node_kernel.get(attempts.Attempts)
         self.choice = node_kernel.get(choice.EndpointSelection)
         self.load = node_kernel.get(load.Load)
-        self.budget = node_kernel.get(budget.RetryBudget)
+        self.retry_budget = node_kernel.get(retry_budget.RetryBudget)
         self.poison = node_kernel.get(poison.PoisonRequests)
         self.residency = node_kernel.get(residency.Residency)
         self.slots = node_kernel.get(send_slots.SendSlots)
@@ -75,7 +75,7 @@
 
         :param request: the request.
         """
-        self.budget.add_request(request.target.service)
+        self.retry_budget.add_request(request.target.service)
         self.load.arrive(request)
         progress = attempts.RequestProgress()
         while True:
@@ -233,7 +233,7 @@
             return False
         if time.monotonic() + MIN_TIME_LEFT_S > request.deadline:
             return False
-        return self.budget.try_spend(request.target.service)
+        return self.retry_budget.try_spend(request.target.service)
 
     def _give_up(
         self, request: asked.Asked, progress: attempts.RequestProgress
--- a/packages/mothworks_gateway/tests/test_budget.py
+++ b/packages/mothworks_gateway/tests/test_retry_budget.py
@@ -5,12 +5,12 @@
 import pytest
 
 import gateway_builders
-from mothworks_gateway import budget, fleet_size
+from mothworks_gateway import fleet_size, retry_budget
 
 
 def make_budget(vms=1, live=None, **bounds):
     fleet = types.SimpleNamespace(live=live or vms, most=vms)
-    return budget.RetryBudget(
+    return retry_budget.RetryBudget(
         gateway_builders.Kernel({fleet_size.FleetSize: fleet}, **bounds)
     )
 
