--- a/packages/mothworks_gateway/src/mothworks_gateway/credit.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/credit.py
@@ -242,13 +242,11 @@
         return bounds.cap_over * cap.most_in(bounds.cap_window_s) + bounds.cap_slack
 
     def _grant(self, request: CreditRequest) -> CreditReply:
-        account_bucket = self._bucket(request.account)
-        if account_bucket is None or not self._may_grant():
+        bucket = self._bucket(request.account)
+        if bucket is None or not self._may_grant():
             return CreditReply(False)
-        wait_s = account_bucket.take(request.units, time.monotonic())
-        return CreditReply(
-            True, wait_s, account_bucket.level > CALM_SHARE * account_bucket.cap.burst
-        )
+        wait_s = bucket.take(request.units, time.monotonic())
+        return CreditReply(True, wait_s, bucket.level > CALM_SHARE * bucket.cap.burst)
 
     def _may_grant(self) -> bool:
         is_minority = self.budgets.part() < MIN_SHARE
@@ -265,23 +263,21 @@
         if not declared or declared.cap is None:
             return None
         cap = declared.cap.part(self.budgets.part())
-        account_bucket = self.bucket_by_account.get(account)
-        if account_bucket is not None and account_bucket.cap == cap:
-            return account_bucket
+        bucket = self.bucket_by_account.get(account)
+        if bucket is not None and bucket.cap == cap:
+            return bucket
         grace = GRACE_SHARE * self._tolerated_excess(cap)
-        if account_bucket is None:
-            account_bucket = token_bucket.TokenBucket(
-                cap, self.budgets.synced_since, grace
-            )
-            self.bucket_by_account[account] = account_bucket
+        if bucket is None:
+            bucket = token_bucket.TokenBucket(cap, self.budgets.synced_since, grace)
+            self.bucket_by_account[account] = bucket
         else:
-            account_bucket.change(cap, time.monotonic(), grace)
-        return account_bucket
+            bucket.change(cap, time.monotonic(), grace)
+        return bucket
 
     def _debit(self, account: str, units: float) -> None:
-        account_bucket = self._bucket(account)
-        if account_bucket is not None:
-            account_bucket.note(units, time.monotonic())
+        bucket = self._bucket(account)
+        if bucket is not None:
+            bucket.note(units, time.monotonic())
 
     def _on_request(self, _: str, request: CreditRequest, answer: peers.Answer) -> None:
         answer(self._grant(request))
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -333,17 +333,17 @@
         if not self.budgets.may_lend():
             return SendSlotReply(False)
         now = time.monotonic()
-        limit_bucket = self._bucket_of(endpoint_id)
-        if limit_bucket.cap.burst < BURST:
-            self._randomise_level(endpoint_id, limit_bucket)
+        bucket = self._bucket_of(endpoint_id)
+        if bucket.cap.burst < BURST:
+            self._randomise_level(endpoint_id, bucket)
         rank = min(max(slot_request.urgency, 0), declared.LEAST_URGENT)
         refusal_streak = self.refusals_by_id[endpoint_id]
         max_ahead_s = (
             OVERLOAD_MAX_AHEAD_S if refusal_streak.is_sustained(now) else MAX_AHEAD_S
         )
         ahead_s = min(slot_request.ahead_s, max_ahead_s / (1 + rank))
-        wait_s = limit_bucket.wait_s(1, now)
-        retry_after_s = limit_bucket.take(1, now, ahead_s)
+        wait_s = bucket.wait_s(1, now)
+        retry_after_s = bucket.take(1, now, ahead_s)
         if retry_after_s:
             if slot_request.ahead_s:
                 refusal_streak.add(now)
@@ -352,7 +352,7 @@
         return SendSlotReply(True, True, wait_s)
 
     def _randomise_level(
-        self, endpoint_id: str, limit_bucket: token_bucket.TokenBucket
+        self, endpoint_id: str, bucket: token_bucket.TokenBucket
     ) -> None:
         """Randomise the level of a full bucket on a small side of a network partition.
 
@@ -360,25 +360,25 @@
         their first requests at the same moment.
         """
         now = time.monotonic()
-        full = not limit_bucket.wait_s(1, now)
+        full = not bucket.wait_s(1, now)
         if full and endpoint_id not in self.randomised_ids:
             self.randomised_ids.add(endpoint_id)
-            limit_bucket.note(random.random(), now)
+            bucket.note(random.random(), now)
 
     def _bucket_of(self, endpoint_id: str) -> token_bucket.TokenBucket:
         """Return the token bucket of an endpoint that reports a limit."""
         now = time.monotonic()
         per_s = max(MIN_RATE_PER_S, self.limits.per_s(endpoint_id))
         cap = client_accounts.UsageCap(per_s, BURST).part(self.budgets.part())
-        limit_bucket = self.bucket_by_id.get(endpoint_id)
-        if limit_bucket is None:
+        bucket = self.bucket_by_id.get(endpoint_id)
+        if bucket is None:
             empty_since = max(now - cap.burst / cap.per_s, self.budgets.synced_since)
-            limit_bucket = self.bucket_by_id[endpoint_id] = token_bucket.TokenBucket(
+            bucket = self.bucket_by_id[endpoint_id] = token_bucket.TokenBucket(
                 cap, empty_since
             )
-        elif limit_bucket.cap != cap:
-            limit_bucket.change(cap, now)
-        return limit_bucket
+        elif bucket.cap != cap:
+            bucket.change(cap, now)
+        return bucket
 
     def _on_limit_change(self, endpoint_id: str) -> None:
         """Apply a changed limit at once."""
@@ -387,11 +387,11 @@
         if per_s is None:
             self.bucket_by_id.pop(endpoint_id, None)
             return
-        limit_bucket = self.bucket_by_id.get(endpoint_id)
-        if limit_bucket is not None and per_s < limit_bucket.cap.per_s:
+        bucket = self.bucket_by_id.get(endpoint_id)
+        if bucket is not None and per_s < bucket.cap.per_s:
             # Slots granted ahead under the higher limit are void and are requested
             # again, so the credit that they used is returned.
-            limit_bucket.note(min(0.0, limit_bucket.level), time.monotonic())
+            bucket.note(min(0.0, bucket.level), time.monotonic())
 
     def _on_spent(self, budget: str, _: str, units: float) -> None:
         """Debit what other owners granted, in case this VM becomes the owner."""
--- a/packages/mothworks_gateway/src/mothworks_gateway/server_sent_events.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/server_sent_events.py
@@ -19,10 +19,10 @@
 class EventSplitter:
     """Buffers bytes until they form complete events.
 
-    >>> cutter = EventSplitter()
-    >>> cutter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda")
+    >>> splitter = EventSplitter()
+    >>> splitter.feed(b"id: 1\\ndata: a\\n\\nid: 2\\nda")
     b'id: 1\\ndata: a\\n\\n'
-    >>> cutter.last_id
+    >>> splitter.last_id
     '1'
     """
 
--- a/packages/mothworks_gateway/tests/cap_ways.py
+++ b/packages/mothworks_gateway/tests/cap_ways.py
@@ -32,13 +32,13 @@
             cap.per_s * share, cap.burst * share, cap.unit
         )
         now = self.clock.monotonic()
-        vm_bucket = self.bucket_by_key.get((vm, name))
-        if vm_bucket is None:
-            vm_bucket = self.bucket_by_key[vm, name] = token_bucket.TokenBucket(
+        bucket = self.bucket_by_key.get((vm, name))
+        if bucket is None:
+            bucket = self.bucket_by_key[vm, name] = token_bucket.TokenBucket(
                 vm_cap, 0.0
             )
-        vm_bucket.change(vm_cap, now)
-        wait_s = vm_bucket.take(units, now)
+        bucket.change(vm_cap, now)
+        wait_s = bucket.take(units, now)
         if wait_s:
             return result.Err(credit.Over(wait_s))
         self.granted[name].append((self.clock.now, units))
--- a/packages/mothworks_gateway/tests/limit_ways.py
+++ b/packages/mothworks_gateway/tests/limit_ways.py
@@ -35,11 +35,11 @@
             self.share_per_vm()
         )
         now = self.clock.monotonic()
-        limit_bucket = self.bucket_by_key.setdefault(
+        bucket = self.bucket_by_key.setdefault(
             (name, cap), token_bucket.TokenBucket(cap, now)
         )
-        wait_s = limit_bucket.wait_s(1, now)
-        retry_after_s = limit_bucket.take(1, now, max_wait_s)
+        wait_s = bucket.wait_s(1, now)
+        retry_after_s = bucket.take(1, now, max_wait_s)
         if retry_after_s:
             return result.Err(
                 send_slots.AtLimit(endpoint, per_s, 0.0, retry_after_s, "")
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -349,9 +349,9 @@
     fleet.send_heartbeats()
     fleet.send_heartbeats()
     for name in fleet.vm_by_name[requester].credits.budgets.owners.candidates():
-        account_bucket = fleet.vm_by_name[name].credits._bucket("small")
-        account_bucket.note(0.0, fleet.clock.monotonic())
-        assert account_bucket.level == pytest.approx(SMALL)
+        bucket = fleet.vm_by_name[name].credits._bucket("small")
+        bucket.note(0.0, fleet.clock.monotonic())
+        assert bucket.level == pytest.approx(SMALL)
 
 
 def test_all_candidates_account_for_all_grants(monkeypatch):
@@ -362,9 +362,9 @@
     fleet.send_heartbeats()
     levels = set()
     for name in fleet.vm_by_name[fleet.names[0]].credits.budgets.owners.candidates():
-        account_bucket = fleet.vm_by_name[name].credits._bucket("small")
-        account_bucket.note(0.0, fleet.clock.monotonic())
-        levels.add(round(account_bucket.level))
+        bucket = fleet.vm_by_name[name].credits._bucket("small")
+        bucket.note(0.0, fleet.clock.monotonic())
+        levels.add(round(bucket.level))
     assert len(levels) == 1
 
 
@@ -430,8 +430,8 @@
 
 def test_an_account_has_a_bucket(monkeypatch):
     fleet = Fleet(monkeypatch, 1, {"small": SMALL})
-    account_bucket = fleet.vm_by_name["vm-0"].credits._bucket("small")
-    assert isinstance(account_bucket, token_bucket.TokenBucket)
+    bucket = fleet.vm_by_name["vm-0"].credits._bucket("small")
+    assert isinstance(bucket, token_bucket.TokenBucket)
 
 
 # Guards against a partition whose two sides both reach the platform: declarations stay
--- a/packages/mothworks_gateway/tests/test_retry_budget.py
+++ b/packages/mothworks_gateway/tests/test_retry_budget.py
@@ -15,9 +15,9 @@
     )
 
 
-def spend_all(retry_budget, service="s"):
+def spend_all(budget, service="s"):
     count = 0
-    while retry_budget.try_spend(service):
+    while budget.try_spend(service):
         count += 1
     return count
 
@@ -34,20 +34,20 @@
 
 # Guards against each side of a network partition using the slack of all VMs.
 def test_sides_of_a_partition_together_stay_below_the_slack():
-    retry_budget = make_budget(vms=8, live=4, retry_share=0, retry_slack=100)
-    assert 8 * spend_all(retry_budget) <= 100
+    budget = make_budget(vms=8, live=4, retry_share=0, retry_slack=100)
+    assert 8 * spend_all(budget) <= 100
 
 
 def test_each_request_adds_its_share_to_the_budget():
-    retry_budget = make_budget(retry_share=0.5, retry_slack=0)
+    budget = make_budget(retry_share=0.5, retry_slack=0)
     for _ in range(20):
-        retry_budget.add_request("s")
-    assert spend_all(retry_budget) == 8
+        budget.add_request("s")
+    assert spend_all(budget) == 8
 
 
 def test_each_service_has_its_own_budget():
-    retry_budget = make_budget(retry_share=0.0, retry_slack=10)
-    assert spend_all(retry_budget, "a") == spend_all(retry_budget, "b") == 8
+    budget = make_budget(retry_share=0.0, retry_slack=10)
+    assert spend_all(budget, "a") == spend_all(budget, "b") == 8
 
 
 def test_without_an_allowance_there_are_no_retries():
--- a/packages/mothworks_gateway/tests/test_server_sent_events.py
+++ b/packages/mothworks_gateway/tests/test_server_sent_events.py
@@ -13,37 +13,39 @@
 @hypothesis.settings(max_examples=200, deadline=None)
 def test_events_are_complete_and_in_order(cuts):
     ends = [0, *sorted(cuts), len(STREAM)]
-    cutter = server_sent_events.EventSplitter()
+    splitter = server_sent_events.EventSplitter()
     forwarded = b""
     for begin, end in zip(ends, ends[1:], strict=False):
-        complete = cutter.feed(STREAM[begin:end])
+        complete = splitter.feed(STREAM[begin:end])
         assert complete == b"" or complete.endswith(b"\n\n")
         forwarded += complete
     assert forwarded == STREAM
-    assert cutter.last_id == "8"
-    assert cutter.rest == b""
+    assert splitter.last_id == "8"
+    assert splitter.buffer == b""
 
 
 @hypothesis.given(st.binary(max_size=300))
 @hypothesis.settings(max_examples=300, deadline=None)
 def test_any_bytes_are_kept(data):
     # An engine may send bytes that are not events; none is lost or duplicated.
-    cutter = server_sent_events.EventSplitter()
+    splitter = server_sent_events.EventSplitter()
     try:
-        complete = cutter.feed(data)
+        complete = splitter.feed(data)
     except server_sent_events.OutOfOrderError:
         return
-    assert complete + cutter.rest == data
+    assert complete + splitter.buffer == data
 
 
 def test_a_repeated_event_breaks_the_stream():
-    cutter = server_sent_events.EventSplitter()
-    cutter.feed(b"id: 2\ndata: b\n\n")
+    splitter = server_sent_events.EventSplitter()
+    splitter.feed(b"id: 2\ndata: b\n\n")
     with pytest.raises(server_sent_events.OutOfOrderError):
-        cutter.feed(b"id: 1\ndata: a\n\n")
+        splitter.feed(b"id: 1\ndata: a\n\n")
 
 
 def test_both_kinds_of_line_ends_are_accepted():
-    cutter = server_sent_events.EventSplitter()
-    assert cutter.feed(b"id: 1\r\ndata: a\r\n\r\nid: 2") == b"id: 1\r\ndata: a\r\n\r\n"
-    assert cutter.last_id == "1"
+    splitter = server_sent_events.EventSplitter()
+    assert (
+        splitter.feed(b"id: 1\r\ndata: a\r\n\r\nid: 2") == b"id: 1\r\ndata: a\r\n\r\n"
+    )
+    assert splitter.last_id == "1"
