--- a/packages/mothworks_gateway/src/mothworks_gateway/gathering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/gathering.py
@@ -153,7 +153,7 @@
         self.own_collector = collectors.OwnCollector(self.name)
         #: The holder's name and its last heartbeat that is not in any totals yet.
         self.holder_update: tuple[str, heartbeat.Heartbeat] | None = None
-        self.evidence = node_kernel.get(shared_health.SharedHealth)
+        self.shared_health = node_kernel.get(shared_health.SharedHealth)
         #: Answers of endpoints to all VMs, for the next totals.
         self.answers = shared_health.AnswerCounts()
         self.suspect_until_by_id: dict[str, float] = {}
@@ -166,7 +166,7 @@
         """Send this VM's heartbeat to all peers, or by way of collectors."""
         near = self.membership.near()
         if collectors.are_few(near):
-            self.evidence.receive(own.answers)
+            self.shared_health.receive(own.answers)
             self.peers.send_all(own)
             return
         now = time.monotonic()
@@ -182,7 +182,7 @@
         self, own: heartbeat.Heartbeat, collector_vms: list[str], members: list[str]
     ) -> None:
         """Send the aggregate to collectors and holder, and the totals to members."""
-        self.evidence.receive(own.answers)
+        self.shared_health.receive(own.answers)
         now = time.monotonic()
         self.aggregate.add(self.name, own, now)
         self.answers.add(own.answers)
@@ -248,7 +248,7 @@
     def _on_totals(self, vm: str, totals: Totals, _: peers.Answer) -> None:
         self.own_collector.on_totals(vm, time.monotonic())
         self.load.take_totals(totals.running_by_endpoint)
-        self.evidence.receive(totals.answers)
+        self.shared_health.receive(totals.answers)
         self.limits.receive(totals.limits, vm)
         versions = (totals.declaration_version, totals.registry_changed_at)
         self.heartbeats.receive(
