--- a/packages/mothworks_gateway/src/mothworks_gateway/answering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/answering.py
@@ -126,7 +126,7 @@
             self.request.target.service
         ):
             return False
-        ready = self.attempts.choice.candidates(self.request).ready
+        ready = self.attempts.endpoint_selection.candidates(self.request).ready
         untried = [item for item in ready if item.id not in self.tried_ids]
         if not untried:
             return False
--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -17,8 +17,8 @@
     adapters,
     answering,
     asked,
-    choice,
     endpoint_limits,
+    endpoint_selection,
     endpoints_client,
     health,
     load,
@@ -71,8 +71,8 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.protocol = node_kernel.get(endpoints_client.EndpointsClient).protocol
-        self.choice = node_kernel.get(choice.EndpointSelection)
-        self.registry = self.choice.registry
+        self.endpoint_selection = node_kernel.get(endpoint_selection.EndpointSelection)
+        self.registry = self.endpoint_selection.registry
         self.health = node_kernel.get(health.Health)
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
         self.slots = node_kernel.get(send_slots.SendSlots)
--- a/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
@@ -15,7 +15,7 @@
 from mothworks_gateway import (
     asked,
     attempts,
-    choice,
+    endpoint_selection,
     load,
     poison,
     registry,
@@ -59,7 +59,7 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.attempts = node_kernel.get(attempts.Attempts)
-        self.choice = node_kernel.get(choice.EndpointSelection)
+        self.endpoint_selection = node_kernel.get(endpoint_selection.EndpointSelection)
         self.load = node_kernel.get(load.Load)
         self.retry_budget = node_kernel.get(retry_budget.RetryBudget)
         self.poison = node_kernel.get(poison.PoisonRequests)
@@ -114,7 +114,7 @@
             if request.deadline - now < MIN_TIME_LEFT_S:
                 progress.reason = f"{progress.reason}; out of time"
                 return self._give_up(request, progress)
-            candidates = self.choice.candidates(request)
+            candidates = self.endpoint_selection.candidates(request)
             eligible = self._eligible(request, progress, candidates.ready)
             if eligible:
                 return self._acquire_slot(request, progress, eligible)
@@ -164,7 +164,7 @@
         self,
         request: asked.Asked,
         progress: attempts.RequestProgress,
-        candidates: choice.Candidates,
+        candidates: endpoint_selection.Candidates,
         now: float,
     ) -> result.Err[outcomes.Refusal] | None:
         """Wait for a model to be loaded; returns a refusal if that takes too long."""
@@ -184,7 +184,7 @@
         return None
 
     def _ready_in_s(
-        self, request: asked.Asked, candidates: choice.Candidates
+        self, request: asked.Asked, candidates: endpoint_selection.Candidates
     ) -> float | None:
         """Return the seconds until a model without any endpoint is loaded, if known."""
         target = request.target
--- a/packages/mothworks_gateway/src/mothworks_gateway/front.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/front.py
@@ -202,7 +202,7 @@
                 pass
             case refused:
                 return refused
-        service = self.dispatch.choice.service(route)
+        service = self.dispatch.endpoint_selection.service(route)
         parsed = self.callers.read(call, route, service, body, version, account)
         return parsed.map_err(outcomes.invalid)
 
--- a/packages/mothworks_gateway/tests/test_choice.py
+++ b/packages/mothworks_gateway/tests/test_endpoint_selection.py
@@ -1,7 +1,7 @@
 """Endpoint selection: a shared prompt goes to one endpoint, unless it is full."""
 
 import gateway_builders
-from mothworks_gateway import asked, choice, health, load, registry
+from mothworks_gateway import asked, endpoint_selection, health, load, registry
 
 
 class Health:
@@ -13,7 +13,9 @@
     view = registry.Registry()
     view.by_id = {item.id: item for item in endpoints}
     parts = {health.Health: Health(), load.Load: gateway_builders.Load(running)}
-    return choice.EndpointSelection(gateway_builders.kernel_with(view, parts))
+    return endpoint_selection.EndpointSelection(
+        gateway_builders.kernel_with(view, parts)
+    )
 
 
 def prompt(*ids):
