--- a/packages/mothworks_gateway/src/mothworks_gateway/answering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/answering.py
@@ -101,10 +101,12 @@
         if self.open:
             self.open = False
             self.answer.close()
-            self.attempts.load.end(self.endpoint, self.request.target)
+            self.attempts.running_requests.request_ended(
+                self.endpoint, self.request.target
+            )
             gap_s = self.request.route.gap_s
             if gap_s and self.longest_gap_s > gap_s:
-                self.attempts.load.note_late(self.request.target)
+                self.attempts.running_requests.record_late(self.request.target)
 
     def _record_break(self, reason: str) -> None:
         self.outcome = f"broke: {reason}"[:100]
@@ -167,5 +169,7 @@
             self.answer = answer
             self.endpoint = endpoint
             self.open = True
-            self.attempts.load.begin(endpoint, self.request.target)
+            self.attempts.running_requests.request_started(
+                endpoint, self.request.target
+            )
         return resumed
--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -21,12 +21,12 @@
     endpoint_selection,
     endpoints_client,
     health,
-    load,
     poison,
     reading,
     registry,
     residency,
     retry_budget,
+    running_requests,
     send_slots,
 )
 
@@ -76,7 +76,7 @@
         self.health = node_kernel.get(health.Health)
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
         self.slots = node_kernel.get(send_slots.SendSlots)
-        self.load = node_kernel.get(load.Load)
+        self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.retry_budget = node_kernel.get(retry_budget.RetryBudget)
         self.poison = node_kernel.get(poison.PoisonRequests)
         self.reading = node_kernel.get(reading.Reading)
@@ -101,7 +101,7 @@
         progress.tried.add(endpoint.id)
         progress.sends += 1
         started_at = time.monotonic()
-        self.load.begin(endpoint, request.target)
+        self.running_requests.request_started(endpoint, request.target)
         has_reply = False
         try:
             reply = self._send(request, endpoint, progress, started_at)
@@ -109,7 +109,7 @@
             return reply
         finally:
             if not has_reply:
-                self.load.end(endpoint, request.target)
+                self.running_requests.request_ended(endpoint, request.target)
             logs.event(
                 log,
                 "sent",
@@ -120,7 +120,7 @@
                 model=request.target.model,
                 adapter=request.target.adapter,
                 attempt=progress.sends,
-                running=self.load.of_endpoint(endpoint.id),
+                running=self.running_requests.of_endpoint(endpoint.id),
                 left_ms=round((request.deadline - started_at) * 1000),
                 took_ms=round((time.monotonic() - started_at) * 1000, 1),
                 outcome="answer begun" if has_reply else progress.reason,
@@ -194,7 +194,7 @@
             self.health.succeeded(endpoint, took_s)
             self.reading.note(request, took_s)
             if took_s > request.route.objective_s:
-                self.load.note_late(request.target)
+                self.running_requests.record_late(request.target)
             body = answering.StreamRelay(self, request, endpoint, answer)
             return self._reply(request, answer, body)
         whole_body = transport.whole(answer)
@@ -203,7 +203,7 @@
                 request, endpoint, progress, whole_body.err_value
             )
             return None
-        self.load.end(endpoint, request.target)
+        self.running_requests.request_ended(endpoint, request.target)
         if verdict is adapters.Verdict.ANSWER:
             self.health.succeeded(endpoint, time.monotonic() - started_at)
             self.poison.clear(request)
--- a/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
@@ -16,11 +16,11 @@
     asked,
     attempts,
     endpoint_selection,
-    load,
     poison,
     registry,
     residency,
     retry_budget,
+    running_requests,
     send_slots,
     turns,
 )
@@ -60,7 +60,7 @@
         super().__init__(node_kernel)
         self.attempts = node_kernel.get(attempts.Attempts)
         self.endpoint_selection = node_kernel.get(endpoint_selection.EndpointSelection)
-        self.load = node_kernel.get(load.Load)
+        self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.retry_budget = node_kernel.get(retry_budget.RetryBudget)
         self.poison = node_kernel.get(poison.PoisonRequests)
         self.residency = node_kernel.get(residency.Residency)
@@ -76,7 +76,7 @@
         :param request: the request.
         """
         self.retry_budget.add_request(request.target.service)
-        self.load.arrive(request)
+        self.running_requests.count_arrival(request)
         progress = attempts.RequestProgress()
         while True:
             if self.poison.is_blocked(request):
@@ -85,7 +85,9 @@
             match self._find_endpoint(request, progress):
                 case result.Ok(slot):
                     endpoint = slot.endpoint
-                    with self.load.counted(endpoint, request.target):
+                    with self.running_requests.count_as_running(
+                        endpoint, request.target
+                    ):
                         may_send = self.slots.wait(slot)
                         if may_send:
                             self.turns.wait(request, endpoint)
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_selection.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_selection.py
@@ -13,7 +13,14 @@
 import attrs
 
 from mothworks import kernel, ownership
-from mothworks_gateway import asked, declared, discovery, health, load, registry
+from mothworks_gateway import (
+    asked,
+    declared,
+    discovery,
+    health,
+    registry,
+    running_requests,
+)
 
 #: Difference in load, as a share of an endpoint's batch slots, up to which a request
 #: still goes to the endpoint that caches its prompt. An endpoint in another data
@@ -49,7 +56,7 @@
         self.data_centre = node_kernel.settings.data_centre
         self.registry = node_kernel.get(discovery.Discovery).registry
         self.health = node_kernel.get(health.Health)
-        self.load = node_kernel.get(load.Load)
+        self.running_requests = node_kernel.get(running_requests.RunningRequests)
 
     def service(self, route: declared.Route) -> str:
         """Pick a service for a request at random, by the route's weights.
@@ -95,7 +102,7 @@
 
         Endpoints in other data centres get a surcharge.
         """
-        running = self.load.of_endpoint(endpoint.id)
+        running = self.running_requests.of_endpoint(endpoint.id)
         occupancy = running / max(1, endpoint.entry.places)
         is_local = endpoint.entry.data_centre == self.data_centre
         return occupancy if is_local else occupancy + _margin(endpoint)
--- a/packages/mothworks_gateway/src/mothworks_gateway/gathering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/gathering.py
@@ -21,8 +21,8 @@
     endpoint_limits,
     heartbeat,
     lease,
-    load,
     ranking,
+    running_requests,
     shared_health,
 )
 
@@ -142,7 +142,7 @@
         self.peers = node_kernel.get(peers.Peers)
         self.membership = node_kernel.get(membership.Membership)
         self.lease = node_kernel.get(lease.Lease)
-        self.load = node_kernel.get(load.Load)
+        self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.heartbeats = node_kernel.get(heartbeat.Heartbeats)
         self.heartbeats.transmit = self._transmit
         self.heartbeats.on_received.append(self._on_heartbeat)
@@ -197,7 +197,7 @@
             self.holder_update = (self.name, own)
         update, self.holder_update = self.holder_update, None
         totals = Totals(
-            self.load.running_by_endpoint(),
+            self.running_requests.running_by_endpoint(),
             own.declaration_version,
             own.registry_changed_at,
             answers=self._suspect_answers(),
@@ -247,7 +247,7 @@
 
     def _on_totals(self, vm: str, totals: Totals, _: peers.Answer) -> None:
         self.own_collector.on_totals(vm, time.monotonic())
-        self.load.take_totals(totals.running_by_endpoint)
+        self.running_requests.set_totals(totals.running_by_endpoint)
         self.shared_health.receive(totals.answers)
         self.limits.receive(totals.limits, vm)
         versions = (totals.declaration_version, totals.registry_changed_at)
--- a/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
@@ -52,8 +52,9 @@
     :param lease_version: stored version of its last lease renewal, or empty.
     :param running: number of running requests, by endpoint, model and adapter.
     :param arrived: requests that arrived since the last heartbeat, by service,
-        model and adapter; see :meth:`load.Load.arrive` for their weight. The
-        last figure is the number of prompt tokens that other requests do not share.
+        model and adapter; see :meth:`running_requests.RunningRequests.count_arrival`
+        for their weight. The last figure is the number of prompt tokens that other
+        requests do not share.
     :param late: number of answers since the last heartbeat that were too slow, by
         service and model.
     :param is_aggregate: whether it is the aggregate of several VMs.
--- a/packages/mothworks_gateway/src/mothworks_gateway/offers.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/offers.py
@@ -14,9 +14,9 @@
     declared,
     demand,
     endpoint_limits,
-    load,
     ordering,
     reading,
+    running_requests,
     sites,
 )
 
@@ -114,7 +114,7 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.ordering = node_kernel.get(ordering.Ordering)
-        self.load = node_kernel.get(load.Load)
+        self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.demand = node_kernel.get(demand.Demand)
         self.reading = node_kernel.get(reading.Reading)
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
@@ -198,7 +198,9 @@
         :param model: the model.
         :param states: the endpoints.
         """
-        return sum(self.load.of_model(state.endpoint.id, model) for state in states)
+        return sum(
+            self.running_requests.of_model(state.endpoint.id, model) for state in states
+        )
 
     def unavailability_cost(self, target: asked.Target, model: declared.Model) -> float:
         """Return the cost of a model that no endpoint holds, in requests.
@@ -285,7 +287,10 @@
         eviction_cost = sum(eviction.cost for eviction in evictions)
         names = tuple(eviction.model for eviction in evictions)
         running = sum(self.running(name, [state]) for name in names)
-        share = self.load.of_endpoint(state.endpoint.id) / state.accelerator.batch
+        share = (
+            self.running_requests.of_endpoint(state.endpoint.id)
+            / state.accelerator.batch
+        )
         ready_in_s = (
             state.load_s(model)
             + FULL_BATCH_DELAY_S * share
--- a/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
@@ -18,8 +18,8 @@
     demand,
     discovery,
     lease,
-    load,
     residency,
+    running_requests,
     site_orders,
     sites,
 )
@@ -47,7 +47,7 @@
         super().__init__(node_kernel)
         self.registry = node_kernel.get(discovery.Discovery).registry
         self.lease = node_kernel.get(lease.Lease)
-        self.load = node_kernel.get(load.Load)
+        self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.demand = node_kernel.get(demand.Demand)
         self.orders = node_kernel.get(site_orders.SiteOrders)
         self.site_by_id: dict[str, sites.EndpointState] = {}
@@ -212,7 +212,7 @@
         If it was used again since the decision, its unload would wait for its requests
         and block all other orders of the endpoint.
         """
-        return job.forced or not self.load.of_model(state.endpoint.id, name)
+        return job.forced or not self.running_requests.of_model(state.endpoint.id, name)
 
     def _unload(self, state: sites.EndpointState, name: str) -> bool:
         """Drain and unload a model; returns whether it is gone.
@@ -222,7 +222,7 @@
         informed that they must send no more requests, and the order is sent once the
         running ones have ended.
         """
-        running = self.load.of_model(state.endpoint.id, name)
+        running = self.running_requests.of_model(state.endpoint.id, name)
         state.leaving = name
         state.drained_at = time.monotonic() + sites.expected_unload_s(running)
         self.orders.publish(state)
@@ -243,7 +243,7 @@
 
     def _still_draining(self, state: sites.EndpointState, name: str) -> bool:
         """Return whether to continue waiting for a model's requests to end."""
-        running = self.load.of_model(state.endpoint.id, name)
+        running = self.running_requests.of_model(state.endpoint.id, name)
         return bool(running) and state.open and self.lease.held()
 
     def _execute_adapter(
@@ -285,6 +285,6 @@
             (name, adapter)
             for name, held_adapters in state.adapters_by_model.items()
             for adapter in held_adapters
-            if not self.load.of_adapter(state.endpoint.id, name, adapter)
+            if not self.running_requests.of_adapter(state.endpoint.id, name, adapter)
             and state.loaded_at_by_adapter.get((name, adapter), 0.0) < loaded_before
         ]
--- a/packages/mothworks_gateway/src/mothworks_gateway/load.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/running_requests.py
@@ -1,4 +1,4 @@
-"""Load: the number of requests running on each endpoint, as known to this VM.
+"""Running requests: how many run on each endpoint, as far as this VM knows.
 
 This VM's own requests are counted exactly. Those of its peers are as of their last
 heartbeat or, with many peers, of the last totals from a collector.
@@ -59,7 +59,7 @@
     at: float
 
 
-class Load(kernel.Part):
+class RunningRequests(kernel.Part):
     """Counts requests that run, arrive and are late, for the heartbeats.
 
     :param node_kernel: the node's kernel.
@@ -68,7 +68,7 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        self.heartbeats.on_heartbeat.append(self._fill)
+        self.heartbeats.on_heartbeat.append(self._heartbeat_fields)
         self.heartbeats.on_received.append(self._on_heartbeat)
         self.running = _RunningCounts()
         self.arrived: collections.defaultdict[asked.Target, float] = (
@@ -86,7 +86,7 @@
         """Start to remove peers whose heartbeats have stopped."""
         self.tasks.every(EXPIRY_INTERVAL_S, self._expire)
 
-    def arrive(self, request: asked.Asked) -> None:
+    def count_arrival(self, request: asked.Asked) -> None:
         """Count a request that arrived.
 
         A request that may wait for longer than it takes to reload its model counts
@@ -99,14 +99,16 @@
         )
         self.tokens[request.target] += min(MAX_PROMPT_TOKENS, request.own_tokens)
 
-    def note_late(self, target: asked.Target) -> None:
+    def record_late(self, target: asked.Target) -> None:
         """Count a response whose endpoint was too slow for the latency objective.
 
         :param target: the request's target.
         """
         self.late[target.base] += 1
 
-    def begin(self, endpoint: registry.Endpoint, target: asked.Target) -> None:
+    def request_started(
+        self, endpoint: registry.Endpoint, target: asked.Target
+    ) -> None:
         """Count a request as running.
 
         :param endpoint: the endpoint that it is sent to.
@@ -114,7 +116,7 @@
         """
         self.running.add(endpoint.id, target.model, target.adapter, 1)
 
-    def end(self, endpoint: registry.Endpoint, target: asked.Target) -> None:
+    def request_ended(self, endpoint: registry.Endpoint, target: asked.Target) -> None:
         """Count a request as ended.
 
         :param endpoint: the endpoint that it ran on.
@@ -123,7 +125,7 @@
         self.running.add(endpoint.id, target.model, target.adapter, -1)
 
     @contextlib.contextmanager
-    def counted(
+    def count_as_running(
         self, endpoint: registry.Endpoint, target: asked.Target
     ) -> collections.abc.Iterator[None]:
         """Count a request as running while it waits to be sent.
@@ -135,11 +137,11 @@
         :param endpoint: the endpoint that it will be sent to.
         :param target: its target.
         """
-        self.begin(endpoint, target)
+        self.request_started(endpoint, target)
         try:
             yield
         finally:
-            self.end(endpoint, target)
+            self.request_ended(endpoint, target)
 
     def of_endpoint(self, endpoint_id: str) -> int:
         """Return the number of requests of all VMs that run on an endpoint.
@@ -162,7 +164,7 @@
             endpoint_id: self.of_endpoint(endpoint_id) for endpoint_id in endpoint_ids
         }
 
-    def take_totals(self, running_by_endpoint: dict[str, int]) -> None:
+    def set_totals(self, running_by_endpoint: dict[str, int]) -> None:
         """Set the totals of all VMs, this one included.
 
         :param running_by_endpoint: running requests by endpoint id.
@@ -208,7 +210,7 @@
         for vm in self.heartbeat_by_vm.keys() - self.heartbeats.fresh().keys():
             self._remove_peer(vm)
 
-    def _fill(self) -> dict:
+    def _heartbeat_fields(self) -> dict:
         running = tuple((*key, count) for key, count in self.running.by_adapter.items())
         arrived = tuple(
             (
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -23,10 +23,10 @@
     demand,
     discovery,
     lease,
-    load,
     offers,
     ordering,
     residency,
+    running_requests,
     site_orders,
     sites,
 )
@@ -114,7 +114,7 @@
         self.lease = node_kernel.get(lease.Lease)
         self.declarations = node_kernel.get(declarations.Declarations)
         self.discovery = node_kernel.get(discovery.Discovery)
-        self.load = node_kernel.get(load.Load)
+        self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.ordering = node_kernel.get(ordering.Ordering)
         self.site_orders = node_kernel.get(site_orders.SiteOrders)
         self.demand = node_kernel.get(demand.Demand)
@@ -207,7 +207,10 @@
             self._log_decision(unmet.target, state, CALLERS_WAITING)
 
     def _pressure(self, state: sites.EndpointState) -> float:
-        batch_share = self.load.of_endpoint(state.endpoint.id) / state.accelerator.batch
+        batch_share = (
+            self.running_requests.of_endpoint(state.endpoint.id)
+            / state.accelerator.batch
+        )
         adapter_share = state.adapter_count() / max(1, state.accelerator.adapter_places)
         # An adapter waits for seconds behind a model that is loaded or unloaded.
         loading = LOADING_PRESSURE if state.occupied else 0.0
--- a/packages/mothworks_gateway/tests/gateway_builders.py
+++ b/packages/mothworks_gateway/tests/gateway_builders.py
@@ -95,8 +95,8 @@
     return asked.Asked(**values)
 
 
-class Load:
-    """Stub of the load, with fixed numbers of running requests by endpoint."""
+class RunningRequests:
+    """Stub with fixed numbers of running requests by endpoint."""
 
     def __init__(self, running=()):
         self.running = collections.Counter(dict(running))
--- a/packages/mothworks_gateway/tests/limited_fleet.py
+++ b/packages/mothworks_gateway/tests/limited_fleet.py
@@ -26,9 +26,9 @@
     health,
     heartbeat,
     lease,
-    load,
     owners,
     registry,
+    running_requests,
     send_slots,
     shared_budgets,
     shared_health,
@@ -101,7 +101,7 @@
             kernel
         )
         for part_class in (
-            load.Load,
+            running_requests.RunningRequests,
             health.Health,
             shared_health.SharedHealth,
             owners.Owners,
@@ -128,7 +128,7 @@
             endpoint_limits,
             gathering,
             health,
-            load,
+            running_requests,
             owners,
             heartbeat,
             error_rates,
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -14,11 +14,11 @@
     endpoint_limits,
     heartbeat,
     lease,
-    load,
     offers,
     ordering,
     reading,
     residency,
+    running_requests,
     scheduler,
     site_orders,
     sites,
@@ -39,7 +39,7 @@
         return self.now
 
 
-class Load:
+class RunningRequests:
     """Stub of the running requests: none but those that a test sets."""
 
     def __init__(self):
@@ -67,7 +67,7 @@
     def __init__(self, clock, accelerator, holding):
         self.clock = clock
         self.accelerator = accelerator
-        self.load = Load()
+        self.running_requests = RunningRequests()
         #: Rate limits that endpoints advertise, requests per second.
         self.limit_by_id = {}
         self.ordering = types.SimpleNamespace(
@@ -80,7 +80,7 @@
             for number, models in enumerate(holding)
         ]
         parts = {
-            load.Load: self.load,
+            running_requests.RunningRequests: self.running_requests,
             ordering.Ordering: self.ordering,
             site_orders.SiteOrders: types.SimpleNamespace(may_load=lambda *_: True),
             residency.Residency: types.SimpleNamespace(on_waiting=[]),
--- a/packages/mothworks_gateway/tests/test_adapters_in_demand.py
+++ b/packages/mothworks_gateway/tests/test_adapters_in_demand.py
@@ -18,10 +18,10 @@
     demand,
     discovery,
     lease,
-    load,
     ordering,
     registry,
     residency,
+    running_requests,
     site_orders,
 )
 
@@ -53,7 +53,7 @@
         return self.rate_by_adapter.get(target.adapter, 0.0)
 
 
-class Load(scheduling_builders.Load):
+class RunningRequests(scheduling_builders.RunningRequests):
     """Stub of the running requests, by adapter."""
 
     def __init__(self):
@@ -69,7 +69,7 @@
     parts = {
         discovery.Discovery: types.SimpleNamespace(registry=registry.Registry()),
         lease.Lease: None,
-        load.Load: Load(),
+        running_requests.RunningRequests: RunningRequests(),
         demand.Demand: Demand(),
         site_orders.SiteOrders: None,
         residency.Residency: types.SimpleNamespace(on_not_held=[]),
@@ -107,5 +107,7 @@
 
 def test_an_adapter_in_use_is_never_evicted(part, clock):
     state = full_state(loaded_at=clock.now - 5.0)
-    part.load.used = {f"a{number}" for number in range(ADAPTER_SLOTS) if number != 2}
+    part.running_requests.used = {
+        f"a{number}" for number in range(ADAPTER_SLOTS) if number != 2
+    }
     assert part._adapter_to_evict(state) == ("m", "a2")
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -31,9 +31,9 @@
     health,
     heartbeat,
     lease,
-    load,
     owners,
     registry,
+    running_requests,
     settings,
     shared_budgets,
     shared_health,
@@ -123,7 +123,9 @@
         kernel.parts[heartbeat.Heartbeats] = self.heartbeats = heartbeat.Heartbeats(
             kernel
         )
-        kernel.parts[load.Load] = load.Load(kernel)
+        kernel.parts[running_requests.RunningRequests] = (
+            running_requests.RunningRequests(kernel)
+        )
         kernel.parts[health.Health] = health.Health(kernel)
         kernel.parts[shared_health.SharedHealth] = shared_health.SharedHealth(kernel)
         kernel.parts[owners.Owners] = owners.Owners(kernel)
@@ -149,7 +151,7 @@
             owners,
             gathering,
             health,
-            load,
+            running_requests,
             heartbeat,
             error_rates,
             shared_budgets,
--- a/packages/mothworks_gateway/tests/test_endpoint_selection.py
+++ b/packages/mothworks_gateway/tests/test_endpoint_selection.py
@@ -1,7 +1,13 @@
 """Endpoint selection: a shared prompt goes to one endpoint, unless it is full."""
 
 import gateway_builders
-from mothworks_gateway import asked, endpoint_selection, health, load, registry
+from mothworks_gateway import (
+    asked,
+    endpoint_selection,
+    health,
+    registry,
+    running_requests,
+)
 
 
 class Health:
@@ -12,7 +18,10 @@
 def make_selection(endpoints, running=()):
     view = registry.Registry()
     view.by_id = {item.id: item for item in endpoints}
-    parts = {health.Health: Health(), load.Load: gateway_builders.Load(running)}
+    parts = {
+        health.Health: Health(),
+        running_requests.RunningRequests: gateway_builders.RunningRequests(running),
+    }
     return endpoint_selection.EndpointSelection(
         gateway_builders.kernel_with(view, parts)
     )
--- a/packages/mothworks_gateway/tests/test_gathering.py
+++ b/packages/mothworks_gateway/tests/test_gathering.py
@@ -23,9 +23,9 @@
     health,
     heartbeat,
     lease,
-    load,
     ranking,
     registry,
+    running_requests,
     shared_health,
 )
 
@@ -39,7 +39,7 @@
 
     def __init__(self, monkeypatch):
         self.now = 100.0
-        for module in (gathering, health, load, heartbeat, error_rates):
+        for module in (gathering, health, running_requests, heartbeat, error_rates):
             monkeypatch.setattr(module, "time", self)
 
     def monotonic(self):
@@ -47,7 +47,7 @@
 
 
 class Vm:
-    """One VM with heartbeats, load and gathering, without network."""
+    """One VM with heartbeats, running requests and gathering, without network."""
 
     def __init__(self, name, fleet):
         self.held = False
@@ -69,7 +69,9 @@
         self.heartbeats.on_heartbeat.append(
             lambda: {"fence": 3 * (fleet.holder == name)}
         )
-        kernel.parts[load.Load] = self.load = load.Load(kernel)
+        kernel.parts[running_requests.RunningRequests] = self.running_requests = (
+            running_requests.RunningRequests(kernel)
+        )
         kernel.parts[health.Health] = self.health = health.Health(kernel)
         kernel.parts[shared_health.SharedHealth] = shared_health.SharedHealth(kernel)
         fleet_builders.add_limits(kernel)
@@ -98,8 +100,8 @@
         self.running_by_endpoint = collections.Counter()
 
     def begin(self, name, endpoint):
-        self.vm_by_name[name].load.begin(endpoint, MODEL)
-        self.vm_by_name[name].load.arrived[MODEL] += 1.0
+        self.vm_by_name[name].running_requests.request_started(endpoint, MODEL)
+        self.vm_by_name[name].running_requests.arrived[MODEL] += 1.0
         self.running_by_endpoint[endpoint.id] += 1
 
     def run(self, seconds):
@@ -108,7 +110,7 @@
             for name in self.random.sample(self.names, len(self.names)):
                 if name not in self.wire.down:
                     self.vm_by_name[name].heartbeats.send()
-                    self.vm_by_name[name].load._expire()
+                    self.vm_by_name[name].running_requests._expire()
 
     def fill(self):
         """Start ten requests at each endpoint, each from a random VM."""
@@ -118,7 +120,7 @@
 
     def count_error(self, name):
         """Return by how many requests a VM's view of all endpoints is wrong."""
-        view = self.vm_by_name[name].load
+        view = self.vm_by_name[name].running_requests
         return sum(
             abs(view.of_endpoint(item.id) - self.running_by_endpoint[item.id])
             for item in ENDPOINTS
@@ -173,7 +175,7 @@
     fleet.run(1)
     failed = fleet.collectors[3]
     fleet.wire.down.add(failed)
-    lost_requests = fleet.vm_by_name[failed].load.running.by_endpoint
+    lost_requests = fleet.vm_by_name[failed].running_requests.running.by_endpoint
     fleet.running_by_endpoint -= lost_requests
     fleet.run(collectors.TOTALS_TIMEOUT_S + heartbeat.STALE_S + 1.0)
     living = set(fleet.names) - {failed}
@@ -202,7 +204,7 @@
     name = next(vm for vm in fleet.names if vm not in fleet.collectors)
     for _ in range(3):
         fleet.begin(name, ENDPOINTS[0])
-    assert fleet.vm_by_name[name].load.of_endpoint("i-0") == 3
+    assert fleet.vm_by_name[name].running_requests.of_endpoint("i-0") == 3
 
 
 def set_members(view, near):
@@ -227,7 +229,7 @@
     fleet.clock = Clock(monkeypatch)
     set_members(view, all_near)
     fleet.run(1)
-    assert fleet.vm_by_name[name].load.totals is not None
+    assert fleet.vm_by_name[name].running_requests.totals is not None
     assert fleet.vm_by_name[name].heartbeats.fresh()[fleet.holder].fence == 3
 
 
--- a/packages/mothworks_gateway/tests/test_ordering.py
+++ b/packages/mothworks_gateway/tests/test_ordering.py
@@ -11,10 +11,10 @@
     demand,
     discovery,
     lease,
-    load,
     ordering,
     registry,
     residency,
+    running_requests,
     site_orders,
     sites,
 )
@@ -59,7 +59,7 @@
         parts = {
             discovery.Discovery: types.SimpleNamespace(registry=registry.Registry()),
             lease.Lease: lease_stub,
-            load.Load: scheduling_builders.Load(),
+            running_requests.RunningRequests: scheduling_builders.RunningRequests(),
             demand.Demand: None,
             site_orders.SiteOrders: self.orders,
             residency.Residency: types.SimpleNamespace(on_not_held=[]),
--- a/packages/mothworks_gateway/tests/test_load.py
+++ b/packages/mothworks_gateway/tests/test_running_requests.py
@@ -1,9 +1,9 @@
-"""Load: this VM's requests count at once, those of peers with their next heartbeat."""
+"""Running requests: own ones count at once, those of peers with their heartbeat."""
 
 import pytest
 
 import gateway_builders
-from mothworks_gateway import asked, heartbeat, load
+from mothworks_gateway import asked, heartbeat, running_requests
 
 
 class Heartbeats(gateway_builders.Heartbeats):
@@ -24,15 +24,17 @@
 
 @pytest.fixture
 def part():
-    part = load.Load(gateway_builders.Kernel({heartbeat.Heartbeats: Heartbeats()}))
+    part = running_requests.RunningRequests(
+        gateway_builders.Kernel({heartbeat.Heartbeats: Heartbeats()})
+    )
     rows = (("i-1", "m", "", 2), ("i-1", "m", "a", 3), ("i-2", "m", "a", 5))
     part.heartbeats.receive("vm-2", *rows)
     return part
 
 
 def test_counts_cover_own_requests_and_peers(part):
-    part.begin(gateway_builders.endpoint("i-1"), asked.Target("s", "m", "a"))
-    part.begin(gateway_builders.endpoint("i-1"), asked.Target("s", "n"))
+    part.request_started(gateway_builders.endpoint("i-1"), asked.Target("s", "m", "a"))
+    part.request_started(gateway_builders.endpoint("i-1"), asked.Target("s", "n"))
     assert part.of_endpoint("i-1") == 7
     assert part.of_model("i-1", "m") == 6
     assert part.of_model("i-1", "n") == 1
@@ -43,11 +45,11 @@
 
 def test_own_requests_that_ended_are_not_counted(part):
     endpoint, target = gateway_builders.endpoint("i-9"), asked.Target("s", "m", "a")
-    part.begin(endpoint, target)
-    part.begin(endpoint, target)
-    part.end(endpoint, target)
+    part.request_started(endpoint, target)
+    part.request_started(endpoint, target)
+    part.request_ended(endpoint, target)
     assert part.of_adapter("i-9", "m", "a") == 1
-    part.end(endpoint, target)
+    part.request_ended(endpoint, target)
     assert part.of_endpoint("i-9") == part.of_model("i-9", "m") == 0
     (heartbeat_fields,) = part.heartbeats.on_heartbeat
     assert heartbeat_fields()["running"] == ()
@@ -56,7 +58,7 @@
 def test_a_heartbeat_lists_this_vms_running_requests(part):
     endpoint = gateway_builders.endpoint("i-1")
     for adapter in ("", "a", "a"):
-        part.begin(endpoint, asked.Target("s", "m", adapter))
+        part.request_started(endpoint, asked.Target("s", "m", adapter))
     (heartbeat_fields,) = part.heartbeats.on_heartbeat
     assert set(heartbeat_fields()["running"]) == {
         ("i-1", "m", "", 1),
@@ -65,7 +67,7 @@
 
 
 def test_this_vms_own_heartbeat_is_not_counted_twice(part):
-    part.begin(gateway_builders.endpoint("i-1"), asked.Target("s", "n"))
+    part.request_started(gateway_builders.endpoint("i-1"), asked.Target("s", "n"))
     part.heartbeats.receive(part.kernel.settings.name, ("i-1", "n", "", 1))
     assert part.of_model("i-1", "n") == 1
 
@@ -88,6 +90,6 @@
     # Otherwise its adapter appeared unused, was evicted for another one, and had to be
     # reloaded before the request could be sent.
     endpoint, target = gateway_builders.endpoint("i-9"), asked.Target("s", "m", "a")
-    with part.counted(endpoint, target):
+    with part.count_as_running(endpoint, target):
         assert part.of_adapter("i-9", "m", "a") == 1
     assert part.of_adapter("i-9", "m", "a") == 0
