--- a/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
@@ -12,7 +12,7 @@
 import result
 
 from mothworks import calls, endpoints, transport
-from mothworks_gateway import asked, client_accounts, declared, registry
+from mothworks_gateway import caller_request, client_accounts, declared, registry
 
 #: Kinds of plug-ins, in addition to those of :mod:`mothworks.plugins`.
 FEEDS = "feeds"
@@ -128,7 +128,7 @@
         body: bytes,
         version: int,
         account: client_accounts.ClientAccount | None = None,
-    ) -> result.Result[asked.Asked, str]:
+    ) -> result.Result[caller_request.CallerRequest, str]:
         """Decode a request.
 
         :param call: the call.
@@ -260,7 +260,7 @@
     def send(
         self,
         endpoint: registry.Endpoint,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         left_s: float,
         deadline: float,
         after_event: str = "",
@@ -276,7 +276,9 @@
         """
         raise NotImplementedError
 
-    def judge(self, request: asked.Asked, answer: transport.HttpAnswer) -> Verdict:
+    def judge(
+        self, request: caller_request.CallerRequest, answer: transport.HttpAnswer
+    ) -> Verdict:
         """Classify a response by its head.
 
         :param request: the request that was sent.
--- a/packages/mothworks_gateway/src/mothworks_gateway/admission.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/admission.py
@@ -12,7 +12,7 @@
 
 from mothworks import kernel, logs, outcomes
 from mothworks_gateway import (
-    asked,
+    caller_request,
     client_accounts,
     credit,
     declarations,
@@ -81,7 +81,7 @@
         return self._identify_unknown(key)
 
     def admit(
-        self, request: asked.Asked
+        self, request: caller_request.CallerRequest
     ) -> result.Result[credit.Grant | None, outcomes.Refusal]:
         """Acquire the credit of a request; None if its account has no usage cap.
 
@@ -152,7 +152,10 @@
             self._refresh_done = None
 
     def _log_refused(
-        self, request: asked.Asked, units: float, refusal: outcomes.Refusal
+        self,
+        request: caller_request.CallerRequest,
+        units: float,
+        refusal: outcomes.Refusal,
     ) -> None:
         logs.event(
             log,
--- a/packages/mothworks_gateway/src/mothworks_gateway/answering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/answering.py
@@ -7,7 +7,7 @@
 import result
 
 from mothworks import connections, logs, transport
-from mothworks_gateway import adapters, asked, registry, server_sent_events
+from mothworks_gateway import adapters, caller_request, registry, server_sent_events
 
 log = logbook.Logger("answering")
 
@@ -30,7 +30,7 @@
     def __init__(
         self,
         attempts,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         answer: transport.HttpAnswer,
     ):
@@ -79,7 +79,7 @@
             endpoint=self.endpoint.id,
             bytes=self.relayed_bytes,
             longest_gap_ms=round(self.longest_gap_s * 1000),
-            took_ms=round((time.monotonic() - self.request.arrived) * 1000),
+            took_ms=round((time.monotonic() - self.request.received_at) * 1000),
             outcome=self.outcome,
         )
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -16,7 +16,7 @@
 from mothworks_gateway import (
     adapters,
     answering,
-    asked,
+    caller_request,
     endpoint_limits,
     endpoint_selection,
     endpoints_client,
@@ -87,7 +87,7 @@
 
     def send_once(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         progress: RequestProgress,
     ) -> calls.Reply | None:
@@ -128,7 +128,7 @@
 
     def _send(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         progress: RequestProgress,
         started_at: float,
@@ -161,7 +161,7 @@
 
     def update_limit(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         answer: transport.HttpAnswer,
         verdict: adapters.Verdict,
@@ -181,7 +181,7 @@
 
     def _read(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         progress: RequestProgress,
         answer: transport.HttpAnswer,
@@ -212,13 +212,15 @@
         return self._reply(request, answer, [whole_body.ok_value])
 
     def _reply(
-        self, request: asked.Asked, answer: transport.HttpAnswer, body
+        self, request: caller_request.CallerRequest, answer: transport.HttpAnswer, body
     ) -> calls.Reply:
         labels = {"service": request.target.service}
-        self.head_seconds.observe(labels, time.monotonic() - request.arrived)
+        self.head_seconds.observe(labels, time.monotonic() - request.received_at)
         return calls.Reply(answer.status, answer.headers, body)
 
-    def _may_hedge(self, request: asked.Asked, progress: RequestProgress) -> bool:
+    def _may_hedge(
+        self, request: caller_request.CallerRequest, progress: RequestProgress
+    ) -> bool:
         """Return whether a slow attempt may be abandoned for another endpoint."""
         return (
             request.route.repeatable
@@ -229,7 +231,7 @@
 
     def _handle_send_failure(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         progress: RequestProgress,
         failure: endpoints.SendFailure,
@@ -244,7 +246,7 @@
 
     def _handle_broken_answer(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         progress: RequestProgress,
         reason: str,
@@ -257,7 +259,7 @@
 
     def _handle_verdict(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         progress: RequestProgress,
         verdict: adapters.Verdict,
--- a/packages/mothworks_gateway/src/mothworks_gateway/asked.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/caller_request.py
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen
-class Asked:
+class CallerRequest:
     """A caller's request.
 
     :param id: the caller's id of this attempt.
@@ -49,7 +49,7 @@
     :param host: the requested host, as received.
     :param headers: the headers to forward.
     :param body: the body, which is forwarded unchanged.
-    :param arrived: monotonic time of arrival, seconds.
+    :param received_at: monotonic time of arrival, seconds.
     :param deadline: monotonic time by which the caller needs a final answer.
     :param declaration_version: version of the declaration with the matching route.
     :param prompt: the parts of its prompt, in order.
@@ -66,7 +66,7 @@
     host: str
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    arrived: float
+    received_at: float
     deadline: float
     declaration_version: int
     prompt: tuple[PromptPart, ...] = ()
@@ -82,7 +82,7 @@
         return self.account.urgency
 
     @property
-    def own_tokens(self) -> int:
+    def unshared_tokens(self) -> int:
         """Return the prompt tokens that are probably in no endpoint's prefix cache.
 
         These are the last part's, since other requests share all other parts.
--- a/packages/mothworks_gateway/src/mothworks_gateway/demand.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/demand.py
@@ -8,7 +8,7 @@
 import attrs
 
 from mothworks import kernel
-from mothworks_gateway import asked, heartbeat, residency
+from mothworks_gateway import caller_request, heartbeat, residency
 
 #: Time after which a VM's report of waiting callers expires, seconds.
 REPORT_TTL_S = 0.6
@@ -40,7 +40,7 @@
     :param left_s: seconds until the first of them misses its latency objective.
     """
 
-    target: asked.Target
+    target: caller_request.Target
     count: int
     urgency: int
     left_s: float
@@ -58,13 +58,13 @@
 
     def __init__(self, half_life_s: float):
         self.half_life_s = half_life_s
-        self.weighted_by_target: dict[asked.Target, float] = {}
+        self.weighted_by_target: dict[caller_request.Target, float] = {}
         #: The weighted sum over all models; requests for adapters count once, as their
         #: model's.
         self.weighted_total = 0.0
         self.weight_set_at = time.monotonic()
 
-    def add(self, target: asked.Target, count: float) -> None:
+    def add(self, target: caller_request.Target, count: float) -> None:
         weighted_count = count * LN_2 / self.half_life_s * self._weight()
         weighted_by_target = self.weighted_by_target
         weighted_by_target[target] = (
@@ -73,7 +73,7 @@
         if not target.adapter:
             self.weighted_total += weighted_count
 
-    def rate(self, target: asked.Target) -> float:
+    def rate(self, target: caller_request.Target) -> float:
         weight = self._weight()
         return self.weighted_by_target.get(target, 0.0) / weight
 
@@ -81,11 +81,11 @@
         weight = self._weight()
         return self.weighted_total / weight
 
-    def targets(self) -> list[asked.Target]:
+    def targets(self) -> list[caller_request.Target]:
         """Return the targets with recent events."""
         return self._above(MIN_RATE_PER_S * self._weight())
 
-    def _above(self, minimum: float) -> list[asked.Target]:
+    def _above(self, minimum: float) -> list[caller_request.Target]:
         return [
             target
             for target, value in self.weighted_by_target.items()
@@ -120,11 +120,11 @@
         self.steady = _DecayingRate(HALF_LIFE_S)
         self.recent = _DecayingRate(RECENT_HALF_LIFE_S)
 
-    def add(self, target: asked.Target, count: float) -> None:
+    def add(self, target: caller_request.Target, count: float) -> None:
         self.steady.add(target, count)
         self.recent.add(target, count)
 
-    def rate(self, target: asked.Target) -> float:
+    def rate(self, target: caller_request.Target) -> float:
         return max(self.steady.rate(target), self.recent.rate(target))
 
 
@@ -140,19 +140,19 @@
         self.prompt_tokens = _DemandRate()
         self.late = _DecayingRate(LATE_HALF_LIFE_S)
         self.report_by_source: dict[
-            tuple[str, asked.Target], tuple[float, residency.WaitingCallers]
+            tuple[str, caller_request.Target], tuple[float, residency.WaitingCallers]
         ] = {}
         node_kernel.get(residency.Residency).on_waiting.append(self._on_waiting)
         node_kernel.get(heartbeat.Heartbeats).on_received.append(self._on_heartbeat)
 
-    def rate(self, target: asked.Target) -> float:
+    def rate(self, target: caller_request.Target) -> float:
         """Return the requests per second for a model or adapter.
 
         :param target: the model or adapter.
         """
         return self.requests.rate(target)
 
-    def prompt_tokens_per_s(self, target: asked.Target) -> float:
+    def prompt_tokens_per_s(self, target: caller_request.Target) -> float:
         """Return the prompt tokens per second to prefill for a model.
 
         :param target: the model.
@@ -163,7 +163,7 @@
         """Return the requests per second for all models."""
         return self.requests.steady.total()
 
-    def models(self) -> list[asked.Target]:
+    def models(self) -> list[caller_request.Target]:
         """Return the recently requested models."""
         targets = self.requests.steady.targets()
         return [item for item in targets if not item.adapter]
@@ -171,7 +171,7 @@
     def unmet(self) -> list[UnmetDemand]:
         """Return what callers wait for now, the most urgent first."""
         expired_before = time.monotonic() - REPORT_TTL_S
-        unmet_by_target: dict[asked.Target, UnmetDemand] = {}
+        unmet_by_target: dict[caller_request.Target, UnmetDemand] = {}
         for source, (received_at, report) in list(self.report_by_source.items()):
             if received_at < expired_before:
                 del self.report_by_source[source]
@@ -192,12 +192,12 @@
 
     def _on_heartbeat(self, _: str, message: heartbeat.Heartbeat) -> None:
         for service, model, adapter, count, tokens in message.arrived:
-            target = asked.Target(service, model, adapter)
+            target = caller_request.Target(service, model, adapter)
             for item in {target, target.base}:
                 self.requests.add(item, count)
             self.prompt_tokens.add(target.base, tokens)
         for service, model, count in message.late:
-            self.late.add(asked.Target(service, model), count)
+            self.late.add(caller_request.Target(service, model), count)
 
 
 def _merged(unmet: UnmetDemand, other: UnmetDemand) -> UnmetDemand:
--- a/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
@@ -13,8 +13,8 @@
 
 from mothworks import calls, kernel, logs, outcomes
 from mothworks_gateway import (
-    asked,
     attempts,
+    caller_request,
     endpoint_selection,
     poison,
     registry,
@@ -70,7 +70,9 @@
             "requests_total", "Requests by service and outcome."
         )
 
-    def run(self, request: asked.Asked) -> result.Result[calls.Reply, outcomes.Refusal]:
+    def run(
+        self, request: caller_request.CallerRequest
+    ) -> result.Result[calls.Reply, outcomes.Refusal]:
         """Run a request, and return its answer as soon as it begins.
 
         :param request: the request.
@@ -105,7 +107,7 @@
                 return self._give_up(request, progress)
 
     def _find_endpoint(
-        self, request: asked.Asked, progress: attempts.RequestProgress
+        self, request: caller_request.CallerRequest, progress: attempts.RequestProgress
     ) -> result.Result[send_slots.SendSlot, outcomes.Refusal]:
         """Find an endpoint and a send slot, waiting for the model if needed."""
         endpoint_wait_until = (
@@ -135,7 +137,7 @@
 
     def _acquire_slot(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         progress: attempts.RequestProgress,
         eligible: list[registry.Endpoint],
     ) -> result.Result[send_slots.SendSlot, outcomes.Refusal]:
@@ -153,7 +155,10 @@
                 return granted
 
     def _wait_for_endpoints(
-        self, request: asked.Asked, progress: attempts.RequestProgress, seconds: float
+        self,
+        request: caller_request.CallerRequest,
+        progress: attempts.RequestProgress,
+        seconds: float,
     ) -> result.Err[outcomes.Refusal] | None:
         """Wait for a change of the endpoints; returns a refusal when time is up."""
         if seconds <= 0:
@@ -164,7 +169,7 @@
 
     def _wait_for_model(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         progress: attempts.RequestProgress,
         candidates: endpoint_selection.Candidates,
         now: float,
@@ -186,7 +191,9 @@
         return None
 
     def _ready_in_s(
-        self, request: asked.Asked, candidates: endpoint_selection.Candidates
+        self,
+        request: caller_request.CallerRequest,
+        candidates: endpoint_selection.Candidates,
     ) -> float | None:
         """Return the seconds until a model without any endpoint is loaded, if known."""
         target = request.target
@@ -197,7 +204,7 @@
 
     def _eligible(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         progress: attempts.RequestProgress,
         ready: tuple[registry.Endpoint, ...],
     ) -> list[registry.Endpoint]:
@@ -210,14 +217,14 @@
             return []
         return [item for item in ready if item.id in progress.tried]
 
-    def _caller_reachable_until(self, request: asked.Asked) -> float:
+    def _caller_reachable_until(self, request: caller_request.CallerRequest) -> float:
         """Return the monotonic time by which an answer has to begin."""
         timeout_s = request.route.caller_timeout_s * CALLER_TIMEOUT_SHARE
-        latest = min(request.deadline, request.arrived + timeout_s)
+        latest = min(request.deadline, request.received_at + timeout_s)
         return min(latest, self.kernel.drain_deadline - DRAIN_MARGIN_S)
 
-    def _wait_until(self, request: asked.Asked) -> float:
-        available_s = self._caller_reachable_until(request) - request.arrived
+    def _wait_until(self, request: caller_request.CallerRequest) -> float:
+        available_s = self._caller_reachable_until(request) - request.received_at
         objective_wait_s = MIN_WAIT_OBJECTIVES * request.route.objective_s
         wait_s = min(
             MAX_WAIT_SHARE * available_s,
@@ -225,11 +232,11 @@
         )
         # A draining VM must reply before it stops.
         return min(
-            request.arrived + wait_s, self.kernel.drain_deadline - DRAIN_MARGIN_S
+            request.received_at + wait_s, self.kernel.drain_deadline - DRAIN_MARGIN_S
         )
 
     def _may_retry(
-        self, request: asked.Asked, progress: attempts.RequestProgress
+        self, request: caller_request.CallerRequest, progress: attempts.RequestProgress
     ) -> bool:
         if progress.may_have_run and not request.route.repeatable:
             return False
@@ -238,7 +245,7 @@
         return self.retry_budget.try_spend(request.target.service)
 
     def _give_up(
-        self, request: asked.Asked, progress: attempts.RequestProgress
+        self, request: caller_request.CallerRequest, progress: attempts.RequestProgress
     ) -> result.Err[outcomes.Refusal]:
         if not progress.may_have_run:
             return self._refuse(request, progress, 503, BUSY_RETRY_S)
@@ -247,7 +254,7 @@
 
     def _refuse(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         progress: attempts.RequestProgress,
         status: int,
         retry_after: float | None,
@@ -271,16 +278,16 @@
             adapter=request.target.adapter,
             sends=progress.sends,
             may_have_run=progress.may_have_run,
-            held_ms=round((time.monotonic() - request.arrived) * 1000),
+            held_ms=round((time.monotonic() - request.received_at) * 1000),
             reason=progress.reason,
             outcome=status,
         )
         return result.Err(refusal)
 
-    def _count(self, request: asked.Asked, outcome: str) -> None:
+    def _count(self, request: caller_request.CallerRequest, outcome: str) -> None:
         labels = {"service": request.target.service, "outcome": outcome}
         self.requests_total.inc(labels)
 
 
-def _accepts(endpoint: registry.Endpoint, target: asked.Target) -> bool:
+def _accepts(endpoint: registry.Endpoint, target: caller_request.Target) -> bool:
     return endpoint.open and endpoint.holds(target.model, target.adapter)
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_selection.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_selection.py
@@ -14,7 +14,7 @@
 
 from mothworks import kernel, ownership
 from mothworks_gateway import (
-    asked,
+    caller_request,
     declared,
     discovery,
     health,
@@ -68,7 +68,7 @@
         weights = [share.weight for share in route.shares]
         return random.choices(route.shares, weights)[0].service
 
-    def candidates(self, request: asked.Asked) -> Candidates:
+    def candidates(self, request: caller_request.CallerRequest) -> Candidates:
         """Return the endpoints that could run a request, best first.
 
         :param request: the request.
@@ -82,7 +82,7 @@
         return Candidates(tuple(self._order(ready, request)), tuple(endpoints))
 
     def _order(
-        self, ready: list[registry.Endpoint], request: asked.Asked
+        self, ready: list[registry.Endpoint], request: caller_request.CallerRequest
     ) -> list[registry.Endpoint]:
         if len(ready) < 2:
             return ready
@@ -108,7 +108,7 @@
         return occupancy if is_local else occupancy + _margin(endpoint)
 
     def _preferred(
-        self, ready: list[registry.Endpoint], request: asked.Asked
+        self, ready: list[registry.Endpoint], request: caller_request.CallerRequest
     ) -> registry.Endpoint:
         """Return the endpoint to which rendezvous hashing maps a request's prompt."""
         # The last part belongs to this request or its session, so it is left out.
--- a/packages/mothworks_gateway/src/mothworks_gateway/front.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/front.py
@@ -27,7 +27,7 @@
 from mothworks_gateway import (
     adapters,
     admission,
-    asked,
+    caller_request,
     declarations,
     declared,
     discovery,
@@ -183,7 +183,9 @@
             case result.Err(refusal):
                 return self._log_and_refuse(call, refusal)
 
-    def _parse(self, call: calls.Call) -> result.Result[asked.Asked, outcomes.Refusal]:
+    def _parse(
+        self, call: calls.Call
+    ) -> result.Result[caller_request.CallerRequest, outcomes.Refusal]:
         """Parse the request of a call after authenticating its caller."""
         version = self.declarations.version
         match self._route(call):
@@ -234,7 +236,9 @@
         if int(call.environ.get("CONTENT_LENGTH") or 0) <= MAX_DISCARDED_BODY_BYTES:
             call.body()
 
-    def _run(self, call: calls.Call, request: asked.Asked) -> calls.Reply:
+    def _run(
+        self, call: calls.Call, request: caller_request.CallerRequest
+    ) -> calls.Reply:
         match self.admission.admit(request):
             case result.Ok(grant):
                 pass
--- a/packages/mothworks_gateway/src/mothworks_gateway/offers.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/offers.py
@@ -10,7 +10,7 @@
 
 from mothworks import kernel
 from mothworks_gateway import (
-    asked,
+    caller_request,
     declared,
     demand,
     endpoint_limits,
@@ -118,12 +118,14 @@
         self.demand = node_kernel.get(demand.Demand)
         self.reading = node_kernel.get(reading.Reading)
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
-        self.holders_by_target: dict[asked.Target, list[sites.EndpointState]] = {}
+        self.holders_by_target: dict[
+            caller_request.Target, list[sites.EndpointState]
+        ] = {}
         #: Endpoints that hold, load or will load a model, by service and model.
         self.involved_by_service: dict[str, dict[str, list[sites.EndpointState]]] = {}
         self.unmet_models_by_service: dict[str, set[str]] = {}
 
-    def endpoints_needed(self, target: asked.Target) -> float:
+    def endpoints_needed(self, target: caller_request.Target) -> float:
         """Return the number of endpoints that a model's prompts keep busy.
 
         :param target: the model.
@@ -144,7 +146,7 @@
             return 1.0
         return min(1.0, per_s * REQUEST_DURATION_S / state.accelerator.batch)
 
-    def replica_value(self, target: asked.Target, replicas: float) -> float:
+    def replica_value(self, target: caller_request.Target, replicas: float) -> float:
         """Return how many requests a model's last replica serves in time.
 
         :param target: the model.
@@ -154,7 +156,7 @@
         share = min(1.0, replicas / needed) - min(1.0, (replicas - 1) / needed)
         return self.demand.rate(target) * share * HORIZON_S
 
-    def holders(self, target: asked.Target) -> list[sites.EndpointState]:
+    def holders(self, target: caller_request.Target) -> list[sites.EndpointState]:
         """Return the open endpoints that hold, or will hold, a model or adapter.
 
         The result is cached until :meth:`clear_caches`: computing the eviction costs of
@@ -181,7 +183,7 @@
         self.involved_by_service.clear()
         self.unmet_models_by_service.clear()
 
-    def _involved(self, target: asked.Target) -> list[sites.EndpointState]:
+    def _involved(self, target: caller_request.Target) -> list[sites.EndpointState]:
         """Return the endpoints that hold a model, load it, or will load it."""
         by_model = self.involved_by_service.get(target.service)
         if by_model is None:
@@ -202,7 +204,9 @@
             self.running_requests.of_model(state.endpoint.id, model) for state in states
         )
 
-    def unavailability_cost(self, target: asked.Target, model: declared.Model) -> float:
+    def unavailability_cost(
+        self, target: caller_request.Target, model: declared.Model
+    ) -> float:
         """Return the cost of a model that no endpoint holds, in requests.
 
         :param target: the model.
@@ -305,7 +309,7 @@
         :param state: the endpoint's state.
         :param name: a model that it holds.
         """
-        target = asked.Target(state.endpoint.entry.service, name)
+        target = caller_request.Target(state.endpoint.entry.service, name)
         others = [item for item in self.holders(target) if item is not state]
         demand_observed = self.demand.total() > OBSERVED_DEMAND_PER_S
         min_rate = MIN_RATE_PER_S * (1 if demand_observed else (1 + len(others)) ** 2)
@@ -344,7 +348,7 @@
                 return True
             case Evictable.UNUSED:
                 return not self.running(name, [state])
-        target = asked.Target(state.endpoint.entry.service, name)
+        target = caller_request.Target(state.endpoint.entry.service, name)
         others = [item for item in self.holders(target) if item is not state]
         return len(others) >= MIN_OTHER_HOLDERS and not self.running(name, [state])
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
@@ -13,7 +13,7 @@
 
 from mothworks import kernel, logs
 from mothworks_gateway import (
-    asked,
+    caller_request,
     declared,
     demand,
     discovery,
@@ -273,7 +273,7 @@
         """Return the idle adapter with the fewest requests, or None."""
 
         def eviction_key(key: tuple[str, str]) -> tuple[float, float]:
-            target = asked.Target(state.endpoint.entry.service, *key)
+            target = caller_request.Target(state.endpoint.entry.service, *key)
             return self.demand.rate(target), state.loaded_at_by_adapter.get(key, 0.0)
 
         return min(self._idle_adapters(state), key=eviction_key, default=None)
--- a/packages/mothworks_gateway/src/mothworks_gateway/poison.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/poison.py
@@ -13,7 +13,7 @@
 import logbook
 
 from mothworks import kernel, logs, messages, peers
-from mothworks_gateway import asked, registry
+from mothworks_gateway import caller_request, registry
 
 log = logbook.Logger("poison")
 
@@ -31,7 +31,7 @@
 class Broke:
     """Reports that an endpoint crashed while it ran a request.
 
-    :param fingerprint: see :meth:`asked.Asked.fingerprint`.
+    :param fingerprint: see :meth:`caller_request.CallerRequest.fingerprint`.
     :param endpoint: the endpoint's id.
     """
 
@@ -65,7 +65,7 @@
         )
         self.peers.handle(Broke, self._on_crash_report)
 
-    def is_blocked(self, request: asked.Asked) -> bool:
+    def is_blocked(self, request: caller_request.CallerRequest) -> bool:
         """Return whether a request has to be refused.
 
         :param request: the request.
@@ -77,7 +77,9 @@
             return False
         return len(history.endpoints) >= CRASHES_TO_BLOCK
 
-    def record_crash(self, request: asked.Asked, endpoint: registry.Endpoint) -> None:
+    def record_crash(
+        self, request: caller_request.CallerRequest, endpoint: registry.Endpoint
+    ) -> None:
         """Record and publish that an endpoint crashed while it ran a request.
 
         :param request: the request.
@@ -97,7 +99,7 @@
                 outcome="refused" if self.is_blocked(request) else "noted",
             )
 
-    def clear(self, request: asked.Asked) -> None:
+    def clear(self, request: caller_request.CallerRequest) -> None:
         """Clear the crashes of a request that has completed.
 
         :param request: the request.
--- a/packages/mothworks_gateway/src/mothworks_gateway/reading.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/reading.py
@@ -14,7 +14,7 @@
 import logbook
 
 from mothworks import kernel, logs
-from mothworks_gateway import asked
+from mothworks_gateway import caller_request
 
 log = logbook.Logger("reading")
 
@@ -73,17 +73,17 @@
         """
         return self.speed_by_service.get(service, default)
 
-    def note(self, request: asked.Asked, seconds: float) -> None:
+    def note(self, request: caller_request.CallerRequest, seconds: float) -> None:
         """Add a sample from a response that began.
 
         :param request: the request.
         :param seconds: time from sending it until then.
         """
-        if request.own_tokens <= 0:
+        if request.unshared_tokens <= 0:
             return
         service = request.target.service
         samples = self.samples_by_service[service]
-        samples.append(_Sample(request.own_tokens, seconds))
+        samples.append(_Sample(request.unshared_tokens, seconds))
         self.new_samples_by_service[service] += 1
         enough = len(samples) >= MIN_SAMPLES
         if enough and self.new_samples_by_service[service] >= SAMPLES_PER_ESTIMATE:
--- a/packages/mothworks_gateway/src/mothworks_gateway/residency.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/residency.py
@@ -15,7 +15,14 @@
 import logbook
 
 from mothworks import kernel, logs, messages, peers
-from mothworks_gateway import asked, broadcast, discovery, heartbeat, lease, registry
+from mothworks_gateway import (
+    broadcast,
+    caller_request,
+    discovery,
+    heartbeat,
+    lease,
+    registry,
+)
 
 log = logbook.Logger("residency")
 
@@ -48,9 +55,9 @@
     left_s: float
 
     @property
-    def target(self) -> asked.Target:
+    def target(self) -> caller_request.Target:
         """Return the model or adapter that they wait for."""
-        return asked.Target(self.service, self.model, self.adapter)
+        return caller_request.Target(self.service, self.model, self.adapter)
 
 
 @messages.message(115)
@@ -119,7 +126,7 @@
         self.registry = node_kernel.get(discovery.Discovery).registry
         self.lease = node_kernel.get(lease.Lease)
         self.heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        self.waiters_by_target: dict[asked.Target, _Waiters] = {}
+        self.waiters_by_target: dict[caller_request.Target, _Waiters] = {}
         #: Set while callers of this VM wait.
         self.has_waiters = gevent.event.Event()
         self.version_by_endpoint: dict[str, tuple[int, int]] = {}
@@ -148,7 +155,7 @@
         """Start to report this VM's waiting callers periodically."""
         self.tasks.spawn(self._report_periodically)
 
-    def wait(self, request: asked.Asked, seconds: float) -> None:
+    def wait(self, request: caller_request.CallerRequest, seconds: float) -> None:
         """Block until something changes that may let a request run.
 
         :param request: the request.
@@ -157,7 +164,7 @@
         waiters = self.waiters_by_target.setdefault(request.target, _Waiters())
         waiters.count += 1
         waiters.urgency = min(waiters.urgency, request.urgency)
-        objective_at = request.arrived + request.route.objective_s
+        objective_at = request.received_at + request.route.objective_s
         waiters.objective_at = min(waiters.objective_at, objective_at)
         if waiters.count == 1:
             self._report(request.target, waiters)
@@ -169,7 +176,7 @@
             if not waiters.count:
                 self.waiters_by_target.pop(request.target, None)
 
-    def ready_in_s(self, target: asked.Target) -> float | None:
+    def ready_in_s(self, target: caller_request.Target) -> float | None:
         """Return the seconds until an endpoint has loaded a model; None if unknown.
 
         :param target: the model; its adapters then load at once.
@@ -185,7 +192,9 @@
         ]
         return min(times) - now if times else None
 
-    def missed(self, endpoint: registry.Endpoint, target: asked.Target) -> None:
+    def missed(
+        self, endpoint: registry.Endpoint, target: caller_request.Target
+    ) -> None:
         """Record that an endpoint refused a request for a model that it does not hold.
 
         :param endpoint: the endpoint.
@@ -232,7 +241,7 @@
             if not self.waiters_by_target:
                 self.has_waiters.clear()
 
-    def _report(self, target: asked.Target, waiters: _Waiters) -> None:
+    def _report(self, target: caller_request.Target, waiters: _Waiters) -> None:
         left_s = waiters.objective_at - time.monotonic()
         message = WaitingCallers(
             target.service,
@@ -307,6 +316,6 @@
             waiters.wake()
 
 
-def _can_run(endpoint: registry.Endpoint, target: asked.Target) -> bool:
+def _can_run(endpoint: registry.Endpoint, target: caller_request.Target) -> bool:
     same = endpoint.entry.service == target.service
     return same and endpoint.holds(target.model, target.adapter)
--- a/packages/mothworks_gateway/src/mothworks_gateway/running_requests.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/running_requests.py
@@ -12,7 +12,7 @@
 import attrs
 
 from mothworks import kernel
-from mothworks_gateway import asked, heartbeat, registry
+from mothworks_gateway import caller_request, heartbeat, registry
 
 #: Seconds between checks for peers without a heartbeat for too long (2 s).
 EXPIRY_INTERVAL_S = 0.5
@@ -71,12 +71,12 @@
         self.heartbeats.on_heartbeat.append(self._heartbeat_fields)
         self.heartbeats.on_received.append(self._on_heartbeat)
         self.running = _RunningCounts()
-        self.arrived: collections.defaultdict[asked.Target, float] = (
+        self.arrived: collections.defaultdict[caller_request.Target, float] = (
             collections.defaultdict(float)
         )
-        self.tokens: collections.Counter[asked.Target] = collections.Counter()
+        self.tokens: collections.Counter[caller_request.Target] = collections.Counter()
         #: Late responses since the last heartbeat, by target.
-        self.late: collections.Counter[asked.Target] = collections.Counter()
+        self.late: collections.Counter[caller_request.Target] = collections.Counter()
         #: Running requests of the peers in `heartbeat_by_vm`.
         self.peer_counts = _RunningCounts()
         self.heartbeat_by_vm: dict[str, heartbeat.Heartbeat] = {}
@@ -86,7 +86,7 @@
         """Start to remove peers whose heartbeats have stopped."""
         self.tasks.every(EXPIRY_INTERVAL_S, self._expire)
 
-    def count_arrival(self, request: asked.Asked) -> None:
+    def count_arrival(self, request: caller_request.CallerRequest) -> None:
         """Count a request that arrived.
 
         A request that may wait for longer than it takes to reload its model counts
@@ -97,9 +97,9 @@
         self.arrived[request.target] += min(
             1.0, USUAL_RELOAD_S / request.route.objective_s
         )
-        self.tokens[request.target] += min(MAX_PROMPT_TOKENS, request.own_tokens)
+        self.tokens[request.target] += min(MAX_PROMPT_TOKENS, request.unshared_tokens)
 
-    def record_late(self, target: asked.Target) -> None:
+    def record_late(self, target: caller_request.Target) -> None:
         """Count a response whose endpoint was too slow for the latency objective.
 
         :param target: the request's target.
@@ -107,7 +107,7 @@
         self.late[target.base] += 1
 
     def request_started(
-        self, endpoint: registry.Endpoint, target: asked.Target
+        self, endpoint: registry.Endpoint, target: caller_request.Target
     ) -> None:
         """Count a request as running.
 
@@ -116,7 +116,9 @@
         """
         self.running.add(endpoint.id, target.model, target.adapter, 1)
 
-    def request_ended(self, endpoint: registry.Endpoint, target: asked.Target) -> None:
+    def request_ended(
+        self, endpoint: registry.Endpoint, target: caller_request.Target
+    ) -> None:
         """Count a request as ended.
 
         :param endpoint: the endpoint that it ran on.
@@ -126,7 +128,7 @@
 
     @contextlib.contextmanager
     def count_as_running(
-        self, endpoint: registry.Endpoint, target: asked.Target
+        self, endpoint: registry.Endpoint, target: caller_request.Target
     ) -> collections.abc.Iterator[None]:
         """Count a request as running while it waits to be sent.
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -17,7 +17,7 @@
 
 from mothworks import kernel, logs
 from mothworks_gateway import (
-    asked,
+    caller_request,
     declarations,
     declared,
     demand,
@@ -119,7 +119,7 @@
         self.site_orders = node_kernel.get(site_orders.SiteOrders)
         self.demand = node_kernel.get(demand.Demand)
         self.placement = node_kernel.get(offers.Placement)
-        self.spread_at_by_target: dict[asked.Target, float] = {}
+        self.spread_at_by_target: dict[caller_request.Target, float] = {}
         self.last_cover_at = 0.0
         self.woken = gevent.event.Event()
         node_kernel.get(residency.Residency).on_waiting.append(
@@ -223,7 +223,7 @@
 
     def _place_model(
         self,
-        target: asked.Target,
+        target: caller_request.Target,
         model: declared.Model,
         reason: str,
         cost_limit: float,
@@ -258,7 +258,7 @@
     def _spread(self, service: str, accelerator: declared.Accelerator) -> None:
         """Add an endpoint for each model whose endpoints are slow or nearly full."""
         for model in accelerator.model_by_name.values():
-            target = asked.Target(service, model.name)
+            target = caller_request.Target(service, model.name)
             if self.demand.rate(target) < SPREAD_MIN_RATE_PER_S:
                 continue
             self._spread_by_demand(target, model)
@@ -268,7 +268,9 @@
                 cost_limit = SPREAD_COST_LIMIT + SPREAD_COST_LIMIT_PER_LATE * late_per_s
                 self._place_model(target, model, SLOW, cost_limit, 1)
 
-    def _spread_by_demand(self, target: asked.Target, model: declared.Model) -> None:
+    def _spread_by_demand(
+        self, target: caller_request.Target, model: declared.Model
+    ) -> None:
         """Load a model on as many endpoints as its prompts need, all at once.
 
         When demand moves to a model, its prompts exceed what one endpoint can prefill
@@ -291,7 +293,7 @@
             replicas += 1
 
     def _needs_more(
-        self, target: asked.Target, accelerator: declared.Accelerator
+        self, target: caller_request.Target, accelerator: declared.Accelerator
     ) -> bool:
         """Return whether a model has too few endpoints for its callers."""
         since_last_s = time.monotonic() - self.spread_at_by_target.get(target, 0.0)
@@ -313,14 +315,14 @@
         """
         cost_by_model = {}
         for model in accelerator.model_by_name.values():
-            target = asked.Target(service, model.name)
+            target = caller_request.Target(service, model.name)
             if not self.placement.holders(target):
                 cost_by_model[model.name] = self.placement.unavailability_cost(
                     target, model
                 )
         for name in sorted(cost_by_model, key=cost_by_model.get, reverse=True):
             model = accelerator.model_by_name[name]
-            target = asked.Target(service, name)
+            target = caller_request.Target(service, name)
             spare_only = offers.Evictable.SPARE
             self._place_model(
                 target, model, NOT_HELD, cost_by_model[name], 0, spare_only
@@ -341,7 +343,7 @@
         for model in sorted(models, key=lambda item: copies_by_model[item.name]):
             faster_from_disk = model.disk_s < model.store_s
             if faster_from_disk and copies_by_model[model.name] < MIN_COPIES:
-                target = asked.Target(service, model.name)
+                target = caller_request.Target(service, model.name)
                 candidate = self._place_model(target, model, COPY, COPY_COST_LIMIT, 0)
                 if candidate is not None:
                     candidate.state.copied.add(model.name)
@@ -352,7 +354,7 @@
 
     def _log_decision(
         self,
-        target: asked.Target,
+        target: caller_request.Target,
         state: sites.EndpointState,
         reason: str,
         candidate: offers.Candidate | None = None,
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -18,7 +18,7 @@
 
 from mothworks import kernel, logs, messages, peers
 from mothworks_gateway import (
-    asked,
+    caller_request,
     client_accounts,
     declared,
     endpoint_limits,
@@ -206,7 +206,7 @@
 
     def acquire(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         ranked: list[registry.Endpoint],
         max_wait_s: float,
     ) -> result.Result[SendSlot, AtLimit]:
@@ -258,7 +258,10 @@
         return time.monotonic() < self.full_until_by_id.get(endpoint.id, 0.0)
 
     def _request_slot(
-        self, request: asked.Asked, endpoint: registry.Endpoint, ahead_s: float
+        self,
+        request: caller_request.CallerRequest,
+        endpoint: registry.Endpoint,
+        ahead_s: float,
     ) -> result.Result[SendSlot, AtLimit]:
         """Request a slot at one endpoint from the owner of its limit."""
         limit = self.limits.limit_by_id.get(endpoint.id)
@@ -291,7 +294,7 @@
 
     def _log_granted(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         per_s: float,
         owner: str,
--- a/packages/mothworks_gateway/src/mothworks_gateway/turns.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/turns.py
@@ -17,7 +17,7 @@
 import logbook
 
 from mothworks import kernel, logs, messages, peers
-from mothworks_gateway import asked, declared, owners, reading, registry
+from mothworks_gateway import caller_request, declared, owners, reading, registry
 
 log = logbook.Logger("turns")
 
@@ -139,7 +139,9 @@
         """Start to open missing connections to owners periodically."""
         self.tasks.every(CONNECT_INTERVAL_S, self._connect_to_owners)
 
-    def wait(self, request: asked.Asked, endpoint: registry.Endpoint) -> None:
+    def wait(
+        self, request: caller_request.CallerRequest, endpoint: registry.Endpoint
+    ) -> None:
         """Wait for a request's prefill slot at an endpoint.
 
         :param request: the request; one without a prompt does not wait.
@@ -147,7 +149,7 @@
         """
         if not request.input_tokens:
             return
-        tokens = min(request.own_tokens, MAX_TOKENS)
+        tokens = min(request.unshared_tokens, MAX_TOKENS)
         speed = self.reading.tokens_per_s(
             request.target.service, DEFAULT_SPEED_TOKENS_PER_S
         )
--- a/packages/mothworks_gateway/tests/gateway_builders.py
+++ b/packages/mothworks_gateway/tests/gateway_builders.py
@@ -3,7 +3,7 @@
 import collections
 
 from mothworks import metrics
-from mothworks_gateway import asked, declared, discovery, registry, settings
+from mothworks_gateway import caller_request, declared, discovery, registry, settings
 
 
 class Heartbeats:
@@ -81,18 +81,18 @@
     values = {
         "id": "q-1",
         "route": route,
-        "target": asked.Target("s"),
+        "target": caller_request.Target("s"),
         "method": "GET",
         "path": "/",
         "host": "h",
         "headers": (),
         "body": b"",
-        "arrived": 0.0,
+        "received_at": 0.0,
         "deadline": 10.0,
         "declaration_version": 1,
         **fields,
     }
-    return asked.Asked(**values)
+    return caller_request.CallerRequest(**values)
 
 
 class RunningRequests:
--- a/packages/mothworks_gateway/tests/limited_fleet.py
+++ b/packages/mothworks_gateway/tests/limited_fleet.py
@@ -15,7 +15,7 @@
 import virtual_time
 from mothworks import peers
 from mothworks_gateway import (
-    asked,
+    caller_request,
     declarations,
     discovery,
     endpoint_limits,
@@ -210,7 +210,9 @@
             case result.Err(at_limit):
                 self.refusals.append((self.now, at_limit))
 
-    def acquire(self, name: str, request: asked.Asked, ranked, max_wait_s):
+    def acquire(
+        self, name: str, request: caller_request.CallerRequest, ranked, max_wait_s
+    ):
         return self.vm_by_name[name].slots.acquire(request, ranked, max_wait_s)
 
     def send(self, name, slot, requested_at):
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -6,7 +6,7 @@
 
 import gateway_builders
 from mothworks_gateway import (
-    asked,
+    caller_request,
     declarations,
     declared,
     demand,
@@ -117,7 +117,7 @@
 
 def target(model):
     """Return the target of requests for a model."""
-    return asked.Target(SERVICE, model)
+    return caller_request.Target(SERVICE, model)
 
 
 def state_of(name, accelerator, models):
--- a/packages/mothworks_gateway/tests/test_demand.py
+++ b/packages/mothworks_gateway/tests/test_demand.py
@@ -5,9 +5,9 @@
 import pytest
 
 import gateway_builders
-from mothworks_gateway import asked, demand, heartbeat, residency
+from mothworks_gateway import caller_request, demand, heartbeat, residency
 
-TARGET = asked.Target("s", "m")
+TARGET = caller_request.Target("s", "m")
 
 
 class Clock:
@@ -109,7 +109,7 @@
     # Callers may send any model names, as many as they like.
     decaying = demand._DecayingRate(1.0)
     for number in range(1000):
-        decaying.add(asked.Target("s", f"made-up-{number}"), 1)
+        decaying.add(caller_request.Target("s", f"made-up-{number}"), 1)
     clock.now += 60.0
     decaying.add(TARGET, 1)
     assert list(decaying.weighted_by_target) == [TARGET]
@@ -119,7 +119,7 @@
 def test_adapters_do_not_count_twice_in_the_total(clock):
     decaying = demand._DecayingRate(1.0)
     decaying.add(TARGET, 2)
-    decaying.add(asked.Target("s", "m", "a1"), 2)
+    decaying.add(caller_request.Target("s", "m", "a1"), 2)
     assert decaying.total() == decaying.rate(TARGET)
 
 
@@ -129,7 +129,7 @@
     # A collector receives some 250 heartbeats a second. Each of them used to update the
     # means of all 300 targets one by one.
     for number in range(300):
-        part.requests.add(asked.Target("s", f"m-{number}"), 1)
+        part.requests.add(caller_request.Target("s", f"m-{number}"), 1)
     full_scans = []
     original_above = demand._DecayingRate._above
     monkeypatch.setattr(
--- a/packages/mothworks_gateway/tests/test_endpoint_selection.py
+++ b/packages/mothworks_gateway/tests/test_endpoint_selection.py
@@ -2,7 +2,7 @@
 
 import gateway_builders
 from mothworks_gateway import (
-    asked,
+    caller_request,
     endpoint_selection,
     health,
     registry,
@@ -28,7 +28,7 @@
 
 
 def prompt(*ids):
-    return tuple(asked.PromptPart(part, 100) for part in ids)
+    return tuple(caller_request.PromptPart(part, 100) for part in ids)
 
 
 def test_requests_that_share_a_prompt_go_to_one_endpoint():
@@ -55,7 +55,7 @@
         gateway_builders.endpoint("i-1", models=("m",)),
         gateway_builders.endpoint("i-2", models=("n",)),
     ]
-    target = asked.Target("s", "m")
+    target = caller_request.Target("s", "m")
     candidates = make_selection(endpoints).candidates(
         gateway_builders.request(target=target)
     )
--- a/packages/mothworks_gateway/tests/test_gathering.py
+++ b/packages/mothworks_gateway/tests/test_gathering.py
@@ -13,7 +13,7 @@
 import fleet_builders
 import gateway_builders
 from mothworks_gateway import (
-    asked,
+    caller_request,
     collectors,
     declarations,
     discovery,
@@ -31,7 +31,7 @@
 
 VMS = 195
 ENDPOINTS = [gateway_builders.endpoint(f"i-{number}") for number in range(59)]
-MODEL = asked.Target("s", "m")
+MODEL = caller_request.Target("s", "m")
 
 
 class Clock:
--- a/packages/mothworks_gateway/tests/test_reading.py
+++ b/packages/mothworks_gateway/tests/test_reading.py
@@ -5,14 +5,17 @@
 import pytest
 
 import gateway_builders
-from mothworks_gateway import asked, reading
+from mothworks_gateway import caller_request, reading
 
 SPEED = 19_200.0
 OVERHEAD_S = 0.08
 
 
 def add_sample(part, tokens, seconds):
-    prompt = (asked.PromptPart("shared", 500), asked.PromptPart("own", tokens))
+    prompt = (
+        caller_request.PromptPart("shared", 500),
+        caller_request.PromptPart("own", tokens),
+    )
     request = gateway_builders.request(prompt=prompt, input_tokens=tokens + 500)
     part.note(request, seconds)
 
--- a/packages/mothworks_gateway/tests/test_residency.py
+++ b/packages/mothworks_gateway/tests/test_residency.py
@@ -14,8 +14,8 @@
 import gateway_builders
 from mothworks import peers
 from mothworks_gateway import (
-    asked,
     broadcast,
+    caller_request,
     discovery,
     heartbeat,
     lease,
@@ -28,8 +28,8 @@
 
 def spawn_waiter(part, model, checks, service="s", adapter=""):
     """Start a caller that waits until an endpoint holds a model."""
-    target = asked.Target(service, model, adapter)
-    request = gateway_builders.request(target=target, arrived=0.0)
+    target = caller_request.Target(service, model, adapter)
+    request = gateway_builders.request(target=target, received_at=0.0)
 
     def wait():
         while True:
--- a/packages/mothworks_gateway/tests/test_running_requests.py
+++ b/packages/mothworks_gateway/tests/test_running_requests.py
@@ -3,7 +3,7 @@
 import pytest
 
 import gateway_builders
-from mothworks_gateway import asked, heartbeat, running_requests
+from mothworks_gateway import caller_request, heartbeat, running_requests
 
 
 class Heartbeats(gateway_builders.Heartbeats):
@@ -33,8 +33,12 @@
 
 
 def test_counts_cover_own_requests_and_peers(part):
-    part.request_started(gateway_builders.endpoint("i-1"), asked.Target("s", "m", "a"))
-    part.request_started(gateway_builders.endpoint("i-1"), asked.Target("s", "n"))
+    part.request_started(
+        gateway_builders.endpoint("i-1"), caller_request.Target("s", "m", "a")
+    )
+    part.request_started(
+        gateway_builders.endpoint("i-1"), caller_request.Target("s", "n")
+    )
     assert part.of_endpoint("i-1") == 7
     assert part.of_model("i-1", "m") == 6
     assert part.of_model("i-1", "n") == 1
@@ -44,7 +48,10 @@
 
 
 def test_own_requests_that_ended_are_not_counted(part):
-    endpoint, target = gateway_builders.endpoint("i-9"), asked.Target("s", "m", "a")
+    endpoint, target = (
+        gateway_builders.endpoint("i-9"),
+        caller_request.Target("s", "m", "a"),
+    )
     part.request_started(endpoint, target)
     part.request_started(endpoint, target)
     part.request_ended(endpoint, target)
@@ -58,7 +65,7 @@
 def test_a_heartbeat_lists_this_vms_running_requests(part):
     endpoint = gateway_builders.endpoint("i-1")
     for adapter in ("", "a", "a"):
-        part.request_started(endpoint, asked.Target("s", "m", adapter))
+        part.request_started(endpoint, caller_request.Target("s", "m", adapter))
     (heartbeat_fields,) = part.heartbeats.on_heartbeat
     assert set(heartbeat_fields()["running"]) == {
         ("i-1", "m", "", 1),
@@ -67,7 +74,9 @@
 
 
 def test_this_vms_own_heartbeat_is_not_counted_twice(part):
-    part.request_started(gateway_builders.endpoint("i-1"), asked.Target("s", "n"))
+    part.request_started(
+        gateway_builders.endpoint("i-1"), caller_request.Target("s", "n")
+    )
     part.heartbeats.receive(part.kernel.settings.name, ("i-1", "n", "", 1))
     assert part.of_model("i-1", "n") == 1
 
@@ -89,7 +98,10 @@
 def test_a_request_counts_while_it_waits_for_a_prefill_slot(part):
     # Otherwise its adapter appeared unused, was evicted for another one, and had to be
     # reloaded before the request could be sent.
-    endpoint, target = gateway_builders.endpoint("i-9"), asked.Target("s", "m", "a")
+    endpoint, target = (
+        gateway_builders.endpoint("i-9"),
+        caller_request.Target("s", "m", "a"),
+    )
     with part.count_as_running(endpoint, target):
         assert part.of_adapter("i-9", "m", "a") == 1
     assert part.of_adapter("i-9", "m", "a") == 0
--- a/packages/mothworks_gateway/tests/test_scheduler.py
+++ b/packages/mothworks_gateway/tests/test_scheduler.py
@@ -6,7 +6,7 @@
 
 import gateway_builders
 from mothworks_gateway import (
-    asked,
+    caller_request,
     declarations,
     declared,
     demand,
@@ -21,7 +21,7 @@
     sites,
 )
 
-TARGET = asked.Target("s", "m")
+TARGET = caller_request.Target("s", "m")
 ACCELERATOR = declared.Accelerator(100.0, 8, 32, 10_000, 5.0, {})
 
 
--- a/packages/mothworks_gateway/tests/test_turns.py
+++ b/packages/mothworks_gateway/tests/test_turns.py
@@ -9,7 +9,7 @@
 import fleet_builders
 import gateway_builders
 from mothworks import membership, messages, peers
-from mothworks_gateway import asked, declared, owners, reading, turns
+from mothworks_gateway import caller_request, declared, owners, reading, turns
 
 #: Prompt tokens that are scheduled for 100 ms at an endpoint.
 TOKENS_PER_100_MS = int(turns.READ_TOKENS_PER_S / 10)
@@ -211,7 +211,10 @@
     # The endpoint has cached half of the prompt, which is the same for all callers.
     stub_peers = Peers(turns.PrefillSlot(0.0))
     pacing = make_pacing(stub_peers, "vm-2")
-    prompt = (asked.PromptPart("shared", 900), asked.PromptPart("own", 1_000))
+    prompt = (
+        caller_request.PromptPart("shared", 900),
+        caller_request.PromptPart("own", 1_000),
+    )
     prompt_request = gateway_builders.request(prompt=prompt, input_tokens=1_900)
     pacing.wait(prompt_request, owned_by("vm-2", "vm-1"))
     assert [message.tokens for message in stub_peers.sent_requests] == [1_000]
