--- a/packages/mothworks_gateway/src/mothworks_gateway/answering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/answering.py
@@ -55,7 +55,7 @@
                 try:
                     yield from self._chunks()
                     self.outcome = "complete"
-                    self.attempts.poison.clear(self.request)
+                    self.attempts.poison_requests.clear(self.request)
                     return
                 except transport.FAILURES as error:
                     reason = str(error)
@@ -114,7 +114,7 @@
             return
         self.attempts.health.failed(self.endpoint, reason)
         if self.endpoint.open:
-            self.attempts.poison.record_crash(self.request, self.endpoint)
+            self.attempts.poison_requests.record_crash(self.request, self.endpoint)
 
     def _resume(self) -> bool:
         """Resume the stream at another endpoint; returns whether that succeeded."""
--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -21,7 +21,7 @@
     endpoint_selection,
     endpoints_client,
     health,
-    poison,
+    poison_requests,
     reading,
     registry,
     residency,
@@ -78,7 +78,7 @@
         self.slots = node_kernel.get(send_slots.SendSlots)
         self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.retry_budget = node_kernel.get(retry_budget.RetryBudget)
-        self.poison = node_kernel.get(poison.PoisonRequests)
+        self.poison_requests = node_kernel.get(poison_requests.PoisonRequests)
         self.reading = node_kernel.get(reading.Reading)
         self.residency = node_kernel.get(residency.Residency)
         self.head_seconds = node_kernel.metrics.seconds(
@@ -206,7 +206,7 @@
         self.running_requests.request_ended(endpoint, request.target)
         if verdict is adapters.Verdict.ANSWER:
             self.health.succeeded(endpoint, time.monotonic() - started_at)
-            self.poison.clear(request)
+            self.poison_requests.clear(request)
         else:
             self.health.failed(endpoint, f"status {answer.status}", ERROR_WEIGHT)
         return self._reply(request, answer, [whole_body.ok_value])
@@ -255,7 +255,7 @@
         progress.reason = reason[:80]
         self.health.failed(endpoint, reason)
         if "timed out" not in reason and "late" not in reason:
-            self.poison.record_crash(request, endpoint)
+            self.poison_requests.record_crash(request, endpoint)
 
     def _handle_verdict(
         self,
--- a/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
@@ -16,7 +16,7 @@
     attempts,
     caller_request,
     endpoint_selection,
-    poison,
+    poison_requests,
     registry,
     residency,
     retry_budget,
@@ -62,7 +62,7 @@
         self.endpoint_selection = node_kernel.get(endpoint_selection.EndpointSelection)
         self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.retry_budget = node_kernel.get(retry_budget.RetryBudget)
-        self.poison = node_kernel.get(poison.PoisonRequests)
+        self.poison_requests = node_kernel.get(poison_requests.PoisonRequests)
         self.residency = node_kernel.get(residency.Residency)
         self.slots = node_kernel.get(send_slots.SendSlots)
         self.turns = node_kernel.get(turns.Turns)
@@ -81,7 +81,7 @@
         self.running_requests.count_arrival(request)
         progress = attempts.RequestProgress()
         while True:
-            if self.poison.is_blocked(request):
+            if self.poison_requests.is_blocked(request):
                 progress.reason = "it crashed several endpoints"
                 return self._refuse(request, progress, 503, None)
             match self._find_endpoint(request, progress):
--- a/packages/mothworks_gateway/src/mothworks_gateway/poison.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/poison_requests.py
@@ -28,7 +28,7 @@
 
 @messages.message(113)
 @attrs.frozen
-class Broke:
+class CrashReport:
     """Reports that an endpoint crashed while it ran a request.
 
     :param fingerprint: see :meth:`caller_request.CallerRequest.fingerprint`.
@@ -63,7 +63,7 @@
         self.history_by_fingerprint: collections.OrderedDict[bytes, _CrashHistory] = (
             collections.OrderedDict()
         )
-        self.peers.handle(Broke, self._on_crash_report)
+        self.peers.handle(CrashReport, self._on_crash_report)
 
     def is_blocked(self, request: caller_request.CallerRequest) -> bool:
         """Return whether a request has to be refused.
@@ -85,7 +85,7 @@
         :param request: the request.
         :param endpoint: the endpoint.
         """
-        report = Broke(request.fingerprint(), endpoint.id)
+        report = CrashReport(request.fingerprint(), endpoint.id)
         if self._record(report):
             self.peers.send_all(report)
             logs.event(
@@ -107,7 +107,7 @@
         if self.history_by_fingerprint:
             self.history_by_fingerprint.pop(request.fingerprint(), None)
 
-    def _record(self, report: Broke) -> bool:
+    def _record(self, report: CrashReport) -> bool:
         history = self.history_by_fingerprint.setdefault(
             report.fingerprint, _CrashHistory(set(), time.monotonic())
         )
@@ -119,5 +119,5 @@
             self.history_by_fingerprint.popitem(last=False)
         return True
 
-    def _on_crash_report(self, _: str, report: Broke, __) -> None:
+    def _on_crash_report(self, _: str, report: CrashReport, __) -> None:
         self._record(report)
--- a/packages/mothworks_gateway/tests/test_broadcast.py
+++ b/packages/mothworks_gateway/tests/test_broadcast.py
@@ -9,7 +9,7 @@
 import pytest
 
 import fleet_builders
-from mothworks_gateway import broadcast, poison
+from mothworks_gateway import broadcast, poison_requests
 
 VMS = 195
 
@@ -30,14 +30,16 @@
         def receive(vm, update, _):
             self.received_by_vm[name].append((vm, update.fingerprint))
 
-        part.peers.handle(poison.Broke, receive)
+        part.peers.handle(poison_requests.CrashReport, receive)
         return part
 
     def publish(self, name, *texts):
         part = self.part_by_vm[name]
         for text in texts[:-1]:
-            part.batch.append(broadcast.messages.pack(poison.Broke(text, "i-1")))
-        part.publish_now(poison.Broke(texts[-1], "i-1"))
+            part.batch.append(
+                broadcast.messages.pack(poison_requests.CrashReport(text, "i-1"))
+            )
+        part.publish_now(poison_requests.CrashReport(texts[-1], "i-1"))
 
 
 @pytest.mark.parametrize("count", [1, 2, 17, 18, VMS])
@@ -109,7 +111,7 @@
         clock[0] = number / 70
         while scheduled_flushes and scheduled_flushes[0][0] <= clock[0]:
             scheduled_flushes.pop(0)[1]()
-        part.publish(poison.Broke(str(number), "i-1"))
+        part.publish(poison_requests.CrashReport(str(number), "i-1"))
     while scheduled_flushes:
         scheduled_flushes.pop(0)[1]()
     assert len(fleet.received_by_vm["vm-77"]) == 70
