--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -22,7 +22,7 @@
     endpoints_client,
     health,
     poison_requests,
-    reading,
+    prefill_speed,
     registry,
     residency,
     retry_budget,
@@ -79,7 +79,7 @@
         self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.retry_budget = node_kernel.get(retry_budget.RetryBudget)
         self.poison_requests = node_kernel.get(poison_requests.PoisonRequests)
-        self.reading = node_kernel.get(reading.Reading)
+        self.prefill_speed = node_kernel.get(prefill_speed.PrefillSpeed)
         self.residency = node_kernel.get(residency.Residency)
         self.head_seconds = node_kernel.metrics.seconds(
             "head_seconds", "Time from a request's arrival to its answer's head."
@@ -192,7 +192,7 @@
         if request.route.streaming and verdict is adapters.Verdict.ANSWER:
             took_s = time.monotonic() - started_at
             self.health.succeeded(endpoint, took_s)
-            self.reading.note(request, took_s)
+            self.prefill_speed.add_sample(request, took_s)
             if took_s > request.route.objective_s:
                 self.running_requests.record_late(request.target)
             body = answering.StreamRelay(self, request, endpoint, answer)
--- a/packages/mothworks_gateway/src/mothworks_gateway/offers.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/offers.py
@@ -15,7 +15,7 @@
     demand,
     endpoint_limits,
     ordering,
-    reading,
+    prefill_speed,
     running_requests,
     sites,
 )
@@ -116,7 +116,7 @@
         self.ordering = node_kernel.get(ordering.Ordering)
         self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.demand = node_kernel.get(demand.Demand)
-        self.reading = node_kernel.get(reading.Reading)
+        self.prefill_speed = node_kernel.get(prefill_speed.PrefillSpeed)
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
         self.holders_by_target: dict[
             caller_request.Target, list[sites.EndpointState]
@@ -130,7 +130,7 @@
 
         :param target: the model.
         """
-        per_s = self.reading.tokens_per_s(target.service) * PREFILL_SHARE
+        per_s = self.prefill_speed.tokens_per_s(target.service) * PREFILL_SHARE
         return self.demand.prompt_tokens_per_s(target) / per_s
 
     def capacity(self, states: list[sites.EndpointState]) -> float:
--- a/packages/mothworks_gateway/src/mothworks_gateway/reading.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/prefill_speed.py
@@ -1,4 +1,4 @@
-"""Reading: estimates the prefill speed of a service's endpoints, tokens per second.
+"""Prefill speed: estimates how fast endpoints prefill, tokens per second.
 
 The speed is learned from responses, since it differs several times between deployments
 and is not declared. The time to the first token grows with the prompt's length; its
@@ -49,7 +49,7 @@
     seconds: float
 
 
-class Reading(kernel.Part):
+class PrefillSpeed(kernel.Part):
     """Estimates the speed at which endpoints prefill prompts.
 
     :param node_kernel: the node's kernel.
@@ -73,7 +73,7 @@
         """
         return self.speed_by_service.get(service, default)
 
-    def note(self, request: caller_request.CallerRequest, seconds: float) -> None:
+    def add_sample(self, request: caller_request.CallerRequest, seconds: float) -> None:
         """Add a sample from a response that began.
 
         :param request: the request.
--- a/packages/mothworks_gateway/src/mothworks_gateway/turns.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/turns.py
@@ -17,7 +17,7 @@
 import logbook
 
 from mothworks import kernel, logs, messages, peers
-from mothworks_gateway import caller_request, declared, owners, reading, registry
+from mothworks_gateway import caller_request, declared, owners, prefill_speed, registry
 
 log = logbook.Logger("turns")
 
@@ -127,7 +127,7 @@
         self.name = node_kernel.settings.name
         self.peers = node_kernel.get(peers.Peers)
         self.owners = node_kernel.get(owners.Owners)
-        self.reading = node_kernel.get(reading.Reading)
+        self.prefill_speed = node_kernel.get(prefill_speed.PrefillSpeed)
         self.schedule_by_endpoint: dict[str, PrefillSchedule] = {}
         self.owners.on_change.append(self.schedule_by_endpoint.clear)
         self.peers.handle(PrefillSlotRequest, self._serve)
@@ -150,7 +150,7 @@
         if not request.input_tokens:
             return
         tokens = min(request.unshared_tokens, MAX_TOKENS)
-        speed = self.reading.tokens_per_s(
+        speed = self.prefill_speed.tokens_per_s(
             request.target.service, DEFAULT_SPEED_TOKENS_PER_S
         )
         pace = PREFILL_SHARE * speed
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -16,7 +16,7 @@
     lease,
     offers,
     ordering,
-    reading,
+    prefill_speed,
     residency,
     running_requests,
     scheduler,
@@ -93,7 +93,9 @@
             ),
         }
         kernel = gateway_builders.Kernel(parts)
-        parts[reading.Reading] = self.reading = reading.Reading(kernel)
+        parts[prefill_speed.PrefillSpeed] = self.prefill_speed = (
+            prefill_speed.PrefillSpeed(kernel)
+        )
         parts[demand.Demand] = self.demand = demand.Demand(kernel)
         parts[offers.Placement] = self.placement = offers.Placement(kernel)
         self.scheduler = scheduler.Scheduler(kernel)
--- a/packages/mothworks_gateway/tests/test_reading.py
+++ b/packages/mothworks_gateway/tests/test_prefill_speed.py
@@ -1,11 +1,11 @@
-"""Reading: the prefill speed of endpoints, estimated from responses."""
+"""Prefill speed: estimated from responses."""
 
 import random
 
 import pytest
 
 import gateway_builders
-from mothworks_gateway import caller_request, reading
+from mothworks_gateway import caller_request, prefill_speed
 
 SPEED = 19_200.0
 OVERHEAD_S = 0.08
@@ -17,12 +17,12 @@
         caller_request.PromptPart("own", tokens),
     )
     request = gateway_builders.request(prompt=prompt, input_tokens=tokens + 500)
-    part.note(request, seconds)
+    part.add_sample(request, seconds)
 
 
 @pytest.fixture
 def part():
-    return reading.Reading(gateway_builders.Kernel({}))
+    return prefill_speed.PrefillSpeed(gateway_builders.Kernel({}))
 
 
 def test_the_speed_is_estimated_even_if_some_prompts_queue(part):
@@ -36,9 +36,9 @@
 
 
 def test_too_few_samples_give_no_estimate(part):
-    for _ in range(reading.MIN_SAMPLES - 1):
+    for _ in range(prefill_speed.MIN_SAMPLES - 1):
         add_sample(part, 100, 9.0)
-    assert part.tokens_per_s("s") == reading.DEFAULT_TOKENS_PER_S
+    assert part.tokens_per_s("s") == prefill_speed.DEFAULT_TOKENS_PER_S
 
 
 def test_implausible_samples_give_no_estimate(part):
@@ -47,4 +47,4 @@
     for number in range(100):
         add_sample(part, 1_000 - number, 0.1 + number)
         add_sample(part, -5, 0.1)
-    assert part.tokens_per_s("s") == reading.DEFAULT_TOKENS_PER_S
+    assert part.tokens_per_s("s") == prefill_speed.DEFAULT_TOKENS_PER_S
--- a/packages/mothworks_gateway/tests/test_turns.py
+++ b/packages/mothworks_gateway/tests/test_turns.py
@@ -9,7 +9,7 @@
 import fleet_builders
 import gateway_builders
 from mothworks import membership, messages, peers
-from mothworks_gateway import caller_request, declared, owners, reading, turns
+from mothworks_gateway import caller_request, declared, owners, prefill_speed, turns
 
 #: Prompt tokens that are scheduled for 100 ms at an endpoint.
 TOKENS_PER_100_MS = int(turns.READ_TOKENS_PER_S / 10)
@@ -57,7 +57,7 @@
 def make_pacing(stub_peers, *names):
     parts = {peers.Peers: stub_peers, membership.Membership: Membership(*names)}
     kernel = gateway_builders.Kernel(parts)
-    parts[reading.Reading] = reading.Reading(kernel)
+    parts[prefill_speed.PrefillSpeed] = prefill_speed.PrefillSpeed(kernel)
     parts[owners.Owners] = owners.Owners(kernel)
     return turns.Turns(kernel)
 
@@ -201,7 +201,7 @@
     # Several prompts queued up and were processed together, and every stream there
     # stalled for half a second, longer than its callers accept.
     pacing = make_pacing(Peers())
-    pacing.reading.speed_by_service["s"] = 10_000.0
+    pacing.prefill_speed.speed_by_service["s"] = 10_000.0
     endpoint = gateway_builders.endpoint("i-1")
     pacing.wait(request(tokens=1_500), endpoint)
     assert wait_duration_s(pacing, request(tokens=1_500), endpoint) > 0.15
