--- a/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
@@ -17,12 +17,12 @@
     caller_request,
     endpoint_selection,
     poison_requests,
+    prefill_pacing,
     registry,
     residency,
     retry_budget,
     running_requests,
     send_slots,
-    turns,
 )
 
 log = logbook.Logger("dispatch")
@@ -65,7 +65,7 @@
         self.poison_requests = node_kernel.get(poison_requests.PoisonRequests)
         self.residency = node_kernel.get(residency.Residency)
         self.slots = node_kernel.get(send_slots.SendSlots)
-        self.turns = node_kernel.get(turns.Turns)
+        self.prefill_pacing = node_kernel.get(prefill_pacing.PrefillPacing)
         self.requests_total = node_kernel.metrics.counter(
             "requests_total", "Requests by service and outcome."
         )
@@ -92,7 +92,7 @@
                     ):
                         may_send = self.slots.wait(slot)
                         if may_send:
-                            self.turns.wait(request, endpoint)
+                            self.prefill_pacing.wait(request, endpoint)
                     if not (may_send and _accepts(endpoint, request.target)):
                         # During the wait, the endpoint left, unloaded the model or
                         # lowered its limit.
--- a/packages/mothworks_gateway/src/mothworks_gateway/turns.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/prefill_pacing.py
@@ -22,18 +22,18 @@
 log = logbook.Logger("turns")
 
 #: Prompt tokens per second that are sent to an endpoint whose prefill speed is unknown.
-READ_TOKENS_PER_S = 28_000.0
+DEFAULT_PREFILL_TOKENS_PER_S = 28_000.0
 #: Share of an endpoint's prefill speed that is scheduled; the rest is left for decoding
 #: the running streams.
 PREFILL_SHARE = 0.75
 #: Prefill speed that is assumed for an endpoint before it has been measured.
-DEFAULT_SPEED_TOKENS_PER_S = READ_TOKENS_PER_S / PREFILL_SHARE
+DEFAULT_SPEED_TOKENS_PER_S = DEFAULT_PREFILL_TOKENS_PER_S / PREFILL_SHARE
 #: Longest time for which an owner schedules ahead, seconds: beyond it, the endpoint is
 #: overloaded, and waiting would not help its streams.
 MAX_AHEAD_S = 0.5
 #: Upper bound of the prompt length that is scheduled: callers declare the length, and a
 #: schedule reaches no further ahead.
-MAX_TOKENS = int(READ_TOKENS_PER_S * MAX_AHEAD_S)
+MAX_TOKENS = int(DEFAULT_PREFILL_TOKENS_PER_S * MAX_AHEAD_S)
 #: Lower bound of the pace that a peer may request, prompt tokens per second.
 MIN_TOKENS_PER_S = 1_000.0
 #: Longest wait for a prefill slot, as a share of the request's objective: the prompt
@@ -63,7 +63,7 @@
     endpoint: str
     tokens: int
     urgency: int
-    tokens_per_s: float = READ_TOKENS_PER_S
+    tokens_per_s: float = DEFAULT_PREFILL_TOKENS_PER_S
 
 
 @messages.message(118)
@@ -97,7 +97,7 @@
         tokens: int,
         urgency: int,
         now: float,
-        tokens_per_s: float = READ_TOKENS_PER_S,
+        tokens_per_s: float = DEFAULT_PREFILL_TOKENS_PER_S,
     ) -> float:
         """Reserve a prefill slot, and return the seconds until it starts.
 
@@ -116,7 +116,7 @@
         return start_at - now
 
 
-class Turns(kernel.Part):
+class PrefillPacing(kernel.Part):
     """Grants prefill slots at endpoints that this VM owns, and requests all others.
 
     :param node_kernel: the node's kernel.
--- a/packages/mothworks_gateway/tests/test_turns.py
+++ b/packages/mothworks_gateway/tests/test_prefill_pacing.py
@@ -9,10 +9,16 @@
 import fleet_builders
 import gateway_builders
 from mothworks import membership, messages, peers
-from mothworks_gateway import caller_request, declared, owners, prefill_speed, turns
+from mothworks_gateway import (
+    caller_request,
+    declared,
+    owners,
+    prefill_pacing,
+    prefill_speed,
+)
 
 #: Prompt tokens that are scheduled for 100 ms at an endpoint.
-TOKENS_PER_100_MS = int(turns.READ_TOKENS_PER_S / 10)
+TOKENS_PER_100_MS = int(prefill_pacing.DEFAULT_PREFILL_TOKENS_PER_S / 10)
 
 
 class Membership:
@@ -59,7 +65,7 @@
     kernel = gateway_builders.Kernel(parts)
     parts[prefill_speed.PrefillSpeed] = prefill_speed.PrefillSpeed(kernel)
     parts[owners.Owners] = owners.Owners(kernel)
-    return turns.Turns(kernel)
+    return prefill_pacing.PrefillPacing(kernel)
 
 
 def request(tokens=TOKENS_PER_100_MS, objective_s=1.0, urgency=0):
@@ -93,7 +99,7 @@
 
 
 def test_prompts_get_consecutive_slots():
-    schedule = turns.PrefillSchedule()
+    schedule = prefill_pacing.PrefillSchedule()
     starts = [schedule.reserve(TOKENS_PER_100_MS, 1, 5.0) for _ in range(4)]
     assert starts == pytest.approx([0.0, 0.1, 0.2, 0.3])
     assert schedule.reserve(TOKENS_PER_100_MS, 1, 5.45) == 0.0
@@ -102,7 +108,7 @@
 def test_urgent_prompts_do_not_wait_for_less_urgent_ones():
     # Drafts have reserved the next 200 ms of an endpoint. An urgent extract is sent at
     # once, and later drafts wait for it, too.
-    schedule = turns.PrefillSchedule()
+    schedule = prefill_pacing.PrefillSchedule()
     schedule.reserve(TOKENS_PER_100_MS, 1, 5.0)
     schedule.reserve(TOKENS_PER_100_MS, 1, 5.0)
     assert schedule.reserve(TOKENS_PER_100_MS, 0, 5.0) == 0.0
@@ -112,15 +118,17 @@
 def test_a_schedule_is_bounded_in_an_overload():
     # An endpoint receives more prompts than it can process for a minute. Its schedule
     # must not delay requests long after the overload has ended.
-    schedule = turns.PrefillSchedule()
+    schedule = prefill_pacing.PrefillSchedule()
     for _ in range(600):
         schedule.reserve(TOKENS_PER_100_MS, 1, 5.0)
-    assert schedule.reserve(TOKENS_PER_100_MS, 1, 5.0) <= turns.MAX_AHEAD_S
-    assert schedule.reserve(TOKENS_PER_100_MS, 1, 5.0 + turns.MAX_AHEAD_S) == 0.0
+    assert schedule.reserve(TOKENS_PER_100_MS, 1, 5.0) <= prefill_pacing.MAX_AHEAD_S
+    assert (
+        schedule.reserve(TOKENS_PER_100_MS, 1, 5.0 + prefill_pacing.MAX_AHEAD_S) == 0.0
+    )
 
 
 def test_a_request_waits_for_at_most_a_share_of_its_objective():
-    pacing = make_pacing(Peers(turns.PrefillSlot(5.0)), "vm-2")
+    pacing = make_pacing(Peers(prefill_pacing.PrefillSlot(5.0)), "vm-2")
     endpoint = owned_by("vm-2", "vm-1")
     assert wait_duration_s(pacing, request(objective_s=0.2), endpoint) < 0.12
 
@@ -128,7 +136,7 @@
 def test_invalid_prompt_lengths_have_no_effect_on_others():
     # One caller declares 10^40 prompt tokens, which no message between VMs can encode,
     # another a negative number, which would release reserved time.
-    stub_peers = Peers(turns.PrefillSlot(0.0))
+    stub_peers = Peers(prefill_pacing.PrefillSlot(0.0))
     pacing = make_pacing(stub_peers, "vm-2")
     endpoint = owned_by("vm-2", "vm-1")
     for tokens in (10**40, -(10**40)):
@@ -144,7 +152,7 @@
 
 
 def test_a_request_without_a_prompt_needs_no_slot():
-    stub_peers = Peers(turns.PrefillSlot(5.0))
+    stub_peers = Peers(prefill_pacing.PrefillSlot(5.0))
     pacing = make_pacing(stub_peers, "vm-2")
     pacing.wait(request(tokens=0), owned_by("vm-2", "vm-1"))
     assert stub_peers.called_vms == []
@@ -156,7 +164,10 @@
     stub_peers = Peers()
     pacing = make_pacing(stub_peers, "vm-2")
     endpoint = owned_by("vm-2", "vm-1")
-    assert wait_duration_s(pacing, request(), endpoint) < 5 * turns.REPLY_TIMEOUT_S
+    assert (
+        wait_duration_s(pacing, request(), endpoint)
+        < 5 * prefill_pacing.REPLY_TIMEOUT_S
+    )
     for _ in range(5):
         pacing.wait(request(), endpoint)
     assert stub_peers.called_vms == ["vm-2"]
@@ -165,7 +176,7 @@
 def test_requests_do_not_wait_for_a_connection_to_an_owner():
     # The owner is unreachable. Waiting for a connection to it would take half a second
     # for each request.
-    stub_peers = Peers(turns.PrefillSlot(0.1), linked=False)
+    stub_peers = Peers(prefill_pacing.PrefillSlot(0.1), linked=False)
     pacing = make_pacing(stub_peers, "vm-2")
     pacing.wait(request(), owned_by("vm-2", "vm-1"))
     assert stub_peers.called_vms == []
@@ -175,7 +186,7 @@
 def test_with_many_vms_there_are_few_owners_and_all_vms_connect_to_them():
     # With 195 VMs and 59 owners, a VM needed most owners about once a day and had no
     # connection to them. No prompt got a slot, and streams stalled.
-    stub_peers = Peers(turns.PrefillSlot(0.0), linked=False)
+    stub_peers = Peers(prefill_pacing.PrefillSlot(0.0), linked=False)
     pacing = make_pacing(stub_peers, *fleet_builders.names_of(195))
     pacing._connect_to_owners()
     assert len(stub_peers.opened) <= 9
@@ -184,7 +195,7 @@
 
 
 def test_an_owner_that_is_gone_is_replaced_by_another_vm():
-    stub_peers = Peers(turns.PrefillSlot(0.0))
+    stub_peers = Peers(prefill_pacing.PrefillSlot(0.0))
     pacing = make_pacing(stub_peers, "vm-2")
     endpoint = owned_by("vm-2", "vm-1")
     pacing.wait(request(), endpoint)
@@ -209,7 +220,7 @@
 
 def test_only_prompt_tokens_that_are_not_shared_are_scheduled():
     # The endpoint has cached half of the prompt, which is the same for all callers.
-    stub_peers = Peers(turns.PrefillSlot(0.0))
+    stub_peers = Peers(prefill_pacing.PrefillSlot(0.0))
     pacing = make_pacing(stub_peers, "vm-2")
     prompt = (
         caller_request.PromptPart("shared", 900),
