--- a/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
@@ -13,7 +13,7 @@
 import attrs
 
 from mothworks import kernel, messages, peers
-from mothworks_gateway import adapters, registry, sites
+from mothworks_gateway import adapters, endpoint_state, registry
 
 #: Time for which an order without a response may still be executed, seconds: five times
 #: the longest delay that operators of endpoints report (12 s).
@@ -64,7 +64,7 @@
 
 def all_fit(
     late: list[UnansweredOrder],
-    state: sites.EndpointState,
+    state: endpoint_state.EndpointState,
     holdings: dict[str, set[str]],
     accepted: int,
 ) -> bool:
@@ -72,7 +72,8 @@
 
     :param late: the late orders.
     :param state: the endpoint's state.
-    :param holdings: what the endpoint holds; see :meth:`sites.EndpointState.in_memory`.
+    :param holdings: what the endpoint holds; see
+        :meth:`endpoint_state.EndpointState.in_memory`.
     :param accepted: number of orders that it has accepted.
     """
     for order in late:
@@ -80,7 +81,9 @@
             continue
         if order.load and not state.fits(order.model, order.adapter, holdings):
             return False
-        after = sites.holdings_after(holdings, order.load, order.model, order.adapter)
+        after = endpoint_state.holdings_after(
+            holdings, order.load, order.model, order.adapter
+        )
         if not all_fit(late, state, after, accepted + 1):
             return False
     return True
--- a/packages/mothworks_gateway/src/mothworks_gateway/offers.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/offers.py
@@ -14,10 +14,10 @@
     declared,
     demand,
     endpoint_limits,
+    endpoint_state,
     ordering,
     prefill_speed,
     running_requests,
-    sites,
 )
 
 #: Cost of each second that a request waits, in requests.
@@ -76,7 +76,7 @@
     :param forced: whether running requests use a model to evict.
     """
 
-    state: sites.EndpointState
+    state: endpoint_state.EndpointState
     evictions: tuple[str, ...]
     eviction_cost: float
     ready_in_s: float
@@ -119,10 +119,12 @@
         self.prefill_speed = node_kernel.get(prefill_speed.PrefillSpeed)
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
         self.holders_by_target: dict[
-            caller_request.Target, list[sites.EndpointState]
+            caller_request.Target, list[endpoint_state.EndpointState]
         ] = {}
         #: Endpoints that hold, load or will load a model, by service and model.
-        self.involved_by_service: dict[str, dict[str, list[sites.EndpointState]]] = {}
+        self.involved_by_service: dict[
+            str, dict[str, list[endpoint_state.EndpointState]]
+        ] = {}
         self.unmet_models_by_service: dict[str, set[str]] = {}
 
     def endpoints_needed(self, target: caller_request.Target) -> float:
@@ -133,14 +135,14 @@
         per_s = self.prefill_speed.tokens_per_s(target.service) * PREFILL_SHARE
         return self.demand.prompt_tokens_per_s(target) / per_s
 
-    def capacity(self, states: list[sites.EndpointState]) -> float:
+    def capacity(self, states: list[endpoint_state.EndpointState]) -> float:
         """Return the capacity of some endpoints, in endpoints without a rate limit.
 
         :param states: the endpoints.
         """
         return sum(map(self._capacity, states))
 
-    def _capacity(self, state: sites.EndpointState) -> float:
+    def _capacity(self, state: endpoint_state.EndpointState) -> float:
         per_s = self.limits.per_s(state.endpoint.id)
         if per_s is None:
             return 1.0
@@ -156,7 +158,9 @@
         share = min(1.0, replicas / needed) - min(1.0, (replicas - 1) / needed)
         return self.demand.rate(target) * share * HORIZON_S
 
-    def holders(self, target: caller_request.Target) -> list[sites.EndpointState]:
+    def holders(
+        self, target: caller_request.Target
+    ) -> list[endpoint_state.EndpointState]:
         """Return the open endpoints that hold, or will hold, a model or adapter.
 
         The result is cached until :meth:`clear_caches`: computing the eviction costs of
@@ -183,7 +187,9 @@
         self.involved_by_service.clear()
         self.unmet_models_by_service.clear()
 
-    def _involved(self, target: caller_request.Target) -> list[sites.EndpointState]:
+    def _involved(
+        self, target: caller_request.Target
+    ) -> list[endpoint_state.EndpointState]:
         """Return the endpoints that hold a model, load it, or will load it."""
         by_model = self.involved_by_service.get(target.service)
         if by_model is None:
@@ -194,7 +200,7 @@
                     by_model.setdefault(model, []).append(state)
         return by_model.get(target.model, [])
 
-    def running(self, model: str, states: list[sites.EndpointState]) -> int:
+    def running(self, model: str, states: list[endpoint_state.EndpointState]) -> int:
         """Return the number of requests for a model that run on some endpoints.
 
         :param model: the model.
@@ -238,7 +244,7 @@
                     candidates.append(candidate)
         return candidates
 
-    def _loadable(self, service: str) -> list[sites.EndpointState]:
+    def _loadable(self, service: str) -> list[endpoint_state.EndpointState]:
         """Return a service's open endpoints, without those that advertise a limit.
 
         A limited endpoint serves fewer requests than the models that it already holds
@@ -266,7 +272,9 @@
             }
         return cached
 
-    def _may_queue(self, state: sites.EndpointState, model: declared.Model) -> bool:
+    def _may_queue(
+        self, state: endpoint_state.EndpointState, model: declared.Model
+    ) -> bool:
         """Return whether one more model may be queued on an endpoint.
 
         An endpoint that loads another model but has a local copy of this one is ready
@@ -279,7 +287,7 @@
 
     def _candidate(
         self,
-        state: sites.EndpointState,
+        state: endpoint_state.EndpointState,
         model: declared.Model,
         options: list[_Eviction],
     ) -> Candidate | None:
@@ -298,12 +306,12 @@
         ready_in_s = (
             state.load_s(model)
             + FULL_BATCH_DELAY_S * share
-            + sites.expected_unload_s(running)
+            + endpoint_state.expected_unload_s(running)
         )
         ready_in_s += max(state.ready_s_by_model().values(), default=0.0)
         return Candidate(state, names, eviction_cost, ready_in_s, running > 0)
 
-    def eviction_cost(self, state: sites.EndpointState, name: str) -> float:
+    def eviction_cost(self, state: endpoint_state.EndpointState, name: str) -> float:
         """Return the cost of evicting a model from an endpoint, in requests.
 
         :param state: the endpoint's state.
@@ -327,7 +335,10 @@
         return rate * seconds
 
     def _evictable_models(
-        self, state: sites.EndpointState, unmet_models: set[str], evictable: Evictable
+        self,
+        state: endpoint_state.EndpointState,
+        unmet_models: set[str],
+        evictable: Evictable,
     ) -> list[_Eviction]:
         """Return what an endpoint may evict, the cheapest first."""
         names = [
@@ -341,7 +352,7 @@
         return sorted(options, key=lambda option: option.cost)
 
     def _may_evict(
-        self, state: sites.EndpointState, name: str, evictable: Evictable
+        self, state: endpoint_state.EndpointState, name: str, evictable: Evictable
     ) -> bool:
         match evictable:
             case Evictable.ANY:
@@ -354,7 +365,7 @@
 
 
 def _select_evictions(
-    state: sites.EndpointState, options: list[_Eviction], needed_mb: float
+    state: endpoint_state.EndpointState, options: list[_Eviction], needed_mb: float
 ) -> list[_Eviction] | None:
     """Return what to evict to free some memory; None if it does not suffice.
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
@@ -17,11 +17,11 @@
     declared,
     demand,
     discovery,
+    endpoint_state,
     lease,
     residency,
     running_requests,
     site_orders,
-    sites,
 )
 
 log = logbook.Logger("ordering")
@@ -50,10 +50,10 @@
         self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.demand = node_kernel.get(demand.Demand)
         self.orders = node_kernel.get(site_orders.SiteOrders)
-        self.site_by_id: dict[str, sites.EndpointState] = {}
+        self.state_by_id: dict[str, endpoint_state.EndpointState] = {}
         #: Endpoints whose inventory is to be requested, and the number of tasks that do
         #: so.
-        self._inventory_queue: collections.deque[sites.EndpointState] = (
+        self._inventory_queue: collections.deque[endpoint_state.EndpointState] = (
             collections.deque()
         )
         self._inventory_tasks = 0
@@ -62,16 +62,16 @@
 
     def reset(self) -> None:
         """Discard all states, since another VM has sent orders meanwhile."""
-        self.site_by_id.clear()
+        self.state_by_id.clear()
 
-    def of_service(self, service: str) -> list[sites.EndpointState]:
+    def of_service(self, service: str) -> list[endpoint_state.EndpointState]:
         """Return the states of a service's endpoints.
 
         :param service: its name.
         """
         return [
             state
-            for state in self.site_by_id.values()
+            for state in self.state_by_id.values()
             if state.endpoint.entry.service == service
         ]
 
@@ -80,23 +80,23 @@
 
         :param declaration: the declaration in force.
         """
-        for endpoint_id in self.site_by_id.keys() - self.registry.by_id.keys():
-            del self.site_by_id[endpoint_id]
+        for endpoint_id in self.state_by_id.keys() - self.registry.by_id.keys():
+            del self.state_by_id[endpoint_id]
         for endpoint in self.registry.by_id.values():
             service = declaration.service_by_name.get(endpoint.entry.service)
             if service is None or service.accelerator is None:
                 continue
-            state = self.site_by_id.get(endpoint.id)
+            state = self.state_by_id.get(endpoint.id)
             if state is None:
-                state = sites.EndpointState(endpoint, service.accelerator)
-                self.site_by_id[endpoint.id] = state
+                state = endpoint_state.EndpointState(endpoint, service.accelerator)
+                self.state_by_id[endpoint.id] = state
             state.accelerator = service.accelerator
 
     def start_work(self) -> None:
         """Start tasks for endpoints that need one and have none."""
         if not self.lease.held():
             return
-        for state in self.site_by_id.values():
+        for state in self.state_by_id.values():
             if state.busy:
                 continue
             if state.known:
@@ -106,12 +106,12 @@
         self._start_inventory_tasks()
 
     def _wake_all(self) -> None:
-        for state in self.site_by_id.values():
+        for state in self.state_by_id.values():
             state.woken.set()
 
     def _on_not_held(self, endpoint_id: str) -> None:
         """Request the inventory of an endpoint that lacked what it should hold."""
-        state = self.site_by_id.get(endpoint_id)
+        state = self.state_by_id.get(endpoint_id)
         if state is not None:
             state.accepted = None
             state.woken.set()
@@ -119,7 +119,7 @@
                 self._queue_inventory(state)
                 self._start_inventory_tasks()
 
-    def _queue_inventory(self, state: sites.EndpointState) -> None:
+    def _queue_inventory(self, state: endpoint_state.EndpointState) -> None:
         if state.endpoint.open and time.monotonic() >= state.inventory_retry_at:
             state.busy = True
             self._inventory_queue.append(state)
@@ -141,7 +141,7 @@
             self._start_jobs(state)
         self._inventory_tasks -= 1
 
-    def _request_inventory(self, state: sites.EndpointState) -> bool:
+    def _request_inventory(self, state: endpoint_state.EndpointState) -> bool:
         """Request an endpoint's inventory; returns whether its state is now known."""
         if state.endpoint.open:
             self.orders.refresh(state)
@@ -151,16 +151,16 @@
             )
         return state.known
 
-    def _may_order(self, state: sites.EndpointState) -> bool:
+    def _may_order(self, state: endpoint_state.EndpointState) -> bool:
         """Return whether this VM may still send orders to an endpoint."""
-        return self.lease.held() and self.site_by_id.get(state.endpoint.id) is state
+        return self.lease.held() and self.state_by_id.get(state.endpoint.id) is state
 
-    def _start_jobs(self, state: sites.EndpointState) -> None:
+    def _start_jobs(self, state: endpoint_state.EndpointState) -> None:
         if state.known and state.jobs and self._may_order(state):
             state.busy = True
             self.tasks.spawn(self._work, state)
 
-    def _work(self, state: sites.EndpointState) -> None:
+    def _work(self, state: endpoint_state.EndpointState) -> None:
         """Execute an endpoint's jobs for as long as its state is known."""
         while self._may_order(state):
             # Also after the last job, whose result may not have been observed.
@@ -171,7 +171,9 @@
             self._run_job(state, state.next_job())
         state.busy = False
 
-    def _run_job(self, state: sites.EndpointState, job: sites.Job) -> None:
+    def _run_job(
+        self, state: endpoint_state.EndpointState, job: endpoint_state.Job
+    ) -> None:
         """Execute a job and remove it from the queue."""
         done = self._execute(state, job)
         if job in state.jobs:
@@ -186,7 +188,9 @@
                 outcome="decided anew",
             )
 
-    def _execute(self, state: sites.EndpointState, job: sites.Job) -> bool:
+    def _execute(
+        self, state: endpoint_state.EndpointState, job: endpoint_state.Job
+    ) -> bool:
         """Load what a job names; returns whether it is held now."""
         model = state.accelerator.model_by_name.get(job.model)
         if model is None:
@@ -205,7 +209,7 @@
         )
 
     def _may_unload(
-        self, state: sites.EndpointState, job: sites.Job, name: str
+        self, state: endpoint_state.EndpointState, job: endpoint_state.Job, name: str
     ) -> bool:
         """Return whether a model may still be evicted.
 
@@ -214,7 +218,7 @@
         """
         return job.forced or not self.running_requests.of_model(state.endpoint.id, name)
 
-    def _unload(self, state: sites.EndpointState, name: str) -> bool:
+    def _unload(self, state: endpoint_state.EndpointState, name: str) -> bool:
         """Drain and unload a model; returns whether it is gone.
 
         An unload waits for running requests, and the endpoint accepts no other order
@@ -224,9 +228,9 @@
         """
         running = self.running_requests.of_model(state.endpoint.id, name)
         state.leaving = name
-        state.drained_at = time.monotonic() + sites.expected_unload_s(running)
+        state.drained_at = time.monotonic() + endpoint_state.expected_unload_s(running)
         self.orders.publish(state)
-        deadline = time.monotonic() + sites.MAX_DRAIN_S
+        deadline = time.monotonic() + endpoint_state.MAX_DRAIN_S
         while self._still_draining(state, name) and time.monotonic() < deadline:
             job = state.next_adapter()
             if job is not None:
@@ -241,13 +245,16 @@
             self.orders.publish(state)
         return gone
 
-    def _still_draining(self, state: sites.EndpointState, name: str) -> bool:
+    def _still_draining(self, state: endpoint_state.EndpointState, name: str) -> bool:
         """Return whether to continue waiting for a model's requests to end."""
         running = self.running_requests.of_model(state.endpoint.id, name)
         return bool(running) and state.open and self.lease.held()
 
     def _execute_adapter(
-        self, state: sites.EndpointState, job: sites.Job, model: declared.Model
+        self,
+        state: endpoint_state.EndpointState,
+        job: endpoint_state.Job,
+        model: declared.Model,
     ) -> bool:
         if job.model not in state.adapters_by_model:
             return False
@@ -260,7 +267,7 @@
                 return False
         return self.orders.order(state, True, job.model, job.adapter)
 
-    def has_adapter_slot(self, state: sites.EndpointState) -> bool:
+    def has_adapter_slot(self, state: endpoint_state.EndpointState) -> bool:
         """Return whether one more adapter can be loaded on an endpoint now.
 
         :param state: the endpoint's state.
@@ -269,7 +276,9 @@
         free_slots = state.accelerator.adapter_places - state.adapter_count() - queued
         return free_slots > 0 or len(self._idle_adapters(state)) > -free_slots
 
-    def _adapter_to_evict(self, state: sites.EndpointState) -> tuple[str, str] | None:
+    def _adapter_to_evict(
+        self, state: endpoint_state.EndpointState
+    ) -> tuple[str, str] | None:
         """Return the idle adapter with the fewest requests, or None."""
 
         def eviction_key(key: tuple[str, str]) -> tuple[float, float]:
@@ -278,7 +287,9 @@
 
         return min(self._idle_adapters(state), key=eviction_key, default=None)
 
-    def _idle_adapters(self, state: sites.EndpointState) -> list[tuple[str, str]]:
+    def _idle_adapters(
+        self, state: endpoint_state.EndpointState
+    ) -> list[tuple[str, str]]:
         """Return the adapters that may be evicted for another one."""
         loaded_before = time.monotonic() - MIN_ADAPTER_STAY_S
         return [
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -22,13 +22,13 @@
     declared,
     demand,
     discovery,
+    endpoint_state,
     lease,
     offers,
     ordering,
     residency,
     running_requests,
     site_orders,
-    sites,
 )
 
 log = logbook.Logger("scheduler")
@@ -191,7 +191,7 @@
         self._place_model(target, model, CALLERS_WAITING, cost_limit, count, any_model)
 
     def _place_adapter(
-        self, unmet: demand.UnmetDemand, states: list[sites.EndpointState]
+        self, unmet: demand.UnmetDemand, states: list[endpoint_state.EndpointState]
     ) -> None:
         if self.placement.holders(unmet.target):
             return
@@ -203,10 +203,12 @@
         ]
         if with_slot:
             state = min(with_slot, key=self._pressure)
-            self._queue_job(state, sites.Job(unmet.target.model, unmet.target.adapter))
+            self._queue_job(
+                state, endpoint_state.Job(unmet.target.model, unmet.target.adapter)
+            )
             self._log_decision(unmet.target, state, CALLERS_WAITING)
 
-    def _pressure(self, state: sites.EndpointState) -> float:
+    def _pressure(self, state: endpoint_state.EndpointState) -> float:
         batch_share = (
             self.running_requests.of_endpoint(state.endpoint.id)
             / state.accelerator.batch
@@ -246,12 +248,14 @@
             default=None,
         )
         if best is not None:
-            job = sites.Job(model.name, "", best.evictions, best.forced)
+            job = endpoint_state.Job(model.name, "", best.evictions, best.forced)
             self._queue_job(best.state, job)
             self._log_decision(target, best.state, reason, best)
         return best
 
-    def _queue_job(self, state: sites.EndpointState, job: sites.Job) -> None:
+    def _queue_job(
+        self, state: endpoint_state.EndpointState, job: endpoint_state.Job
+    ) -> None:
         state.add(job)
         self.placement.clear_caches()
 
@@ -349,13 +353,13 @@
                     candidate.state.copied.add(model.name)
                     for name in candidate.evictions:
                         self._queue_job(
-                            candidate.state, sites.Job(name, "", (model.name,))
+                            candidate.state, endpoint_state.Job(name, "", (model.name,))
                         )
 
     def _log_decision(
         self,
         target: caller_request.Target,
-        state: sites.EndpointState,
+        state: endpoint_state.EndpointState,
         reason: str,
         candidate: offers.Candidate | None = None,
     ) -> None:
--- a/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
@@ -25,11 +25,11 @@
     adapters,
     declared,
     discovery,
+    endpoint_state,
     endpoints_client,
     late_orders,
     lease,
     residency,
-    sites,
     sliding_windows,
     unload_time,
 )
@@ -80,7 +80,10 @@
         )
 
     def may_load(
-        self, state: sites.EndpointState, model: declared.Model, share: float = 1.0
+        self,
+        state: endpoint_state.EndpointState,
+        model: declared.Model,
+        share: float = 1.0,
     ) -> bool:
         """Return whether the weight store's load rate allows one more load.
 
@@ -94,7 +97,7 @@
         max_loads = max(1, int(per_s * self.bounds.load_window_s * share))
         return self.store_loads.count() < max_loads
 
-    def refresh(self, state: sites.EndpointState) -> None:
+    def refresh(self, state: endpoint_state.EndpointState) -> None:
         """Request an endpoint's inventory and apply it to its state.
 
         :param state: the endpoint's state.
@@ -108,7 +111,9 @@
             # All VMs know from the registry what agrees with it.
             self.publish(state)
 
-    def _inventory(self, state: sites.EndpointState) -> adapters.Inventory | None:
+    def _inventory(
+        self, state: endpoint_state.EndpointState
+    ) -> adapters.Inventory | None:
         """Return an endpoint's inventory; None if this incarnation reports none."""
         entry_born = state.endpoint.entry.born
         match self.protocol.inventory(state.endpoint):
@@ -126,7 +131,7 @@
         return None
 
     def order(
-        self, state: sites.EndpointState, loads: bool, model: str, adapter: str
+        self, state: endpoint_state.EndpointState, loads: bool, model: str, adapter: str
     ) -> bool:
         """Send an order until it is executed; returns whether it is.
 
@@ -188,13 +193,15 @@
                     return False
         return False
 
-    def _wait_for_unload(self, state: sites.EndpointState) -> None:
+    def _wait_for_unload(self, state: endpoint_state.EndpointState) -> None:
         """Wait until an endpoint has probably finished its last unload."""
         if state.unload_accepted_at is not None:
             done_at = state.unload_accepted_at + self.unload_time.expected_s
             gevent.sleep(max(0.0, done_at - time.monotonic()))
 
-    def _update_unload_time(self, state: sites.EndpointState, refused: bool) -> None:
+    def _update_unload_time(
+        self, state: endpoint_state.EndpointState, refused: bool
+    ) -> None:
         """Update the expected unload time from the first order after an unload."""
         if state.unload_accepted_at is None:
             return
@@ -204,12 +211,14 @@
             self.unload_time.accepted_at_once()
         state.unload_accepted_at = None
 
-    def _holds(self, state: sites.EndpointState, model: str, adapter: str) -> bool:
+    def _holds(
+        self, state: endpoint_state.EndpointState, model: str, adapter: str
+    ) -> bool:
         held_adapters = state.adapters_by_model.get(model)
         return held_adapters is not None and (not adapter or adapter in held_adapters)
 
     def attempt(
-        self, state: sites.EndpointState, order: adapters.Order
+        self, state: endpoint_state.EndpointState, order: adapters.Order
     ) -> adapters.OrderOutcome | None:
         """Send an order once and apply its effect to the endpoint's state.
 
@@ -246,7 +255,9 @@
                 self.late_orders.record(state.endpoint, order)
         return outcome
 
-    def _is_safe(self, state: sites.EndpointState, order: adapters.Order) -> bool:
+    def _is_safe(
+        self, state: endpoint_state.EndpointState, order: adapters.Order
+    ) -> bool:
         """Return whether an order fits, and any late orders after it."""
         if order.load and not state.fits(order.model, order.adapter, state.in_memory()):
             return False
@@ -268,7 +279,7 @@
 
     def _count_store_load(
         self,
-        state: sites.EndpointState,
+        state: endpoint_state.EndpointState,
         order: adapters.Order,
         outcome: adapters.OrderOutcome,
     ) -> None:
@@ -280,7 +291,7 @@
                 self.store_loads.add()
 
     def _wait_until_executed(
-        self, state: sites.EndpointState, order: adapters.Order
+        self, state: endpoint_state.EndpointState, order: adapters.Order
     ) -> None:
         """Wait until an accepted order has been executed."""
         if order.adapter or not order.load:
@@ -314,7 +325,7 @@
         state.accepted = None
 
     def publish(
-        self, state: sites.EndpointState, without: adapters.Order | None = None
+        self, state: endpoint_state.EndpointState, without: adapters.Order | None = None
     ) -> None:
         """Publish to all VMs what an endpoint holds, so that they send requests there.
 
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -12,6 +12,7 @@
     demand,
     discovery,
     endpoint_limits,
+    endpoint_state,
     heartbeat,
     lease,
     offers,
@@ -21,7 +22,6 @@
     running_requests,
     scheduler,
     site_orders,
-    sites,
 )
 
 SERVICE = "s"
@@ -32,7 +32,7 @@
 
     def __init__(self, monkeypatch):
         self.now = 100.0
-        for module in (demand, scheduler, sites):
+        for module in (demand, scheduler, endpoint_state):
             monkeypatch.setattr(module, "time", self)
 
     def monotonic(self):
@@ -71,11 +71,11 @@
         #: Rate limits that endpoints advertise, requests per second.
         self.limit_by_id = {}
         self.ordering = types.SimpleNamespace(
-            of_service=lambda _: list(self.sites),
+            of_service=lambda _: list(self.states),
             update_endpoints=lambda _: None,
             start_work=lambda: None,
         )
-        self.sites = [
+        self.states = [
             state_of(f"i-{number}", accelerator, models)
             for number, models in enumerate(holding)
         ]
@@ -127,7 +127,7 @@
     endpoint = gateway_builders.endpoint(name, SERVICE, models=models)
     on_disk = frozenset(accelerator.model_by_name)
     endpoint.entry = attrs.evolve(endpoint.entry, on_disk=on_disk)
-    state = sites.EndpointState(endpoint, accelerator)
+    state = endpoint_state.EndpointState(endpoint, accelerator)
     state.accepted = 0
     state.adapters_by_model = {model: set() for model in models}
     return state
--- a/packages/mothworks_gateway/tests/test_large_looks.py
+++ b/packages/mothworks_gateway/tests/test_large_looks.py
@@ -12,7 +12,7 @@
 import pytest
 
 import scheduling_builders
-from mothworks_gateway import declared, residency, sites
+from mothworks_gateway import declared, endpoint_state, residency
 
 MODELS = [f"m-{number}" for number in range(141)]
 ACCELERATOR = declared.Accelerator(
@@ -36,14 +36,16 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_holders_equal_a_check_of_all_endpoints(scheduling, seed):
     rng = random.Random(seed)
-    for state in scheduling.sites:
+    for state in scheduling.states:
         state.loading = rng.choice(["", "", *MODELS])
         for _ in range(rng.choice([0, 0, 1, 2])):
             evictions = tuple(rng.sample(sorted(state.adapters_by_model), 1))
             adapter = rng.choice(["", "a1"])
-            state.jobs.append(sites.Job(rng.choice(MODELS), adapter, evictions))
+            state.jobs.append(
+                endpoint_state.Job(rng.choice(MODELS), adapter, evictions)
+            )
     for name in MODELS:
-        expected = [state for state in scheduling.sites if state.will_hold(name, "")]
+        expected = [state for state in scheduling.states if state.will_hold(name, "")]
         assert (
             scheduling.placement.holders(scheduling_builders.target(name)) == expected
         )
@@ -51,7 +53,7 @@
 
 def test_a_pass_checks_few_endpoints(scheduling, monkeypatch):
     checks_by_model = collections.Counter()
-    will_hold = sites.EndpointState.will_hold
+    will_hold = endpoint_state.EndpointState.will_hold
 
     def counting_will_hold(state, model, adapter):
         checks_by_model[model] += 1
@@ -62,8 +64,8 @@
             scheduling_builders.SERVICE, name, "", 3, 1, 0.4
         )
         scheduling.demand._on_waiting(f"vm-{number}", waiting)
-    monkeypatch.setattr(sites.EndpointState, "will_hold", counting_will_hold)
+    monkeypatch.setattr(endpoint_state.EndpointState, "will_hold", counting_will_hold)
     scheduling.scheduler._schedule(scheduling.declaration)
     # A pass that checks each endpoint at most once per model takes a hundredth of a
     # second or two; it used to make twenty times as many checks.
-    assert checks_by_model.total() < len(scheduling.sites) * len(MODELS)
+    assert checks_by_model.total() < len(scheduling.states) * len(MODELS)
--- a/packages/mothworks_gateway/tests/test_late_orders.py
+++ b/packages/mothworks_gateway/tests/test_late_orders.py
@@ -10,7 +10,7 @@
 
 import gateway_builders
 import modelled_endpoint
-from mothworks_gateway import adapters, registry, sites
+from mothworks_gateway import adapters, endpoint_state, registry
 
 SIZES = {"a": 50.0, "b": 50.0, "d": 16.1}
 NAME = "i-1"
@@ -41,7 +41,7 @@
 
 def state_of(endpoint, view):
     """Return a state of the incarnation that the registry knows."""
-    return sites.EndpointState(view.named(NAME), endpoint.declared_as)
+    return endpoint_state.EndpointState(view.named(NAME), endpoint.declared_as)
 
 
 HOLDER = st.sampled_from([0, 0, 0, 1])
@@ -72,7 +72,7 @@
         endpoint = self.view.named(NAME)
         state = self.state_by_holder[holder]
         if state is None or state.endpoint is not endpoint:
-            state = sites.EndpointState(endpoint, self.endpoint.declared_as)
+            state = endpoint_state.EndpointState(endpoint, self.endpoint.declared_as)
             self.state_by_holder[holder] = state
         return state
 
--- a/packages/mothworks_gateway/tests/test_limited_sites.py
+++ b/packages/mothworks_gateway/tests/test_limited_sites.py
@@ -25,7 +25,7 @@
 
 
 def loading_endpoint_ids(scheduling):
-    return [site.endpoint.id for site in scheduling.sites if any(site.jobs)]
+    return [state.endpoint.id for state in scheduling.states if any(state.jobs)]
 
 
 # Guards against a model whose only endpoint is at its limit while others are idle.
--- a/packages/mothworks_gateway/tests/test_moving_demand.py
+++ b/packages/mothworks_gateway/tests/test_moving_demand.py
@@ -63,9 +63,9 @@
     # that unloads its model between two passes must no longer be listed.
     scheduling.ask("rising", 1.0, TOKENS, seconds=0.25)
     assert scheduling.holders("rising") == 1
-    scheduling.sites[0].adapters_by_model.pop("rising")
+    scheduling.states[0].adapters_by_model.pop("rising")
     scheduling.scheduler._schedule(scheduling.declaration)
-    holder = scheduling.sites[0]
+    holder = scheduling.states[0]
     assert holder not in scheduling.placement.holders(
         scheduling_builders.target("rising")
     )
--- a/packages/mothworks_gateway/tests/test_ordering.py
+++ b/packages/mothworks_gateway/tests/test_ordering.py
@@ -10,13 +10,13 @@
 from mothworks_gateway import (
     demand,
     discovery,
+    endpoint_state,
     lease,
     ordering,
     registry,
     residency,
     running_requests,
     site_orders,
-    sites,
 )
 
 ENDPOINTS = 1000
@@ -69,11 +69,11 @@
         for number in range(count):
             state = scheduling_builders.state_of(f"i-{number}", accelerator, ("m",))
             state.accepted = None
-            self.ordering.site_by_id[state.endpoint.id] = state
+            self.ordering.state_by_id[state.endpoint.id] = state
 
     @property
-    def sites(self):
-        return list(self.ordering.site_by_id.values())
+    def states(self):
+        return list(self.ordering.state_by_id.values())
 
     @property
     def tasks(self):
@@ -97,7 +97,7 @@
 # uses the memory of a whole VM for it.
 def test_a_new_lease_holder_limits_concurrent_inventory_requests(fleet):
     fleet.settle()
-    assert all(state.known for state in fleet.sites)
+    assert all(state.known for state in fleet.states)
     assert len(fleet.orders.inventory_requests) == ENDPOINTS
     assert fleet.orders.max_running_requests <= ordering.MAX_INVENTORY_TASKS
 
@@ -115,19 +115,19 @@
     fleet.settle()
     fleet.settle()
     assert fleet.orders.inventory_requests.count("i-3") == 1
-    fleet.ordering.site_by_id["i-3"].inventory_retry_at = 0.0
+    fleet.ordering.state_by_id["i-3"].inventory_retry_at = 0.0
     fleet.orders.silent.clear()
     fleet.settle()
-    assert fleet.ordering.site_by_id["i-3"].known
+    assert fleet.ordering.state_by_id["i-3"].known
 
 
 # Guards against jobs that wait for the next scheduling pass.
 def test_jobs_of_an_endpoint_start_once_its_state_is_known(fleet):
-    fleet.sites[5].add(sites.Job("m", "a1"))
-    fleet.sites[5].add(sites.Job("m", "a2"))
+    fleet.states[5].add(endpoint_state.Job("m", "a1"))
+    fleet.states[5].add(endpoint_state.Job("m", "a2"))
     fleet.settle()
     assert fleet.orders.sent_orders == [("i-5", "m", "a1"), ("i-5", "m", "a2")]
-    assert not fleet.sites[5].jobs
+    assert not fleet.states[5].jobs
 
 
 # Guards against an endpoint that stays idle until the next scheduling pass, after an
@@ -136,7 +136,7 @@
     fleet,
 ):
     fleet.settle()
-    state = fleet.sites[5]
+    state = fleet.states[5]
     original_order = fleet.orders.order
 
     def order_with_unknown_result(*order):
@@ -144,7 +144,7 @@
         return original_order(*order)
 
     fleet.orders.order = order_with_unknown_result
-    state.add(sites.Job("m", "a1"))
+    state.add(endpoint_state.Job("m", "a1"))
     fleet.settle()
     assert state.known
     assert fleet.orders.inventory_requests.count("i-5") == 2
@@ -154,11 +154,11 @@
 # lease.
 def test_a_former_lease_holder_starts_nothing(fleet):
     fleet.settle()
-    fleet.sites[0].add(sites.Job("m", "a1"))
+    fleet.states[0].add(endpoint_state.Job("m", "a1"))
     fleet.holds_lease = False
     fleet.settle()
     assert fleet.orders.sent_orders == []
-    assert fleet.sites[0].jobs
+    assert fleet.states[0].jobs
     fleet.holds_lease = True
     fleet.settle()
     assert fleet.orders.sent_orders == [("i-0", "m", "a1")]
--- a/packages/mothworks_gateway/tests/test_scheduler.py
+++ b/packages/mothworks_gateway/tests/test_scheduler.py
@@ -11,6 +11,7 @@
     declared,
     demand,
     discovery,
+    endpoint_state,
     lease,
     offers,
     ordering,
@@ -18,7 +19,6 @@
     running_requests,
     scheduler,
     site_orders,
-    sites,
 )
 
 TARGET = caller_request.Target("s", "m")
@@ -80,11 +80,11 @@
 
 def state(loaded):
     models = ("m",) if loaded else ()
-    endpoint_state = sites.EndpointState(
+    loaded_state = endpoint_state.EndpointState(
         gateway_builders.endpoint("i-1", models=models), ACCELERATOR
     )
-    endpoint_state.adapters_by_model = {name: set() for name in models}
-    return endpoint_state
+    loaded_state.adapters_by_model = {name: set() for name in models}
+    return loaded_state
 
 
 def needs_more(part):
--- a/packages/mothworks_gateway/tests/test_site_orders.py
+++ b/packages/mothworks_gateway/tests/test_site_orders.py
@@ -5,7 +5,7 @@
 
 import gateway_builders
 import modelled_endpoint
-from mothworks_gateway import registry, sites
+from mothworks_gateway import endpoint_state, registry
 
 SIZES = {"small": 16.1, "slight": 16.1, "spare": 16.1, "busy": 34.3, "wanted": 34.3}
 
@@ -30,7 +30,7 @@
 def state_of(endpoint, *holding):
     endpoint.start(holding)
     registered = gateway_builders.endpoint("i-1", models=holding)
-    return sites.EndpointState(registered, endpoint.declared_as)
+    return endpoint_state.EndpointState(registered, endpoint.declared_as)
 
 
 def test_a_load_that_outlasts_the_lease_still_counts_as_memory(
--- a/packages/mothworks_gateway/tests/test_unloads.py
+++ b/packages/mothworks_gateway/tests/test_unloads.py
@@ -8,7 +8,7 @@
 
 import gateway_builders
 import modelled_endpoint
-from mothworks_gateway import registry, site_orders, sites, unload_time
+from mothworks_gateway import endpoint_state, registry, site_orders, unload_time
 
 UNLOAD_S = 0.09
 SWAPS = 12
@@ -66,7 +66,7 @@
     refused_by_swap = []
     for _ in range(SWAPS):
         endpoint.start(["one"])
-        state = sites.EndpointState(
+        state = endpoint_state.EndpointState(
             gateway_builders.endpoint("i-1", models=["one"]), endpoint.declared_as
         )
         endpoint.refused = 0
