--- a/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
@@ -1,7 +1,7 @@
 """Late orders: orders without a response, which an endpoint may still execute.
 
 An endpoint executes a late order only while it has accepted as many orders as the order
-names. Within one incarnation that makes late orders harmless (see :mod:`site_orders`).
+names. Within one incarnation that makes late orders harmless (see :mod:`order_sender`).
 But an endpoint that restarts under its name counts from zero again, so an old order may
 match the count once more, and another old order that names the next count may follow
 it. So each VM remembers the orders without a response, and the lease holder sends no
--- a/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
@@ -1,4 +1,4 @@
-"""Site orders: sends an order to an endpoint until it is executed.
+"""Order sender: sends an order to an endpoint until it is executed.
 
 An order names the number of orders that the endpoint has accepted so far, and the
 endpoint accepts it only if that number still holds. Of two orders with the same number,
@@ -57,7 +57,7 @@
 JOB_TIMEOUT_S = 20.0
 
 
-class SiteOrders(kernel.Part):
+class OrderSender(kernel.Part):
     """Sends orders to endpoints while this VM holds the lease.
 
     :param node_kernel: the node's kernel.
--- a/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
@@ -19,9 +19,9 @@
     discovery,
     endpoint_state,
     lease,
+    order_sender,
     residency,
     running_requests,
-    site_orders,
 )
 
 log = logbook.Logger("ordering")
@@ -49,7 +49,7 @@
         self.lease = node_kernel.get(lease.Lease)
         self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.demand = node_kernel.get(demand.Demand)
-        self.orders = node_kernel.get(site_orders.SiteOrders)
+        self.orders = node_kernel.get(order_sender.OrderSender)
         self.state_by_id: dict[str, endpoint_state.EndpointState] = {}
         #: Endpoints whose inventory is to be requested, and the number of tasks that do
         #: so.
@@ -147,7 +147,7 @@
             self.orders.refresh(state)
         if not state.known:
             state.inventory_retry_at = (
-                time.monotonic() + site_orders.INVENTORY_INTERVAL_S
+                time.monotonic() + order_sender.INVENTORY_INTERVAL_S
             )
         return state.known
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -25,10 +25,10 @@
     endpoint_state,
     lease,
     offers,
+    order_sender,
     ordering,
     residency,
     running_requests,
-    site_orders,
 )
 
 log = logbook.Logger("scheduler")
@@ -116,7 +116,7 @@
         self.discovery = node_kernel.get(discovery.Discovery)
         self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.ordering = node_kernel.get(ordering.Ordering)
-        self.site_orders = node_kernel.get(site_orders.SiteOrders)
+        self.order_sender = node_kernel.get(order_sender.OrderSender)
         self.demand = node_kernel.get(demand.Demand)
         self.placement = node_kernel.get(offers.Placement)
         self.spread_at_by_target: dict[caller_request.Target, float] = {}
@@ -238,7 +238,7 @@
             candidate
             for candidate in self.placement.candidates(target.service, model, evictable)
             if candidate.eviction_cost <= cost_limit
-            and self.site_orders.may_load(candidate.state, model, share)
+            and self.order_sender.may_load(candidate.state, model, share)
             # Loading from an existing copy is the cheapest, but adds no copy.
             and not (reason == COPY and model.name in candidate.state.local_models())
         ]
--- a/packages/mothworks_gateway/tests/modelled_endpoint.py
+++ b/packages/mothworks_gateway/tests/modelled_endpoint.py
@@ -18,8 +18,8 @@
     endpoints_client,
     late_orders,
     lease,
+    order_sender,
     residency,
-    site_orders,
 )
 
 MEMORY_MB = 83.0
@@ -167,7 +167,7 @@
 
 
 def make_site_orders(endpoint, view, vms, held_lease=None):
-    """Return the site orders of a lease holder, connected to an endpoint."""
+    """Return the order sender of a lease holder, connected to an endpoint."""
     parts = {
         discovery.Discovery: types.SimpleNamespace(registry=view),
         endpoints_client.EndpointsClient: types.SimpleNamespace(protocol=endpoint),
@@ -177,4 +177,4 @@
     }
     kernel = gateway_builders.Kernel(parts)
     parts[late_orders.LateOrders] = late_orders.LateOrders(kernel)
-    return site_orders.SiteOrders(kernel)
+    return order_sender.OrderSender(kernel)
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -16,12 +16,12 @@
     heartbeat,
     lease,
     offers,
+    order_sender,
     ordering,
     prefill_speed,
     residency,
     running_requests,
     scheduler,
-    site_orders,
 )
 
 SERVICE = "s"
@@ -82,7 +82,7 @@
         parts = {
             running_requests.RunningRequests: self.running_requests,
             ordering.Ordering: self.ordering,
-            site_orders.SiteOrders: types.SimpleNamespace(may_load=lambda *_: True),
+            order_sender.OrderSender: types.SimpleNamespace(may_load=lambda *_: True),
             residency.Residency: types.SimpleNamespace(on_waiting=[]),
             heartbeat.Heartbeats: types.SimpleNamespace(on_received=[]),
             lease.Lease: types.SimpleNamespace(on_gained=[], fence=1),
--- a/packages/mothworks_gateway/tests/test_adapters_in_demand.py
+++ b/packages/mothworks_gateway/tests/test_adapters_in_demand.py
@@ -18,11 +18,11 @@
     demand,
     discovery,
     lease,
+    order_sender,
     ordering,
     registry,
     residency,
     running_requests,
-    site_orders,
 )
 
 ADAPTER_SLOTS = 8
@@ -71,7 +71,7 @@
         lease.Lease: None,
         running_requests.RunningRequests: RunningRequests(),
         demand.Demand: Demand(),
-        site_orders.SiteOrders: None,
+        order_sender.OrderSender: None,
         residency.Residency: types.SimpleNamespace(on_not_held=[]),
     }
     return ordering.Ordering(gateway_builders.Kernel(parts))
--- a/packages/mothworks_gateway/tests/test_late_orders.py
+++ b/packages/mothworks_gateway/tests/test_late_orders.py
@@ -26,7 +26,7 @@
 
 
 def started():
-    """Return an endpoint that reports its start time, a registry, and site orders."""
+    """Return an endpoint with a start time, a registry and an order sender."""
     endpoint = modelled_endpoint.ModelledEndpoint(
         modelled_endpoint.accelerator(**SIZES)
     )
--- a/packages/mothworks_gateway/tests/test_site_orders.py
+++ b/packages/mothworks_gateway/tests/test_order_sender.py
@@ -1,4 +1,4 @@
-"""Site orders: an endpoint is never made to hold more than fits in its memory."""
+"""Order sender: an endpoint is never made to hold more than fits in its memory."""
 
 import gevent
 import pytest
--- a/packages/mothworks_gateway/tests/test_ordering.py
+++ b/packages/mothworks_gateway/tests/test_ordering.py
@@ -12,18 +12,18 @@
     discovery,
     endpoint_state,
     lease,
+    order_sender,
     ordering,
     registry,
     residency,
     running_requests,
-    site_orders,
 )
 
 ENDPOINTS = 1000
 
 
 class Orders:
-    """Stub of the site orders: endpoints respond at once, or not at all."""
+    """Stub of the order sender: endpoints respond at once, or not at all."""
 
     def __init__(self):
         self.running_requests = 0
@@ -61,7 +61,7 @@
             lease.Lease: lease_stub,
             running_requests.RunningRequests: scheduling_builders.RunningRequests(),
             demand.Demand: None,
-            site_orders.SiteOrders: self.orders,
+            order_sender.OrderSender: self.orders,
             residency.Residency: types.SimpleNamespace(on_not_held=[]),
         }
         self.ordering = ordering.Ordering(gateway_builders.Kernel(parts))
--- a/packages/mothworks_gateway/tests/test_scheduler.py
+++ b/packages/mothworks_gateway/tests/test_scheduler.py
@@ -14,11 +14,11 @@
     endpoint_state,
     lease,
     offers,
+    order_sender,
     ordering,
     residency,
     running_requests,
     scheduler,
-    site_orders,
 )
 
 TARGET = caller_request.Target("s", "m")
@@ -64,7 +64,7 @@
                 discovery.Discovery,
                 running_requests.RunningRequests,
                 ordering.Ordering,
-                site_orders.SiteOrders,
+                order_sender.OrderSender,
                 residency.Residency,
             ),
             stub,
--- a/packages/mothworks_gateway/tests/test_unloads.py
+++ b/packages/mothworks_gateway/tests/test_unloads.py
@@ -8,7 +8,7 @@
 
 import gateway_builders
 import modelled_endpoint
-from mothworks_gateway import endpoint_state, registry, site_orders, unload_time
+from mothworks_gateway import endpoint_state, order_sender, registry, unload_time
 
 UNLOAD_S = 0.09
 SWAPS = 12
@@ -21,8 +21,8 @@
         self.now = 100.0
         self.endpoint = endpoint
         self.busy_until = 0.0
-        monkeypatch.setattr(site_orders, "time", self)
-        monkeypatch.setattr(site_orders.gevent, "sleep", self.sleep)
+        monkeypatch.setattr(order_sender, "time", self)
+        monkeypatch.setattr(order_sender.gevent, "sleep", self.sleep)
 
     def monotonic(self):
         return self.now
