--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -24,9 +24,9 @@
     discovery,
     endpoint_state,
     lease,
-    offers,
     order_sender,
     ordering,
+    placement_candidates,
     residency,
     running_requests,
 )
@@ -118,7 +118,7 @@
         self.ordering = node_kernel.get(ordering.Ordering)
         self.order_sender = node_kernel.get(order_sender.OrderSender)
         self.demand = node_kernel.get(demand.Demand)
-        self.placement = node_kernel.get(offers.Placement)
+        self.placement = node_kernel.get(placement_candidates.Placement)
         self.spread_at_by_target: dict[caller_request.Target, float] = {}
         self.last_cover_at = 0.0
         self.woken = gevent.event.Event()
@@ -187,7 +187,7 @@
             WAITING_COST_LIMIT + WAITING_COST_LIMIT_PER_S * late_s
         )
         target, count = unmet.target.base, unmet.count
-        any_model = offers.Evictable.ANY
+        any_model = placement_candidates.Evictable.ANY
         self._place_model(target, model, CALLERS_WAITING, cost_limit, count, any_model)
 
     def _place_adapter(
@@ -230,8 +230,10 @@
         reason: str,
         cost_limit: float,
         callers: int,
-        evictable: offers.Evictable = offers.Evictable.UNUSED,
-    ) -> offers.Candidate | None:
+        evictable: placement_candidates.Evictable = (
+            placement_candidates.Evictable.UNUSED
+        ),
+    ) -> placement_candidates.Candidate | None:
         """Queue a load on the cheapest endpoint whose evictions cost little enough."""
         share = COPY_STORE_SHARE if reason in (NOT_HELD, COPY) else 1.0
         candidates = [
@@ -290,7 +292,7 @@
                 DEMAND,
                 value / MIN_VALUE_FACTOR,
                 round(value),
-                offers.Evictable.ANY,
+                placement_candidates.Evictable.ANY,
             )
             if candidate is None:
                 return
@@ -327,7 +329,7 @@
         for name in sorted(cost_by_model, key=cost_by_model.get, reverse=True):
             model = accelerator.model_by_name[name]
             target = caller_request.Target(service, name)
-            spare_only = offers.Evictable.SPARE
+            spare_only = placement_candidates.Evictable.SPARE
             self._place_model(
                 target, model, NOT_HELD, cost_by_model[name], 0, spare_only
             )
@@ -361,7 +363,7 @@
         target: caller_request.Target,
         state: endpoint_state.EndpointState,
         reason: str,
-        candidate: offers.Candidate | None = None,
+        candidate: placement_candidates.Candidate | None = None,
     ) -> None:
         logs.event(
             log,
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -15,9 +15,9 @@
     endpoint_state,
     heartbeat,
     lease,
-    offers,
     order_sender,
     ordering,
+    placement_candidates,
     prefill_speed,
     residency,
     running_requests,
@@ -97,7 +97,9 @@
             prefill_speed.PrefillSpeed(kernel)
         )
         parts[demand.Demand] = self.demand = demand.Demand(kernel)
-        parts[offers.Placement] = self.placement = offers.Placement(kernel)
+        parts[placement_candidates.Placement] = self.placement = (
+            placement_candidates.Placement(kernel)
+        )
         self.scheduler = scheduler.Scheduler(kernel)
         service = declared.Service(SERVICE, accelerator=accelerator)
         self.declaration = declared.Declaration(1, (), {SERVICE: service})
--- a/packages/mothworks_gateway/tests/test_moving_demand.py
+++ b/packages/mothworks_gateway/tests/test_moving_demand.py
@@ -11,7 +11,7 @@
 import pytest
 
 import scheduling_builders
-from mothworks_gateway import offers, prefill_speed
+from mothworks_gateway import placement_candidates, prefill_speed
 
 TOKENS = 1_800
 PER_S = 33.0
@@ -33,7 +33,9 @@
     # three quarters of the new rate are observed.
     scheduling.ask("rising", PER_S, TOKENS, seconds=2.0)
     needed = (
-        PER_S * TOKENS / (prefill_speed.DEFAULT_TOKENS_PER_S * offers.PREFILL_SHARE)
+        PER_S
+        * TOKENS
+        / (prefill_speed.DEFAULT_TOKENS_PER_S * placement_candidates.PREFILL_SHARE)
     )
     assert scheduling.holders("rising") >= 0.75 * needed
 
--- a/packages/mothworks_gateway/tests/test_offers.py
+++ b/packages/mothworks_gateway/tests/test_placement_candidates.py
@@ -1,6 +1,6 @@
 """Placement candidates: which models an endpoint evicts to make room for another."""
 
-from mothworks_gateway import offers
+from mothworks_gateway import placement_candidates
 
 
 class EndpointState:
@@ -17,9 +17,12 @@
 
 
 def evictions(state, needed_mb, **cost_by_model):
-    options = [offers._Eviction(name, cost) for name, cost in cost_by_model.items()]
+    options = [
+        placement_candidates._Eviction(name, cost)
+        for name, cost in cost_by_model.items()
+    ]
     options.sort(key=lambda eviction: eviction.cost)
-    chosen = offers._select_evictions(state, options, needed_mb)
+    chosen = placement_candidates._select_evictions(state, options, needed_mb)
     return None if chosen is None else [eviction.model for eviction in chosen]
 
 
--- a/packages/mothworks_gateway/tests/test_scheduler.py
+++ b/packages/mothworks_gateway/tests/test_scheduler.py
@@ -13,9 +13,9 @@
     discovery,
     endpoint_state,
     lease,
-    offers,
     order_sender,
     ordering,
+    placement_candidates,
     residency,
     running_requests,
     scheduler,
@@ -71,7 +71,7 @@
         )
         parts |= {
             demand.Demand: Demand(),
-            offers.Placement: Placement(holders, running),
+            placement_candidates.Placement: Placement(holders, running),
         }
         return scheduler.Scheduler(gateway_builders.Kernel(parts))
 
