--- a/packages/mothworks_gateway/src/mothworks_gateway/ordering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/job_execution.py
@@ -1,4 +1,4 @@
-"""Ordering: executes the queued jobs of each endpoint, one at a time.
+"""Job execution: executes the queued jobs of each endpoint, one at a time.
 
 While an endpoint has jobs, one task executes them: it evicts what is in the way, once
 no request uses it, and loads what the job names. Adapters go first, even while a model
@@ -37,7 +37,7 @@
 MIN_ADAPTER_STAY_S = 0.6
 
 
-class Ordering(kernel.Part):
+class JobExecutor(kernel.Part):
     """The endpoint states kept by the lease holder, and the tasks that work on them.
 
     :param node_kernel: the node's kernel.
--- a/packages/mothworks_gateway/src/mothworks_gateway/node.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/node.py
@@ -25,8 +25,8 @@
     front,
     gathering,
     heartbeat,
+    job_execution,
     lease,
-    ordering,
     residency,
     scheduler,
     settings,
@@ -58,7 +58,7 @@
     credit.Credits,
     admission.Admission,
     residency.Residency,
-    ordering.Ordering,
+    job_execution.JobExecutor,
     scheduler.Scheduler,
     front.Front,
 )
--- a/packages/mothworks_gateway/src/mothworks_gateway/placement_candidates.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/placement_candidates.py
@@ -15,7 +15,7 @@
     demand,
     endpoint_limits,
     endpoint_state,
-    ordering,
+    job_execution,
     prefill_speed,
     running_requests,
 )
@@ -113,7 +113,7 @@
 
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
-        self.ordering = node_kernel.get(ordering.Ordering)
+        self.job_executor = node_kernel.get(job_execution.JobExecutor)
         self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.demand = node_kernel.get(demand.Demand)
         self.prefill_speed = node_kernel.get(prefill_speed.PrefillSpeed)
@@ -194,7 +194,7 @@
         by_model = self.involved_by_service.get(target.service)
         if by_model is None:
             by_model = self.involved_by_service[target.service] = {}
-            for state in self.ordering.of_service(target.service):
+            for state in self.job_executor.of_service(target.service):
                 queued = {job.model for job in state.jobs}
                 for model in {*state.adapters_by_model, state.loading, *queued}:
                     by_model.setdefault(model, []).append(state)
@@ -218,7 +218,7 @@
         :param target: the model.
         :param model: its declaration.
         """
-        states = self.ordering.of_service(target.service)
+        states = self.job_executor.of_service(target.service)
         seconds = min((state.load_s(model) for state in states), default=0.0)
         rate = max(MIN_RATE_PER_S, self.demand.rate(target))
         return rate * (UNAVAILABLE_S + seconds)
@@ -252,7 +252,7 @@
         better than none.
         """
         open_states = [
-            state for state in self.ordering.of_service(service) if state.open
+            state for state in self.job_executor.of_service(service) if state.open
         ]
         unlimited = [
             state
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -23,9 +23,9 @@
     demand,
     discovery,
     endpoint_state,
+    job_execution,
     lease,
     order_sender,
-    ordering,
     placement_candidates,
     residency,
     running_requests,
@@ -115,7 +115,7 @@
         self.declarations = node_kernel.get(declarations.Declarations)
         self.discovery = node_kernel.get(discovery.Discovery)
         self.running_requests = node_kernel.get(running_requests.RunningRequests)
-        self.ordering = node_kernel.get(ordering.Ordering)
+        self.job_executor = node_kernel.get(job_execution.JobExecutor)
         self.order_sender = node_kernel.get(order_sender.OrderSender)
         self.demand = node_kernel.get(demand.Demand)
         self.placement = node_kernel.get(placement_candidates.Placement)
@@ -145,11 +145,11 @@
                 gevent.sleep(PAUSE_FACTOR * (time.monotonic() - started_at))
 
     def _on_lease_acquired(self) -> None:
-        self.ordering.reset()
+        self.job_executor.reset()
         self.woken.set()
 
     def _schedule(self, declaration: declared.Declaration) -> None:
-        self.ordering.update_endpoints(declaration)
+        self.job_executor.update_endpoints(declaration)
         self.placement.clear_caches()
         unmet_demands = self.demand.unmet()
         cover_due = time.monotonic() - self.last_cover_at > COVER_INTERVAL_S
@@ -167,7 +167,7 @@
                     self._cover(service.name, service.accelerator)
                 if not unmet_demands and self.demand.total() < COPY_MAX_RATE_PER_S:
                     self._copy(service.name, service.accelerator)
-        self.ordering.start_work()
+        self.job_executor.start_work()
 
     def _load_for_waiting(
         self, unmet: demand.UnmetDemand, accelerator: declared.Accelerator
@@ -199,7 +199,7 @@
             state
             for state in states
             if unmet.target.model in state.adapters_by_model
-            and self.ordering.has_adapter_slot(state)
+            and self.job_executor.has_adapter_slot(state)
         ]
         if with_slot:
             state = min(with_slot, key=self._pressure)
@@ -341,7 +341,7 @@
         stay in the endpoint's host memory.
         """
         copies_by_model: collections.Counter[str] = collections.Counter()
-        for state in self.ordering.of_service(service):
+        for state in self.job_executor.of_service(service):
             if not state.known:
                 return
             copies_by_model.update(state.local_models())
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -14,9 +14,9 @@
     endpoint_limits,
     endpoint_state,
     heartbeat,
+    job_execution,
     lease,
     order_sender,
-    ordering,
     placement_candidates,
     prefill_speed,
     residency,
@@ -70,7 +70,7 @@
         self.running_requests = RunningRequests()
         #: Rate limits that endpoints advertise, requests per second.
         self.limit_by_id = {}
-        self.ordering = types.SimpleNamespace(
+        self.job_executor = types.SimpleNamespace(
             of_service=lambda _: list(self.states),
             update_endpoints=lambda _: None,
             start_work=lambda: None,
@@ -81,7 +81,7 @@
         ]
         parts = {
             running_requests.RunningRequests: self.running_requests,
-            ordering.Ordering: self.ordering,
+            job_execution.JobExecutor: self.job_executor,
             order_sender.OrderSender: types.SimpleNamespace(may_load=lambda *_: True),
             residency.Residency: types.SimpleNamespace(on_waiting=[]),
             heartbeat.Heartbeats: types.SimpleNamespace(on_received=[]),
--- a/packages/mothworks_gateway/tests/test_adapters_in_demand.py
+++ b/packages/mothworks_gateway/tests/test_adapters_in_demand.py
@@ -17,9 +17,9 @@
     declared,
     demand,
     discovery,
+    job_execution,
     lease,
     order_sender,
-    ordering,
     registry,
     residency,
     running_requests,
@@ -39,7 +39,7 @@
 @pytest.fixture
 def clock(monkeypatch):
     clock_stub = scheduling_builders.Clock(monkeypatch)
-    monkeypatch.setattr(ordering, "time", clock_stub)
+    monkeypatch.setattr(job_execution, "time", clock_stub)
     return clock_stub
 
 
@@ -74,7 +74,7 @@
         order_sender.OrderSender: None,
         residency.Residency: types.SimpleNamespace(on_not_held=[]),
     }
-    return ordering.Ordering(gateway_builders.Kernel(parts))
+    return job_execution.JobExecutor(gateway_builders.Kernel(parts))
 
 
 def full_state(loaded_at):
--- a/packages/mothworks_gateway/tests/test_ordering.py
+++ b/packages/mothworks_gateway/tests/test_job_execution.py
@@ -1,4 +1,4 @@
-"""Ordering: what the lease holder's tasks cost with thousands of endpoints."""
+"""Job execution: what the lease holder's tasks cost with thousands of endpoints."""
 
 import types
 
@@ -11,9 +11,9 @@
     demand,
     discovery,
     endpoint_state,
+    job_execution,
     lease,
     order_sender,
-    ordering,
     registry,
     residency,
     running_requests,
@@ -50,7 +50,7 @@
 
 
 class Fleet:
-    """An ordering part that holds the lease, and its endpoint states."""
+    """A job executor that holds the lease, and its endpoint states."""
 
     def __init__(self, count):
         self.orders = Orders()
@@ -64,24 +64,24 @@
             order_sender.OrderSender: self.orders,
             residency.Residency: types.SimpleNamespace(on_not_held=[]),
         }
-        self.ordering = ordering.Ordering(gateway_builders.Kernel(parts))
+        self.job_executor = job_execution.JobExecutor(gateway_builders.Kernel(parts))
         accelerator = scheduling_builders.accelerator_for(("m",), 8)
         for number in range(count):
             state = scheduling_builders.state_of(f"i-{number}", accelerator, ("m",))
             state.accepted = None
-            self.ordering.state_by_id[state.endpoint.id] = state
+            self.job_executor.state_by_id[state.endpoint.id] = state
 
     @property
     def states(self):
-        return list(self.ordering.state_by_id.values())
+        return list(self.job_executor.state_by_id.values())
 
     @property
     def tasks(self):
-        return len(self.ordering.tasks.group)
+        return len(self.job_executor.tasks.group)
 
     def settle(self):
         with gevent.Timeout(10):
-            self.ordering.start_work()
+            self.job_executor.start_work()
             while self.tasks:
                 gevent.sleep(0.001)
 
@@ -90,7 +90,7 @@
 def fleet():
     new_fleet = Fleet(ENDPOINTS)
     yield new_fleet
-    new_fleet.ordering.tasks.stop()
+    new_fleet.job_executor.tasks.stop()
 
 
 # Guards against a new lease holder that requests thousands of inventories at once and
@@ -99,13 +99,13 @@
     fleet.settle()
     assert all(state.known for state in fleet.states)
     assert len(fleet.orders.inventory_requests) == ENDPOINTS
-    assert fleet.orders.max_running_requests <= ordering.MAX_INVENTORY_TASKS
+    assert fleet.orders.max_running_requests <= job_execution.MAX_INVENTORY_TASKS
 
 
 # Guards against one task per endpoint, each waking twice a second without work.
 def test_endpoints_without_jobs_need_no_tasks(fleet):
     fleet.settle()
-    fleet.ordering.start_work()
+    fleet.job_executor.start_work()
     assert fleet.tasks == 0
 
 
@@ -115,10 +115,10 @@
     fleet.settle()
     fleet.settle()
     assert fleet.orders.inventory_requests.count("i-3") == 1
-    fleet.ordering.state_by_id["i-3"].inventory_retry_at = 0.0
+    fleet.job_executor.state_by_id["i-3"].inventory_retry_at = 0.0
     fleet.orders.silent.clear()
     fleet.settle()
-    assert fleet.ordering.state_by_id["i-3"].known
+    assert fleet.job_executor.state_by_id["i-3"].known
 
 
 # Guards against jobs that wait for the next scheduling pass.
@@ -168,7 +168,7 @@
 def test_an_inventory_follows_a_missing_model(fleet):
     fleet.settle()
     fleet.orders.inventory_requests.clear()
-    fleet.ordering._on_not_held("i-7")
+    fleet.job_executor._on_not_held("i-7")
     with gevent.Timeout(10):
         while fleet.tasks:
             gevent.sleep(0.001)
