--- a/packages/mothworks_gateway/src/mothworks_gateway/gathering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/aggregation.py
@@ -1,4 +1,4 @@
-"""Gathering: a few collectors aggregate the heartbeats of all VMs.
+"""Aggregation: a few collectors aggregate the heartbeats of all VMs.
 
 Where the VMs are too many for each to send to all others, each sends its heartbeats to
 one collector (:mod:`collectors`). The collectors send the sums of what they received to
@@ -130,7 +130,7 @@
         )
 
 
-class Gathering(kernel.Part):
+class Aggregation(kernel.Part):
     """Sends this VM's heartbeats to a collector, and aggregates those of others.
 
     :param node_kernel: the node's kernel.
--- a/packages/mothworks_gateway/src/mothworks_gateway/node.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/node.py
@@ -15,6 +15,7 @@
 from mothworks import exchange, kernel, logs, membership, peers, ports, vm_list
 from mothworks_gateway import (
     admission,
+    aggregation,
     credit,
     declaration_updates,
     declarations,
@@ -23,7 +24,6 @@
     feeding,
     freshness,
     front,
-    gathering,
     heartbeat,
     job_execution,
     lease,
@@ -51,7 +51,7 @@
     discovery.Discovery,
     heartbeat.Heartbeats,
     lease.Lease,
-    gathering.Gathering,
+    aggregation.Aggregation,
     watching.Watching,
     declaration_updates.DeclarationUpdates,
     freshness.Freshness,
--- a/packages/mothworks_gateway/tests/limited_fleet.py
+++ b/packages/mothworks_gateway/tests/limited_fleet.py
@@ -15,6 +15,7 @@
 import virtual_time
 from mothworks import peers
 from mothworks_gateway import (
+    aggregation,
     caller_request,
     declarations,
     discovery,
@@ -22,7 +23,6 @@
     error_rates,
     feeding,
     fleet_size,
-    gathering,
     health,
     heartbeat,
     lease,
@@ -110,7 +110,7 @@
         ):
             kernel.parts[part_class] = part_class(kernel)
         self.limits = fleet_builders.add_limits(kernel)
-        for part_class in (gathering.Gathering, send_slots.SendSlots):
+        for part_class in (aggregation.Aggregation, send_slots.SendSlots):
             kernel.parts[part_class] = part_class(kernel)
         self.kernel = kernel
         self.slots = kernel.get(send_slots.SendSlots)
@@ -126,7 +126,7 @@
     def __init__(self, monkeypatch, count, endpoints=1, seed=1):
         modules = (
             endpoint_limits,
-            gathering,
+            aggregation,
             health,
             running_requests,
             owners,
--- a/packages/mothworks_gateway/tests/test_gathering.py
+++ b/packages/mothworks_gateway/tests/test_aggregation.py
@@ -1,4 +1,4 @@
-"""Gathering: all VMs know what runs at each endpoint, the holder knows all demand.
+"""Aggregation: all VMs know what runs at each endpoint, the holder knows all demand.
 
 Simulates 195 VMs and 59 endpoints that run ten requests each, in virtual time. Each VM
 sends one or two requests a second, so none sees enough by itself.
@@ -13,13 +13,13 @@
 import fleet_builders
 import gateway_builders
 from mothworks_gateway import (
+    aggregation,
     caller_request,
     collectors,
     declarations,
     discovery,
     error_rates,
     feeding,
-    gathering,
     health,
     heartbeat,
     lease,
@@ -39,7 +39,7 @@
 
     def __init__(self, monkeypatch):
         self.now = 100.0
-        for module in (gathering, health, running_requests, heartbeat, error_rates):
+        for module in (aggregation, health, running_requests, heartbeat, error_rates):
             monkeypatch.setattr(module, "time", self)
 
     def monotonic(self):
@@ -47,7 +47,7 @@
 
 
 class Vm:
-    """One VM with heartbeats, running requests and gathering, without network."""
+    """One VM with heartbeats, running requests and aggregation, without network."""
 
     def __init__(self, name, fleet):
         self.held = False
@@ -75,7 +75,7 @@
         kernel.parts[health.Health] = self.health = health.Health(kernel)
         kernel.parts[shared_health.SharedHealth] = shared_health.SharedHealth(kernel)
         fleet_builders.add_limits(kernel)
-        self.gathering = gathering.Gathering(kernel)
+        self.aggregation = aggregation.Aggregation(kernel)
         #: Number of arrived requests in all heartbeats that this VM received.
         self.arrived_count = 0
         self.heartbeats.on_received.append(self.count)
@@ -94,7 +94,7 @@
         self.names = fleet_builders.names_of(count)
         self.holder = ""
         self.vm_by_name = {name: Vm(name, self) for name in self.names}
-        any_vm = self.vm_by_name[self.names[0]].gathering
+        any_vm = self.vm_by_name[self.names[0]].aggregation
         self.collectors = collectors.select(any_vm.ranking.vms)
         self.holder = self.collectors[0]
         self.running_by_endpoint = collections.Counter()
@@ -220,7 +220,7 @@
     # reported to no collector, received no totals, and tried to acquire the lease.
     fleet = Fleet(monkeypatch)
     name = next(vm for vm in fleet.names if vm not in fleet.collectors)
-    view = fleet.vm_by_name[name].gathering.membership
+    view = fleet.vm_by_name[name].aggregation.membership
     all_near = view.near()
     set_members(view, all_near[:17])
     monkeypatch.setattr(collectors, "MIN_COLLECTORS", 18)
@@ -320,7 +320,7 @@
     )
     fleet.run(2)
     assert computed_keys == []
-    part = fleet.vm_by_name[fleet.names[0]].gathering
+    part = fleet.vm_by_name[fleet.names[0]].aggregation
     set_members(part.membership, part.membership.near()[1:])
     assert len(part.ranking.vms) == VMS - 1
     assert len(computed_keys) == VMS - 1
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -19,6 +19,7 @@
 import virtual_time
 from mothworks import messages, peers
 from mothworks_gateway import (
+    aggregation,
     client_accounts,
     credit,
     declarations,
@@ -27,7 +28,6 @@
     feeding,
     fleet_size,
     freshness,
-    gathering,
     health,
     heartbeat,
     lease,
@@ -102,7 +102,7 @@
 
 
 class Vm:
-    """One VM with heartbeats, gathering and credit, without network."""
+    """One VM with heartbeats, aggregation and credit, without network."""
 
     def __init__(self, name, fleet):
         view = registry.Registry()
@@ -134,7 +134,7 @@
             kernel
         )
         fleet_builders.add_limits(kernel)
-        self.gathering = gathering.Gathering(kernel)
+        self.aggregation = aggregation.Aggregation(kernel)
         self.credits = credit.Credits(kernel)
 
 
@@ -149,7 +149,7 @@
         modules = (
             credit,
             owners,
-            gathering,
+            aggregation,
             health,
             running_requests,
             heartbeat,
