--- a/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
@@ -1,9 +1,9 @@
 """Interfaces that a platform adapter implements.
 
 An adapter only translates: between the platform's documents and the types of
-:mod:`declared` and :mod:`registry`, and between requests and the endpoints' protocol.
-It registers its classes under the plug-in kinds below. The setting ``adapter`` names
-both the module to import and the key to register under.
+:mod:`declaration_types` and :mod:`registry`, and between requests and the endpoints'
+    protocol. It registers its classes under the plug-in kinds below. The setting
+    ``adapter`` names both the module to import and the key to register under.
 """
 
 import enum
@@ -12,7 +12,12 @@
 import result
 
 from mothworks import calls, endpoints, transport
-from mothworks_gateway import caller_request, client_accounts, declared, registry
+from mothworks_gateway import (
+    caller_request,
+    client_accounts,
+    declaration_types,
+    registry,
+)
 
 #: Kinds of plug-ins, in addition to those of :mod:`mothworks.plugins`.
 FEEDS = "feeds"
@@ -97,7 +102,9 @@
     #: Name of the operator's document in the feed of declarations.
     declaration_name: str
 
-    def declaration(self, document: bytes) -> result.Result[declared.Declaration, str]:
+    def declaration(
+        self, document: bytes
+    ) -> result.Result[declaration_types.Declaration, str]:
         """Decode the operator's document.
 
         :param document: the document.
@@ -123,7 +130,7 @@
     def read(
         self,
         call: calls.Call,
-        route: declared.Route,
+        route: declaration_types.Route,
         service: str,
         body: bytes,
         version: int,
--- a/packages/mothworks_gateway/src/mothworks_gateway/admission.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/admission.py
@@ -15,8 +15,8 @@
     caller_request,
     client_accounts,
     credit,
+    declaration_types,
     declarations,
-    declared,
     feeding,
     freshness,
 )
@@ -60,7 +60,7 @@
         return self.freshness.holds() or self.freshness.shared_by_all()
 
     def identify(
-        self, route: declared.Route, key: str
+        self, route: declaration_types.Route, key: str
     ) -> result.Result[client_accounts.ClientAccount | None, outcomes.Refusal]:
         """Return the caller's account; None if the route needs no key.
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/caller_request.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/caller_request.py
@@ -3,7 +3,7 @@
 import attrs
 import xxhash
 
-from mothworks_gateway import client_accounts, declared
+from mothworks_gateway import client_accounts, declaration_types
 
 
 @attrs.frozen
@@ -59,7 +59,7 @@
     """
 
     id: str
-    route: declared.Route
+    route: declaration_types.Route
     target: Target
     method: str
     path: str
--- a/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
@@ -12,7 +12,7 @@
 import result
 
 from mothworks import kernel, logs
-from mothworks_gateway import adapters, declared, feeding
+from mothworks_gateway import adapters, declaration_types, feeding
 
 log = logbook.Logger("declarations")
 
@@ -26,7 +26,7 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.feeds = node_kernel.get(feeding.Feeding).feeds
-        self.current: declared.Declaration | None = None
+        self.current: declaration_types.Declaration | None = None
         self.loaded = gevent.event.Event()
         self.updated_at = 0.0
         #: Whether the last document received could be decoded. If not, the declaration
@@ -93,7 +93,7 @@
             for notify in self.on_platform_document:
                 notify(document)
 
-    def _apply(self, declaration: declared.Declaration, source: str) -> None:
+    def _apply(self, declaration: declaration_types.Declaration, source: str) -> None:
         previous_version = self.version
         if declaration.version <= previous_version:
             # An older version may arrive late from a peer. Applying it would revert
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_selection.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_selection.py
@@ -15,7 +15,7 @@
 from mothworks import kernel, ownership
 from mothworks_gateway import (
     caller_request,
-    declared,
+    declaration_types,
     discovery,
     health,
     registry,
@@ -58,7 +58,7 @@
         self.health = node_kernel.get(health.Health)
         self.running_requests = node_kernel.get(running_requests.RunningRequests)
 
-    def service(self, route: declared.Route) -> str:
+    def service(self, route: declaration_types.Route) -> str:
         """Pick a service for a request at random, by the route's weights.
 
         :param route: the route.
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_state.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_state.py
@@ -6,7 +6,7 @@
 import attrs
 import gevent.event
 
-from mothworks_gateway import adapters, declared, registry
+from mothworks_gateway import adapters, declaration_types, registry
 
 #: Time to unload an unused model, seconds.
 UNLOAD_S = 0.1
@@ -98,7 +98,7 @@
     """
 
     endpoint: registry.Endpoint
-    accelerator: declared.Accelerator
+    accelerator: declaration_types.Accelerator
     accepted: int | None = None
     adapters_by_model: dict[str, set[str]] = attrs.field(factory=dict)
     loading: str = ""
@@ -284,7 +284,7 @@
             return self.accelerator.memory_mb
         return model.memory_mb + model.adapter_mb * len(held_adapters)
 
-    def load_s(self, model: declared.Model) -> float:
+    def load_s(self, model: declaration_types.Model) -> float:
         """Return how long a model takes to load here, seconds.
 
         :param model: the model.
--- a/packages/mothworks_gateway/src/mothworks_gateway/front.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/front.py
@@ -28,8 +28,8 @@
     adapters,
     admission,
     caller_request,
+    declaration_types,
     declarations,
-    declared,
     discovery,
     dispatch,
     settings,
@@ -143,7 +143,7 @@
             addresses.append((config.address, config.metrics_port))
         return addresses
 
-    def _apply_limits(self, declaration: declared.Declaration) -> None:
+    def _apply_limits(self, declaration: declaration_types.Declaration) -> None:
         """Apply the declared limits to new requests."""
         limits = declaration.limits
         self.listener.limits = attrs.evolve(
@@ -210,7 +210,7 @@
 
     def _route(
         self, call: calls.Call
-    ) -> result.Result[declared.Route, outcomes.Refusal]:
+    ) -> result.Result[declaration_types.Route, outcomes.Refusal]:
         """Return the route that matches a call."""
         if self.is_stopping:
             return result.Err(
--- a/packages/mothworks_gateway/src/mothworks_gateway/job_execution.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/job_execution.py
@@ -14,7 +14,7 @@
 from mothworks import kernel, logs
 from mothworks_gateway import (
     caller_request,
-    declared,
+    declaration_types,
     demand,
     discovery,
     endpoint_state,
@@ -75,7 +75,7 @@
             if state.endpoint.entry.service == service
         ]
 
-    def update_endpoints(self, declaration: declared.Declaration) -> None:
+    def update_endpoints(self, declaration: declaration_types.Declaration) -> None:
         """Add and remove states with their endpoints, and update what these can hold.
 
         :param declaration: the declaration in force.
@@ -254,7 +254,7 @@
         self,
         state: endpoint_state.EndpointState,
         job: endpoint_state.Job,
-        model: declared.Model,
+        model: declaration_types.Model,
     ) -> bool:
         if job.model not in state.adapters_by_model:
             return False
--- a/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
@@ -23,7 +23,7 @@
 from mothworks import kernel, logs
 from mothworks_gateway import (
     adapters,
-    declared,
+    declaration_types,
     discovery,
     endpoint_state,
     endpoints_client,
@@ -82,7 +82,7 @@
     def may_load(
         self,
         state: endpoint_state.EndpointState,
-        model: declared.Model,
+        model: declaration_types.Model,
         share: float = 1.0,
     ) -> bool:
         """Return whether the weight store's load rate allows one more load.
--- a/packages/mothworks_gateway/src/mothworks_gateway/placement_candidates.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/placement_candidates.py
@@ -11,7 +11,7 @@
 from mothworks import kernel
 from mothworks_gateway import (
     caller_request,
-    declared,
+    declaration_types,
     demand,
     endpoint_limits,
     endpoint_state,
@@ -211,7 +211,7 @@
         )
 
     def unavailability_cost(
-        self, target: caller_request.Target, model: declared.Model
+        self, target: caller_request.Target, model: declaration_types.Model
     ) -> float:
         """Return the cost of a model that no endpoint holds, in requests.
 
@@ -224,7 +224,7 @@
         return rate * (UNAVAILABLE_S + seconds)
 
     def candidates(
-        self, service: str, model: declared.Model, evictable: Evictable
+        self, service: str, model: declaration_types.Model, evictable: Evictable
     ) -> list[Candidate]:
         """Return the endpoints of a service that could load a model now.
 
@@ -273,7 +273,7 @@
         return cached
 
     def _may_queue(
-        self, state: endpoint_state.EndpointState, model: declared.Model
+        self, state: endpoint_state.EndpointState, model: declaration_types.Model
     ) -> bool:
         """Return whether one more model may be queued on an endpoint.
 
@@ -288,7 +288,7 @@
     def _candidate(
         self,
         state: endpoint_state.EndpointState,
-        model: declared.Model,
+        model: declaration_types.Model,
         options: list[_Eviction],
     ) -> Candidate | None:
         free_mb = state.accelerator.memory_mb
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -18,8 +18,8 @@
 from mothworks import kernel, logs
 from mothworks_gateway import (
     caller_request,
+    declaration_types,
     declarations,
-    declared,
     demand,
     discovery,
     endpoint_state,
@@ -148,7 +148,7 @@
         self.job_executor.reset()
         self.woken.set()
 
-    def _schedule(self, declaration: declared.Declaration) -> None:
+    def _schedule(self, declaration: declaration_types.Declaration) -> None:
         self.job_executor.update_endpoints(declaration)
         self.placement.clear_caches()
         unmet_demands = self.demand.unmet()
@@ -170,7 +170,7 @@
         self.job_executor.start_work()
 
     def _load_for_waiting(
-        self, unmet: demand.UnmetDemand, accelerator: declared.Accelerator
+        self, unmet: demand.UnmetDemand, accelerator: declaration_types.Accelerator
     ) -> None:
         """Load a model or adapter that callers wait for."""
         holders = self.placement.holders(unmet.target.base)
@@ -226,7 +226,7 @@
     def _place_model(
         self,
         target: caller_request.Target,
-        model: declared.Model,
+        model: declaration_types.Model,
         reason: str,
         cost_limit: float,
         callers: int,
@@ -261,7 +261,7 @@
         state.add(job)
         self.placement.clear_caches()
 
-    def _spread(self, service: str, accelerator: declared.Accelerator) -> None:
+    def _spread(self, service: str, accelerator: declaration_types.Accelerator) -> None:
         """Add an endpoint for each model whose endpoints are slow or nearly full."""
         for model in accelerator.model_by_name.values():
             target = caller_request.Target(service, model.name)
@@ -275,7 +275,7 @@
                 self._place_model(target, model, SLOW, cost_limit, 1)
 
     def _spread_by_demand(
-        self, target: caller_request.Target, model: declared.Model
+        self, target: caller_request.Target, model: declaration_types.Model
     ) -> None:
         """Load a model on as many endpoints as its prompts need, all at once.
 
@@ -299,7 +299,7 @@
             replicas += 1
 
     def _needs_more(
-        self, target: caller_request.Target, accelerator: declared.Accelerator
+        self, target: caller_request.Target, accelerator: declaration_types.Accelerator
     ) -> bool:
         """Return whether a model has too few endpoints for its callers."""
         since_last_s = time.monotonic() - self.spread_at_by_target.get(target, 0.0)
@@ -314,7 +314,7 @@
         full = running > SPREAD_BATCH_SHARE * slots
         return full or self.demand.late.rate(target) > SPREAD_LATE_PER_S
 
-    def _cover(self, service: str, accelerator: declared.Accelerator) -> None:
+    def _cover(self, service: str, accelerator: declaration_types.Accelerator) -> None:
         """Load models that no endpoint holds where they replace only spare replicas.
 
         Otherwise their callers would wait for a load, which takes up to four seconds.
@@ -334,7 +334,7 @@
                 target, model, NOT_HELD, cost_by_model[name], 0, spare_only
             )
 
-    def _copy(self, service: str, accelerator: declared.Accelerator) -> None:
+    def _copy(self, service: str, accelerator: declaration_types.Accelerator) -> None:
         """Load each model with too few copies once on another endpoint.
 
         The models that it replaces are reloaded afterwards, which is fast because they
--- a/packages/mothworks_gateway/tests/gateway_builders.py
+++ b/packages/mothworks_gateway/tests/gateway_builders.py
@@ -3,7 +3,13 @@
 import collections
 
 from mothworks import metrics
-from mothworks_gateway import caller_request, declared, discovery, registry, settings
+from mothworks_gateway import (
+    caller_request,
+    declaration_types,
+    discovery,
+    registry,
+    settings,
+)
 
 
 class Heartbeats:
@@ -77,7 +83,7 @@
 
 def request(**fields):
     """Return a request for a plain service."""
-    route = declared.Route("r", "h", "/", (declared.Share("s"),))
+    route = declaration_types.Route("r", "h", "/", (declaration_types.Share("s"),))
     values = {
         "id": "q-1",
         "route": route,
--- a/packages/mothworks_gateway/tests/modelled_endpoint.py
+++ b/packages/mothworks_gateway/tests/modelled_endpoint.py
@@ -13,7 +13,7 @@
 from mothworks import peers
 from mothworks_gateway import (
     adapters,
-    declared,
+    declaration_types,
     discovery,
     endpoints_client,
     late_orders,
@@ -30,10 +30,12 @@
 def accelerator(memory_mb=MEMORY_MB, **size_by_model):
     """Return the declaration of what such an endpoint can hold."""
     models = {
-        name: declared.Model(name, size, 8, ADAPTER_MB, 0.05, 0.03, 0.02)
+        name: declaration_types.Model(name, size, 8, ADAPTER_MB, 0.05, 0.03, 0.02)
         for name, size in size_by_model.items()
     }
-    return declared.Accelerator(memory_mb, ADAPTER_SLOTS, 96, 100_000, 5.0, models)
+    return declaration_types.Accelerator(
+        memory_mb, ADAPTER_SLOTS, 96, 100_000, 5.0, models
+    )
 
 
 class ModelledEndpoint:
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -7,8 +7,8 @@
 import gateway_builders
 from mothworks_gateway import (
     caller_request,
+    declaration_types,
     declarations,
-    declared,
     demand,
     discovery,
     endpoint_limits,
@@ -101,8 +101,8 @@
             placement_candidates.Placement(kernel)
         )
         self.scheduler = scheduler.Scheduler(kernel)
-        service = declared.Service(SERVICE, accelerator=accelerator)
-        self.declaration = declared.Declaration(1, (), {SERVICE: service})
+        service = declaration_types.Service(SERVICE, accelerator=accelerator)
+        self.declaration = declaration_types.Declaration(1, (), {SERVICE: service})
 
     def ask(self, model, per_s, tokens, seconds):
         """Send requests at a steady rate, with a scheduling pass per heartbeat."""
@@ -142,6 +142,7 @@
     :param batch: batch slots of an endpoint.
     """
     models = {
-        name: declared.Model(name, 34_300.0, 0, 0.0, 4.0, 1.0, 0.8) for name in names
+        name: declaration_types.Model(name, 34_300.0, 0, 0.0, 4.0, 1.0, 0.8)
+        for name in names
     }
-    return declared.Accelerator(83_000.0, 8, batch, 133_000, 2.2, models)
+    return declaration_types.Accelerator(83_000.0, 8, batch, 133_000, 2.2, models)
--- a/packages/mothworks_gateway/tests/test_adapters_in_demand.py
+++ b/packages/mothworks_gateway/tests/test_adapters_in_demand.py
@@ -14,7 +14,7 @@
 import gateway_builders
 import scheduling_builders
 from mothworks_gateway import (
-    declared,
+    declaration_types,
     demand,
     discovery,
     job_execution,
@@ -26,13 +26,13 @@
 )
 
 ADAPTER_SLOTS = 8
-ACCELERATOR = declared.Accelerator(
+ACCELERATOR = declaration_types.Accelerator(
     83_000.0,
     ADAPTER_SLOTS,
     96,
     133_000,
     2.2,
-    {"m": declared.Model("m", 34_300.0, 25, 40.0)},
+    {"m": declaration_types.Model("m", 34_300.0, 25, 40.0)},
 )
 
 
--- a/packages/mothworks_gateway/tests/test_large_looks.py
+++ b/packages/mothworks_gateway/tests/test_large_looks.py
@@ -12,16 +12,16 @@
 import pytest
 
 import scheduling_builders
-from mothworks_gateway import declared, endpoint_state, residency
+from mothworks_gateway import declaration_types, endpoint_state, residency
 
 MODELS = [f"m-{number}" for number in range(141)]
-ACCELERATOR = declared.Accelerator(
+ACCELERATOR = declaration_types.Accelerator(
     200_000.0,
     8,
     12,
     57_813,
     16.0,
-    {name: declared.Model(name, 65_000.0, 4) for name in MODELS},
+    {name: declaration_types.Model(name, 65_000.0, 4) for name in MODELS},
 )
 
 
--- a/packages/mothworks_gateway/tests/test_prefill_pacing.py
+++ b/packages/mothworks_gateway/tests/test_prefill_pacing.py
@@ -11,7 +11,7 @@
 from mothworks import membership, messages, peers
 from mothworks_gateway import (
     caller_request,
-    declared,
+    declaration_types,
     owners,
     prefill_pacing,
     prefill_speed,
@@ -69,11 +69,11 @@
 
 
 def request(tokens=TOKENS_PER_100_MS, objective_s=1.0, urgency=0):
-    route = declared.Route(
+    route = declaration_types.Route(
         "r",
         "h",
         "/",
-        (declared.Share("s"),),
+        (declaration_types.Share("s"),),
         objective_s=objective_s,
         urgency=urgency,
     )
--- a/packages/mothworks_gateway/tests/test_scheduler.py
+++ b/packages/mothworks_gateway/tests/test_scheduler.py
@@ -7,8 +7,8 @@
 import gateway_builders
 from mothworks_gateway import (
     caller_request,
+    declaration_types,
     declarations,
-    declared,
     demand,
     discovery,
     endpoint_state,
@@ -22,7 +22,7 @@
 )
 
 TARGET = caller_request.Target("s", "m")
-ACCELERATOR = declared.Accelerator(100.0, 8, 32, 10_000, 5.0, {})
+ACCELERATOR = declaration_types.Accelerator(100.0, 8, 32, 10_000, 5.0, {})
 
 
 class Demand:
