--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -15,7 +15,6 @@
 from mothworks import calls, endpoints, kernel, logs, transport
 from mothworks_gateway import (
     adapters,
-    answering,
     caller_request,
     endpoint_limits,
     endpoint_selection,
@@ -28,6 +27,7 @@
     retry_budget,
     running_requests,
     send_slots,
+    stream_relay,
 )
 
 log = logbook.Logger("attempts")
@@ -195,7 +195,7 @@
             self.prefill_speed.add_sample(request, took_s)
             if took_s > request.route.objective_s:
                 self.running_requests.record_late(request.target)
-            body = answering.StreamRelay(self, request, endpoint, answer)
+            body = stream_relay.StreamRelay(self, request, endpoint, answer)
             return self._reply(request, answer, body)
         whole_body = transport.whole(answer)
         if whole_body.is_err():
