--- a/packages/mothworks_gateway/src/mothworks_gateway/admission.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/admission.py
@@ -40,7 +40,7 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.declarations = node_kernel.get(declarations.Declarations)
-        self.feeding = node_kernel.get(feeding.Feeding)
+        self.feeding = node_kernel.get(feeding.FeedFollowers)
         self.freshness = node_kernel.get(freshness.Freshness)
         self.credits = node_kernel.get(credit.Credits)
         #: Set once the refresh in progress has ended; None while there is none.
--- a/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
@@ -25,7 +25,7 @@
 
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
-        self.feeds = node_kernel.get(feeding.Feeding).feeds
+        self.feeds = node_kernel.get(feeding.FeedFollowers).feeds
         self.current: declaration_types.Declaration | None = None
         self.loaded = gevent.event.Event()
         self.updated_at = 0.0
@@ -51,7 +51,7 @@
             self._apply_listing,
             self._apply_changes,
         )
-        self.kernel.get(feeding.Feeding).add(follower)
+        self.kernel.get(feeding.FeedFollowers).add(follower)
         self.tasks.spawn(follower.run)
 
     def offer(self, document: bytes, source: str) -> None:
--- a/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
@@ -28,7 +28,7 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.registry = registry.Registry()
-        followers = node_kernel.get(feeding.Feeding)
+        followers = node_kernel.get(feeding.FeedFollowers)
         self.feeds = followers.feeds
         self.follower = feeding.Follower(
             "endpoints",
--- a/packages/mothworks_gateway/src/mothworks_gateway/feed_reports.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/feed_reports.py
@@ -22,7 +22,7 @@
 
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
-        self.feeding = node_kernel.get(feeding.Feeding)
+        self.feeding = node_kernel.get(feeding.FeedFollowers)
         self._stale_feeds: set[str] = set()
         make_gauge = node_kernel.metrics.gauge
         self.unanswered_seconds = make_gauge(
--- a/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
@@ -385,7 +385,7 @@
         self.lost_at = None
 
 
-class Feeding(kernel.Part):
+class FeedFollowers(kernel.Part):
     """Registers the platform's feeds and their followers.
 
     :param node_kernel: the node's kernel.
--- a/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
@@ -79,7 +79,7 @@
         self.peers = node_kernel.get(peers.Peers)
         self.membership = node_kernel.get(membership.Membership)
         self.declarations = node_kernel.get(declarations.Declarations)
-        self.feeding = node_kernel.get(feeding.Feeding)
+        self.feeding = node_kernel.get(feeding.FeedFollowers)
         self.watching = node_kernel.get(watching.Watching)
         self.owners = node_kernel.get(owners.Owners)
         #: The time derived from peers' replies, on the clock of :func:`boot_clock.now`.
--- a/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
@@ -131,7 +131,7 @@
         self.membership = node_kernel.get(membership.Membership)
         self.declarations = node_kernel.get(declarations.Declarations)
         self.discovery = node_kernel.get(discovery.Discovery)
-        self.feeding = node_kernel.get(feeding.Feeding)
+        self.feeding = node_kernel.get(feeding.FeedFollowers)
         self.received_by_vm: dict[str, Received] = {}
         #: Functions that return fields of the next heartbeat, each as a dict.
         self.on_heartbeat: list = []
--- a/packages/mothworks_gateway/src/mothworks_gateway/node.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/node.py
@@ -45,7 +45,7 @@
     peers.Peers,
     vm_list.VmList,
     exchange.Exchange,
-    feeding.Feeding,
+    feeding.FeedFollowers,
     feed_reports.FeedReports,
     declarations.Declarations,
     discovery.Discovery,
--- a/packages/mothworks_gateway/src/mothworks_gateway/watching.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/watching.py
@@ -83,7 +83,7 @@
         self.heartbeats = node_kernel.get(heartbeat.Heartbeats)
         self.declarations = node_kernel.get(declarations.Declarations)
         self.discovery = node_kernel.get(discovery.Discovery)
-        self.feeding = node_kernel.get(feeding.Feeding)
+        self.feeding = node_kernel.get(feeding.FeedFollowers)
         self.election = watcher_election.WatcherElection(self.name)
         self.ranking = ranking.Ranking("watch", self.name, self.membership)
         self.is_watcher = True
--- a/packages/mothworks_gateway/tests/limited_fleet.py
+++ b/packages/mothworks_gateway/tests/limited_fleet.py
@@ -93,7 +93,7 @@
             discovery.Discovery: types.SimpleNamespace(
                 registry=fleet.registry_view, changed_at=1
             ),
-            feeding.Feeding: None,
+            feeding.FeedFollowers: None,
         }
         kernel = fleet_builders.kernel_of(name, fleet.names, fleet.wire, parts)
         kernel.parts[peers.Peers] = test_credit.Peers(name, fleet.wire, fleet.names)
--- a/packages/mothworks_gateway/tests/test_aggregation.py
+++ b/packages/mothworks_gateway/tests/test_aggregation.py
@@ -60,7 +60,7 @@
             lease.Lease: holder,
             declarations.Declarations: types.SimpleNamespace(version=1),
             discovery.Discovery: types.SimpleNamespace(registry=view, changed_at=1),
-            feeding.Feeding: None,
+            feeding.FeedFollowers: None,
         }
         kernel = fleet_builders.kernel_of(name, fleet.names, fleet.wire, parts)
         kernel.parts[heartbeat.Heartbeats] = self.heartbeats = heartbeat.Heartbeats(
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -114,7 +114,7 @@
                 version=1, current=types.SimpleNamespace(accounts=fleet.accounts)
             ),
             discovery.Discovery: types.SimpleNamespace(registry=view, changed_at=1),
-            feeding.Feeding: None,
+            feeding.FeedFollowers: None,
             freshness.Freshness: Freshness(fleet, name),
         }
         kernel = fleet_builders.kernel_of(name, fleet.names, fleet.wire, parts)
--- a/packages/mothworks_gateway/tests/test_declaration_updates.py
+++ b/packages/mothworks_gateway/tests/test_declaration_updates.py
@@ -47,7 +47,7 @@
 
     def _make(self, name):
         parts = {
-            feeding.Feeding: types.SimpleNamespace(feeds=Feeds()),
+            feeding.FeedFollowers: types.SimpleNamespace(feeds=Feeds()),
             lease.Lease: types.SimpleNamespace(held=lambda: name == self.holder),
         }
         kernel = fleet_builders.kernel_of(name, self.names, self.wire, parts)
--- a/packages/mothworks_gateway/tests/test_feed_reports.py
+++ b/packages/mothworks_gateway/tests/test_feed_reports.py
@@ -23,7 +23,7 @@
 def reports(clock, monkeypatch):
     monkeypatch.setattr(plugins, "find", lambda *_: lambda *_: None)
     kernel = gateway_builders.Kernel({})
-    kernel.parts[feeding.Feeding] = feeding.Feeding(kernel)
+    kernel.parts[feeding.FeedFollowers] = feeding.FeedFollowers(kernel)
     part = feed_reports.FeedReports(kernel)
     part.feeding.add(feeding.Follower("declarations", None, None, None))
     return part
--- a/packages/mothworks_gateway/tests/test_freshness.py
+++ b/packages/mothworks_gateway/tests/test_freshness.py
@@ -115,7 +115,7 @@
                 membership.Membership: node_membership,
                 peers.Peers: link,
                 declarations.Declarations: self.declarations,
-                feeding.Feeding: types.SimpleNamespace(
+                feeding.FeedFollowers: types.SimpleNamespace(
                     follower_by_name={"declarations": self.follower}
                 ),
                 watching.Watching: types.SimpleNamespace(
--- a/packages/mothworks_gateway/tests/test_published_changes.py
+++ b/packages/mothworks_gateway/tests/test_published_changes.py
@@ -29,7 +29,9 @@
 
 def make_discovery():
     followers = types.SimpleNamespace(feeds=Feeds(), add=lambda follower: None)
-    return discovery.Discovery(gateway_builders.Kernel({feeding.Feeding: followers}))
+    return discovery.Discovery(
+        gateway_builders.Kernel({feeding.FeedFollowers: followers})
+    )
 
 
 def changes(cursor, *pairs):
--- a/packages/mothworks_gateway/tests/test_silent_polls.py
+++ b/packages/mothworks_gateway/tests/test_silent_polls.py
@@ -166,7 +166,7 @@
         self.part = watching.Watching(kernel)
 
     def _parts(self, kernel):
-        followers = feeding.Feeding(kernel)
+        followers = feeding.FeedFollowers(kernel)
         for name, feed in self.feed_by_name.items():
             followers.add(feeding.Follower(name, feed, lambda _: None, lambda _: None))
         node_membership = types.SimpleNamespace(near=lambda: [], on_change=[])
@@ -180,7 +180,7 @@
             follower=followers.follower_by_name["endpoints"],
         )
         return {
-            feeding.Feeding: followers,
+            feeding.FeedFollowers: followers,
             membership.Membership: node_membership,
             peers.Peers: node_peers,
             broadcast.Broadcast: types.SimpleNamespace(publish=self.published.append),
