--- a/packages/mothworks_gateway/src/mothworks_gateway/credit.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/credit.py
@@ -36,7 +36,7 @@
 #: Shares of the tolerated excess: what an owner grants beyond the available credit, so
 #: that bursts of requests run, and what the reserves use. The rest covers changes of
 #: ownership.
-GRACE_SHARE = 0.15
+OVERDRAFT_SHARE = 0.15
 RESERVE_SHARE = 0.3
 #: Fill level, as a share of the burst, above which an account is far from its cap.
 CALM_SHARE = 0.5
@@ -245,7 +245,7 @@
         bucket = self._bucket(request.account)
         if bucket is None or not self._may_grant():
             return CreditReply(False)
-        wait_s = bucket.take(request.units, time.monotonic())
+        wait_s = bucket.acquire(request.units, time.monotonic())
         return CreditReply(True, wait_s, bucket.level > CALM_SHARE * bucket.cap.burst)
 
     def _may_grant(self) -> bool:
@@ -266,18 +266,18 @@
         bucket = self.bucket_by_account.get(account)
         if bucket is not None and bucket.cap == cap:
             return bucket
-        grace = GRACE_SHARE * self._tolerated_excess(cap)
+        overdraft = OVERDRAFT_SHARE * self._tolerated_excess(cap)
         if bucket is None:
-            bucket = token_bucket.TokenBucket(cap, self.budgets.synced_since, grace)
+            bucket = token_bucket.TokenBucket(cap, self.budgets.synced_since, overdraft)
             self.bucket_by_account[account] = bucket
         else:
-            bucket.change(cap, time.monotonic(), grace)
+            bucket.set_cap(cap, time.monotonic(), overdraft)
         return bucket
 
     def _debit(self, account: str, units: float) -> None:
         bucket = self._bucket(account)
         if bucket is not None:
-            bucket.note(units, time.monotonic())
+            bucket.debit(units, time.monotonic())
 
     def _on_request(self, _: str, request: CreditRequest, answer: peers.Answer) -> None:
         answer(self._grant(request))
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -346,7 +346,7 @@
         )
         ahead_s = min(slot_request.ahead_s, max_ahead_s / (1 + rank))
         wait_s = bucket.wait_s(1, now)
-        retry_after_s = bucket.take(1, now, ahead_s)
+        retry_after_s = bucket.acquire(1, now, ahead_s)
         if retry_after_s:
             if slot_request.ahead_s:
                 refusal_streak.add(now)
@@ -366,7 +366,7 @@
         full = not bucket.wait_s(1, now)
         if full and endpoint_id not in self.randomised_ids:
             self.randomised_ids.add(endpoint_id)
-            bucket.note(random.random(), now)
+            bucket.debit(random.random(), now)
 
     def _bucket_of(self, endpoint_id: str) -> token_bucket.TokenBucket:
         """Return the token bucket of an endpoint that reports a limit."""
@@ -380,7 +380,7 @@
                 cap, empty_since
             )
         elif bucket.cap != cap:
-            bucket.change(cap, now)
+            bucket.set_cap(cap, now)
         return bucket
 
     def _on_limit_change(self, endpoint_id: str) -> None:
@@ -394,13 +394,13 @@
         if bucket is not None and per_s < bucket.cap.per_s:
             # Slots granted ahead under the higher limit are void and are requested
             # again, so the credit that they used is returned.
-            bucket.note(min(0.0, bucket.level), time.monotonic())
+            bucket.debit(min(0.0, bucket.level), time.monotonic())
 
     def _on_spent(self, budget: str, _: str, units: float) -> None:
         """Debit what other owners granted, in case this VM becomes the owner."""
         endpoint_id = budget.removeprefix(BUDGET_PREFIX)
         if endpoint_id != budget and self.limits.per_s(endpoint_id) is not None:
-            self._bucket_of(endpoint_id).note(units, time.monotonic())
+            self._bucket_of(endpoint_id).debit(units, time.monotonic())
 
     def _report(self) -> None:
         """Update the metrics, and drop the state of endpoints without a limit."""
--- a/packages/mothworks_gateway/src/mothworks_gateway/token_bucket.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/token_bucket.py
@@ -18,40 +18,42 @@
 
     :param cap: the usage cap.
     :param since: monotonic time at which the bucket was empty.
-    :param grace: units that may be granted beyond the available credit.
+    :param overdraft: units that may be granted beyond the available credit.
 
     >>> cap = client_accounts.UsageCap(per_s=10.0, burst=20.0)
     >>> bucket = TokenBucket(cap, since=0.0)
-    >>> bucket.take(15, now=2.0)
+    >>> bucket.acquire(15, now=2.0)
     0.0
-    >>> bucket.take(10, now=2.0), bucket.take(10, now=2.0)
+    >>> bucket.acquire(10, now=2.0), bucket.acquire(10, now=2.0)
     (0.5, 1.5)
     """
 
-    def __init__(self, cap: client_accounts.UsageCap, since: float, grace: float = 0.0):
+    def __init__(
+        self, cap: client_accounts.UsageCap, since: float, overdraft: float = 0.0
+    ):
         self.cap = cap
-        self.grace = grace
+        self.overdraft = overdraft
         self.level = 0.0
         self.at = since
         #: Monotonic time at which there is credit for all refused requests that were
         #: given a retry delay.
         self.reserved_until = since
 
-    def change(
-        self, cap: client_accounts.UsageCap, now: float, grace: float = 0.0
+    def set_cap(
+        self, cap: client_accounts.UsageCap, now: float, overdraft: float = 0.0
     ) -> None:
         """Replace the cap; the level is cut to the new burst.
 
         :param cap: the new cap.
         :param now: monotonic time.
-        :param grace: see :class:`TokenBucket`.
+        :param overdraft: see :class:`TokenBucket`.
         """
         self._refill(now)
         self.cap = cap
-        self.grace = grace
+        self.overdraft = overdraft
         self.level = min(self.level, cap.burst)
 
-    def take(self, units: float, now: float, ahead_s: float = 0.0) -> float:
+    def acquire(self, units: float, now: float, ahead_s: float = 0.0) -> float:
         """Spend the credit of a request, if there is enough.
 
         :param units: cost of the request.
@@ -61,7 +63,7 @@
         :returns: 0 if it is granted, else the retry delay, seconds.
         """
         self._refill(now)
-        allowance = self.grace + ahead_s * self.cap.per_s
+        allowance = self.overdraft + ahead_s * self.cap.per_s
         shortfall = min(units, self.cap.burst) - self.level - allowance
         if shortfall <= 0:
             self.level -= units
@@ -80,7 +82,7 @@
         self._refill(now)
         return max(0.0, min(units, self.cap.burst) - self.level) / self.cap.per_s
 
-    def note(self, units: float, now: float) -> None:
+    def debit(self, units: float, now: float) -> None:
         """Debit units that another VM reports as spent.
 
         :param units: the units; negative for units that were given back.
--- a/packages/mothworks_gateway/tests/cap_ways.py
+++ b/packages/mothworks_gateway/tests/cap_ways.py
@@ -37,8 +37,8 @@
             bucket = self.bucket_by_key[vm, name] = token_bucket.TokenBucket(
                 vm_cap, 0.0
             )
-        bucket.change(vm_cap, now)
-        wait_s = bucket.take(units, now)
+        bucket.set_cap(vm_cap, now)
+        wait_s = bucket.acquire(units, now)
         if wait_s:
             return result.Err(credit.Over(wait_s))
         self.granted[name].append((self.clock.now, units))
--- a/packages/mothworks_gateway/tests/limit_ways.py
+++ b/packages/mothworks_gateway/tests/limit_ways.py
@@ -39,7 +39,7 @@
             (name, cap), token_bucket.TokenBucket(cap, now)
         )
         wait_s = bucket.wait_s(1, now)
-        retry_after_s = bucket.take(1, now, max_wait_s)
+        retry_after_s = bucket.acquire(1, now, max_wait_s)
         if retry_after_s:
             return result.Err(
                 send_slots.AtLimit(endpoint, per_s, 0.0, retry_after_s, "")
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -352,7 +352,7 @@
     fleet.send_heartbeats()
     for name in fleet.vm_by_name[requester].credits.budgets.owners.candidates():
         bucket = fleet.vm_by_name[name].credits._bucket("small")
-        bucket.note(0.0, fleet.clock.monotonic())
+        bucket.debit(0.0, fleet.clock.monotonic())
         assert bucket.level == pytest.approx(SMALL)
 
 
@@ -365,7 +365,7 @@
     levels = set()
     for name in fleet.vm_by_name[fleet.names[0]].credits.budgets.owners.candidates():
         bucket = fleet.vm_by_name[name].credits._bucket("small")
-        bucket.note(0.0, fleet.clock.monotonic())
+        bucket.debit(0.0, fleet.clock.monotonic())
         levels.add(round(bucket.level))
     assert len(levels) == 1
 
--- a/packages/mothworks_gateway/tests/test_token_bucket.py
+++ b/packages/mothworks_gateway/tests/test_token_bucket.py
@@ -18,7 +18,7 @@
     while now < 60.0:
         now += draw.expovariate(10.0)
         units = draw.uniform(800, 9000)
-        if not account_bucket.take(units, now):
+        if not account_bucket.acquire(units, now):
             granted.append((now, units))
     for begin, _ in granted:
         used = sum(units for at, units in granted if begin <= at < begin + 8.0)
@@ -29,16 +29,16 @@
 def test_a_request_that_costs_more_than_the_burst_is_granted():
     # The bucket never holds its cost, so it would be refused on every retry.
     account_bucket = token_bucket.TokenBucket(CAP, since=0.0)
-    assert account_bucket.take(9000, now=1.0) == 0.0
-    assert account_bucket.take(800, now=1.0) == pytest.approx(5600 / 4200)
+    assert account_bucket.acquire(9000, now=1.0) == 0.0
+    assert account_bucket.acquire(800, now=1.0) == pytest.approx(5600 / 4200)
 
 
 def test_retries_of_refused_requests_are_staggered():
     # With equal retry delays, forty callers would retry together, and all but one
     # would be refused again.
     account_bucket = token_bucket.TokenBucket(CAP, since=0.0)
-    account_bucket.take(4200, now=1.0)
-    waits = [account_bucket.take(420, now=1.0) for _ in range(40)]
+    account_bucket.acquire(4200, now=1.0)
+    waits = [account_bucket.acquire(420, now=1.0) for _ in range(40)]
     assert waits == sorted(waits)
     steps = [later - earlier for earlier, later in zip(waits, waits[1:], strict=False)]
     assert steps == pytest.approx([0.1] * 39)
@@ -46,26 +46,26 @@
 
 def test_a_retry_after_the_given_delay_is_granted():
     account_bucket = token_bucket.TokenBucket(CAP, since=0.0)
-    account_bucket.take(4200, now=1.0)
-    waits = [account_bucket.take(420, now=1.0) for _ in range(10)]
-    assert all(not account_bucket.take(420, now=1.001 + wait) for wait in waits)
+    account_bucket.acquire(4200, now=1.0)
+    waits = [account_bucket.acquire(420, now=1.0) for _ in range(10)]
+    assert all(not account_bucket.acquire(420, now=1.001 + wait) for wait in waits)
 
 
 def test_a_lower_cap_applies_at_once_and_a_higher_one_adds_no_credit():
     account_bucket = token_bucket.TokenBucket(CAP, since=0.0)
-    account_bucket.change(client_accounts.UsageCap(100.0, 100.0), now=10.0)
-    assert account_bucket.take(100, now=10.0) == 0.0
-    assert account_bucket.take(1, now=10.0) > 0.0
-    account_bucket.change(client_accounts.UsageCap(1000.0, 1000.0), now=10.0)
-    assert account_bucket.take(1, now=10.0) > 0.0
-    assert account_bucket.take(1, now=10.01) == 0.0
+    account_bucket.set_cap(client_accounts.UsageCap(100.0, 100.0), now=10.0)
+    assert account_bucket.acquire(100, now=10.0) == 0.0
+    assert account_bucket.acquire(1, now=10.0) > 0.0
+    account_bucket.set_cap(client_accounts.UsageCap(1000.0, 1000.0), now=10.0)
+    assert account_bucket.acquire(1, now=10.0) > 0.0
+    assert account_bucket.acquire(1, now=10.01) == 0.0
 
 
 def test_a_tolerated_excess_is_granted_once():
     # Requests that arrive together briefly exceed the available credit. A retry would
     # make them late, although the operator accepts the excess.
-    account_bucket = token_bucket.TokenBucket(CAP, since=0.0, grace=5000.0)
-    granted = [account_bucket.take(1000, now=1.0) for _ in range(12)]
+    account_bucket = token_bucket.TokenBucket(CAP, since=0.0, overdraft=5000.0)
+    granted = [account_bucket.acquire(1000, now=1.0) for _ in range(12)]
     assert granted.count(0.0) == 9
 
 
@@ -73,10 +73,10 @@
     account_bucket = token_bucket.TokenBucket(
         client_accounts.UsageCap(per_s=2.0, burst=1.0), since=0.0
     )
-    assert account_bucket.take(1, now=0.5) == 0.0
-    assert account_bucket.take(1, now=0.5, ahead_s=0.4) > 0.0
+    assert account_bucket.acquire(1, now=0.5) == 0.0
+    assert account_bucket.acquire(1, now=0.5, ahead_s=0.4) > 0.0
     assert account_bucket.wait_s(1, now=0.5) == 0.5
-    assert account_bucket.take(1, now=0.5, ahead_s=0.6) == 0.0
+    assert account_bucket.acquire(1, now=0.5, ahead_s=0.6) == 0.0
     assert account_bucket.wait_s(1, now=0.5) == 1.0
 
 
@@ -87,4 +87,4 @@
     )
     assert account_bucket.wait_s(1, now=1.0) == pytest.approx(1.0)
     assert account_bucket.wait_s(1, now=2.0) == 0.0
-    assert account_bucket.take(1, now=2.0) == 0.0
+    assert account_bucket.acquire(1, now=2.0) == 0.0
