--- a/packages/mothworks_gateway/src/mothworks_gateway/aggregation.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/aggregation.py
@@ -123,9 +123,9 @@
             running=tuple((*key, count) for key, count in running.items()),
             arrived=arrived,
             late=late,
-            answers=self.answers.take(),
+            answers=self.answers.drain(),
             spent=spent,
-            limits=self.limits.take(now),
+            limits=self.limits.drain(now),
             is_aggregate=True,
         )
 
@@ -166,7 +166,7 @@
         """Send this VM's heartbeat to all peers, or by way of collectors."""
         near = self.membership.near()
         if collectors.are_few(near):
-            self.shared_health.receive(own.answers)
+            self.shared_health.merge(own.answers)
             self.peers.send_all(own)
             return
         now = time.monotonic()
@@ -182,7 +182,7 @@
         self, own: heartbeat.Heartbeat, collector_vms: list[str], members: list[str]
     ) -> None:
         """Send the aggregate to collectors and holder, and the totals to members."""
-        self.shared_health.receive(own.answers)
+        self.shared_health.merge(own.answers)
         now = time.monotonic()
         self.aggregate.add(self.name, own, now)
         self.answers.add(own.answers)
@@ -201,7 +201,7 @@
             own.declaration_version,
             own.registry_changed_at,
             answers=self._suspect_answers(),
-            limits=self.newest_limits.take(time.monotonic()),
+            limits=self.newest_limits.drain(time.monotonic()),
         )
         if update is None:
             return totals
@@ -220,7 +220,7 @@
         decision.
         """
         now = time.monotonic()
-        rows = self.answers.take()
+        rows = self.answers.drain()
         for endpoint_id, _, errors in rows:
             if errors:
                 self.suspect_until_by_id[endpoint_id] = now + SUSPECT_RETENTION_S
@@ -248,8 +248,8 @@
     def _on_totals(self, vm: str, totals: Totals, _: peers.Answer) -> None:
         self.own_collector.on_totals(vm, time.monotonic())
         self.running_requests.set_totals(totals.running_by_endpoint)
-        self.shared_health.receive(totals.answers)
-        self.limits.receive(totals.limits, vm)
+        self.shared_health.merge(totals.answers)
+        self.limits.merge(totals.limits, vm)
         versions = (totals.declaration_version, totals.registry_changed_at)
         self.heartbeats.receive(
             vm, heartbeat.Heartbeat(*versions, fence=0, relayed=True)
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_limits.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_limits.py
@@ -83,7 +83,7 @@
         if current is None or limit.sent_at > current.sent_at:
             self.limit_by_id[endpoint_id] = limit
 
-    def take(self, now: float) -> tuple[heartbeat.LimitRow, ...]:
+    def drain(self, now: float) -> tuple[heartbeat.LimitRow, ...]:
         """Return the limits as rows of a message, and remove them.
 
         :param now: monotonic time.
@@ -165,7 +165,7 @@
                     outcome="unreadable, left out",
                 )
 
-    def receive(
+    def merge(
         self, rows: collections.abc.Iterable[heartbeat.LimitRow], vm: str
     ) -> None:
         """Merge limits that another VM knows.
@@ -175,17 +175,17 @@
         """
         now = time.monotonic()
         for row in rows:
-            self._take(row[0], limit_from_row(row, now), vm=vm)
+            self._update(row[0], limit_from_row(row, now), vm=vm)
 
     def _observe(self, endpoint_id: str, limit: Limit, request_id: str) -> None:
         """Apply the limit of an answer to this VM, and publish a change."""
         if limit.per_s is not None or endpoint_id in self.limit_by_id:
             self.newest.update(endpoint_id, limit)
-        if self._take(endpoint_id, limit, request=request_id):
+        if self._update(endpoint_id, limit, request=request_id):
             row = row_from_limit(endpoint_id, limit, time.monotonic())
             self.broadcast.publish_now(LimitUpdate(row))
 
-    def _take(self, endpoint_id: str, limit: Limit, **source: str) -> bool:
+    def _update(self, endpoint_id: str, limit: Limit, **source: str) -> bool:
         """Store a limit if it is newer; returns whether the limit's value changed."""
         current = self.limit_by_id.get(endpoint_id)
         if not _is_newer(limit, current):
@@ -211,15 +211,15 @@
         return True
 
     def _heartbeat_fields(self) -> dict:
-        return {"limits": self.newest.take(time.monotonic())}
+        return {"limits": self.newest.drain(time.monotonic())}
 
     def _on_heartbeat(self, vm: str, received: heartbeat.Heartbeat) -> None:
         # Heartbeats of this VM are passed in, too; their limits are applied already.
         if vm != self.kernel.settings.name:
-            self.receive(received.limits, vm)
+            self.merge(received.limits, vm)
 
     def _on_update(self, vm: str, update: LimitUpdate, _: peers.Answer) -> None:
-        self.receive([update.row], vm)
+        self.merge([update.row], vm)
 
     def _remove_gone(self) -> None:
         """Remove the limits of endpoints that are gone."""
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -325,7 +325,7 @@
     def _serve(
         self, vm: str, slot_request: SendSlotRequest, reply: peers.Answer
     ) -> None:
-        self.limits.receive([slot_request.row], vm)
+        self.limits.merge([slot_request.row], vm)
         reply(self._grant(slot_request))
 
     def _grant(self, slot_request: SendSlotRequest) -> SendSlotReply:
--- a/packages/mothworks_gateway/src/mothworks_gateway/shared_health.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/shared_health.py
@@ -16,7 +16,7 @@
 
 
 class AnswerCounts:
-    """Counts the answers since the last :meth:`take`, by endpoint's id."""
+    """Counts the answers since the last :meth:`drain`, by endpoint's id."""
 
     def __init__(self):
         self.successes: collections.Counter[str] = collections.Counter()
@@ -31,7 +31,7 @@
             self.successes[endpoint_id] += successes
             self.errors[endpoint_id] += errors
 
-    def take(self) -> tuple[heartbeat.AnswerRow, ...]:
+    def drain(self) -> tuple[heartbeat.AnswerRow, ...]:
         """Return the counts, and reset them."""
         ids = self.successes.keys() | self.errors.keys()
         rows = tuple((key, self.successes[key], self.errors[key]) for key in ids)
@@ -55,16 +55,16 @@
         self.own_counts = AnswerCounts()
         self.error_rates = error_rates.ErrorRates()
         heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        heartbeats.on_heartbeat.append(lambda: {"answers": self.own_counts.take()})
+        heartbeats.on_heartbeat.append(lambda: {"answers": self.own_counts.drain()})
         heartbeats.on_received.append(self._on_heartbeat)
 
     def _on_heartbeat(self, vm: str, received: heartbeat.Heartbeat) -> None:
         # Heartbeats of this VM are passed in, too; its counts are added when it sends
         # them, or with the totals of a collector.
         if vm != self.kernel.settings.name:
-            self.receive(received.answers)
+            self.merge(received.answers)
 
-    def receive(self, rows: collections.abc.Iterable[heartbeat.AnswerRow]) -> None:
+    def merge(self, rows: collections.abc.Iterable[heartbeat.AnswerRow]) -> None:
         """Add answer counts of a VM, and eject the outliers.
 
         :param rows: the counts by endpoint.
--- a/packages/mothworks_gateway/tests/test_endpoint_limits.py
+++ b/packages/mothworks_gateway/tests/test_endpoint_limits.py
@@ -121,7 +121,7 @@
     limits.answer(2.0, 0.3, 0.4)
     (row,) = limits.limits_here._heartbeat_fields()["limits"]
     started_later = limits._limits_of("vm-1")
-    started_later.receive([row], "vm-0")
+    started_later.merge([row], "vm-0")
     assert started_later.per_s("i-1") == 2.0
     assert limits.limits_here._heartbeat_fields()["limits"] == ()
 
@@ -130,8 +130,8 @@
     newest = endpoint_limits.NewestLimits()
     newest.add([("i-1", 2.0, 0.5, 0.4), ("i-2", 1.0, 0.1, 0.0)], now=10.0)
     newest.add([("i-1", None, 0.2, 0.1), ("i-2", 3.0, 0.6, 0.5)], now=10.0)
-    rows = {row[0]: row for row in newest.take(now=11.0)}
+    rows = {row[0]: row for row in newest.drain(now=11.0)}
     assert rows["i-1"][1] is None
     assert rows["i-1"][2] == pytest.approx(1.2)
     assert rows["i-2"][1] == 1.0
-    assert newest.take(now=11.0) == ()
+    assert newest.drain(now=11.0) == ()
