--- a/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
@@ -163,7 +163,7 @@
         raise NotImplementedError
 
 
-class Verdict(enum.Enum):
+class ResponseKind(enum.Enum):
     """Classification of an endpoint's response by its head."""
 
     #: The request is running or has run, and this is its response.
@@ -173,11 +173,11 @@
     #: The endpoint did not run the request: it is full or leaving.
     BUSY = "busy"
     #: The endpoint did not run the request: it does not hold the model or adapter.
-    ABSENT = "absent"
+    NOT_HELD = "absent"
     #: The endpoint did not run the request: it is not the intended endpoint.
     MISDIRECTED = "misdirected"
     #: Not a response to this request; whether the request ran is unknown.
-    FOREIGN = "foreign"
+    UNRECOGNIZED = "foreign"
 
 
 @attrs.frozen
@@ -283,9 +283,9 @@
         """
         raise NotImplementedError
 
-    def judge(
+    def classify_response(
         self, request: caller_request.CallerRequest, answer: transport.HttpAnswer
-    ) -> Verdict:
+    ) -> ResponseKind:
         """Classify a response by its head.
 
         :param request: the request that was sent.
--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -144,27 +144,27 @@
                 return self._handle_send_failure(request, endpoint, progress, failure)
             case result.Ok(answer):
                 pass
-        verdict = self.protocol.judge(request, answer)
-        self.update_limit(request, endpoint, answer, verdict, started_at)
-        if verdict not in (adapters.Verdict.ANSWER, adapters.Verdict.FAILED):
+        kind = self.protocol.classify_response(request, answer)
+        self.update_limit(request, endpoint, answer, kind, started_at)
+        if kind not in (adapters.ResponseKind.ANSWER, adapters.ResponseKind.FAILED):
             answer.close()
-            self._handle_verdict(request, endpoint, progress, verdict)
+            self._handle_kind(request, endpoint, progress, kind)
             return None
-        failed = verdict is adapters.Verdict.FAILED
+        failed = kind is adapters.ResponseKind.FAILED
         if failed and self._may_hedge(request, progress):
             answer.close()
             self.health.failed(endpoint, f"status {answer.status}", ERROR_WEIGHT)
             progress.may_have_run = True
             progress.reason = f"status {answer.status}"
             return None
-        return self._read(request, endpoint, progress, answer, verdict, started_at)
+        return self._read(request, endpoint, progress, answer, kind, started_at)
 
     def update_limit(
         self,
         request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         answer: transport.HttpAnswer,
-        verdict: adapters.Verdict,
+        kind: adapters.ResponseKind,
         sent_at: float,
     ) -> None:
         """Update an endpoint's rate limit from its answer.
@@ -172,11 +172,14 @@
         :param request: the request.
         :param endpoint: the endpoint.
         :param answer: the answer.
-        :param verdict: the meaning of the answer's head.
+        :param kind: the meaning of the answer's head.
         :param sent_at: monotonic time at which the request was sent.
         """
-        if verdict not in (adapters.Verdict.FOREIGN, adapters.Verdict.MISDIRECTED):
-            ran = verdict is adapters.Verdict.ANSWER
+        if kind not in (
+            adapters.ResponseKind.UNRECOGNIZED,
+            adapters.ResponseKind.MISDIRECTED,
+        ):
+            ran = kind is adapters.ResponseKind.ANSWER
             self.limits.observe(endpoint, answer, sent_at, request.id, ran)
 
     def _read(
@@ -185,11 +188,11 @@
         endpoint: registry.Endpoint,
         progress: RequestProgress,
         answer: transport.HttpAnswer,
-        verdict: adapters.Verdict,
+        kind: adapters.ResponseKind,
         started_at: float,
     ) -> calls.Reply | None:
         """Turn an answer into a reply; non-streaming ones are read whole first."""
-        if request.route.streaming and verdict is adapters.Verdict.ANSWER:
+        if request.route.streaming and kind is adapters.ResponseKind.ANSWER:
             took_s = time.monotonic() - started_at
             self.health.succeeded(endpoint, took_s)
             self.prefill_speed.add_sample(request, took_s)
@@ -204,7 +207,7 @@
             )
             return None
         self.running_requests.request_ended(endpoint, request.target)
-        if verdict is adapters.Verdict.ANSWER:
+        if kind is adapters.ResponseKind.ANSWER:
             self.health.succeeded(endpoint, time.monotonic() - started_at)
             self.poison_requests.clear(request)
         else:
@@ -257,21 +260,21 @@
         if "timed out" not in reason and "late" not in reason:
             self.poison_requests.record_crash(request, endpoint)
 
-    def _handle_verdict(
+    def _handle_kind(
         self,
         request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         progress: RequestProgress,
-        verdict: adapters.Verdict,
+        kind: adapters.ResponseKind,
     ) -> None:
-        progress.reason = verdict.value
-        match verdict:
-            case adapters.Verdict.ABSENT:
+        progress.reason = kind.value
+        match kind:
+            case adapters.ResponseKind.NOT_HELD:
                 self.residency.missed(endpoint, request.target)
-            case adapters.Verdict.MISDIRECTED:
+            case adapters.ResponseKind.MISDIRECTED:
                 self.registry.dismiss(endpoint, "another endpoint has its address")
-            case adapters.Verdict.FOREIGN:
+            case adapters.ResponseKind.UNRECOGNIZED:
                 progress.may_have_run = True
                 self.health.failed(endpoint, "not an answer to the request")
-            case adapters.Verdict.BUSY:
+            case adapters.ResponseKind.BUSY:
                 gevent.sleep(BUSY_PAUSE_S)
--- a/packages/mothworks_gateway/src/mothworks_gateway/stream_relay.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/stream_relay.py
@@ -149,11 +149,11 @@
         resumed = False
         match sent:
             case result.Ok(answer):
-                verdict = protocol.judge(self.request, answer)
+                kind = protocol.classify_response(self.request, answer)
                 self.attempts.update_limit(
-                    self.request, endpoint, answer, verdict, sent_at
+                    self.request, endpoint, answer, kind, sent_at
                 )
-                resumed = verdict is adapters.Verdict.ANSWER
+                resumed = kind is adapters.ResponseKind.ANSWER
                 if not resumed:
                     answer.close()
         logs.event(
