--- a/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
@@ -26,7 +26,7 @@
 
 
 @attrs.frozen
-class FeedDown:
+class FeedUnavailable:
     """The platform did not respond.
 
     :param reason: what failed.
@@ -36,12 +36,12 @@
 
 
 @attrs.frozen
-class FeedExpired:
+class CursorExpired:
     """The platform no longer has the changes since a cursor."""
 
 
 @attrs.frozen
-class Listing:
+class Snapshot:
     """All objects of one kind at one revision.
 
     :param cursor: the platform's revision; it grows.
@@ -79,13 +79,13 @@
 class Feed:
     """Objects of one kind, to be listed or followed."""
 
-    def read(self) -> result.Result[Listing, FeedDown]:
+    def read(self) -> result.Result[Snapshot, FeedUnavailable]:
         """List all objects; never answered from a stale copy."""
         raise NotImplementedError
 
-    def wait(
+    def poll(
         self, cursor: int, wait_s: float
-    ) -> result.Result[Changes, FeedDown | FeedExpired]:
+    ) -> result.Result[Changes, FeedUnavailable | CursorExpired]:
         """Wait for changes with one long poll.
 
         :param cursor: the cursor of the last response.
--- a/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
@@ -74,7 +74,7 @@
                     outcome=f"version {self.version} stays in force",
                 )
 
-    def _apply_listing(self, listing: adapters.Listing) -> None:
+    def _apply_listing(self, listing: adapters.Snapshot) -> None:
         self._apply_document(listing.document_by_name.get(self.feeds.declaration_name))
 
     def _apply_changes(self, changes: adapters.Changes) -> None:
--- a/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
@@ -66,7 +66,7 @@
         :param document_by_name: the entries.
         """
         if cursor > self.registry.cursor:
-            self._apply_listing(adapters.Listing(cursor, document_by_name))
+            self._apply_listing(adapters.Snapshot(cursor, document_by_name))
 
     def apply_published(
         self, base_revision: int, changes: adapters.Changes, suspect_until: float
@@ -98,7 +98,7 @@
         """Return all entries, for a peer."""
         return {item.entry.name: item.document for item in self.registry.by_id.values()}
 
-    def _apply_listing(self, listing: adapters.Listing) -> None:
+    def _apply_listing(self, listing: adapters.Snapshot) -> None:
         if listing.cursor < self.registry.cursor:
             # Changes published by a peer are newer than this listing.
             return
--- a/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
@@ -99,7 +99,7 @@
 
     name: str
     feed: adapters.Feed
-    on_listing: collections.abc.Callable[[adapters.Listing], None]
+    on_listing: collections.abc.Callable[[adapters.Snapshot], None]
     on_changes: collections.abc.Callable[[adapters.Changes], None]
     batch_s: float = 0.0
     max_poll_s: float = MAX_POLL_S
@@ -136,11 +136,11 @@
                     self._wake.wait(delay_s)
                 case result.Err(Interrupted()):
                     pass
-                case result.Err(adapters.FeedExpired()):
+                case result.Err(adapters.CursorExpired()):
                     logs.event(log, "history gone", feed=self.name, cursor=self.cursor)
                     self._listed = False
                     self._record_answer()
-                case result.Err(adapters.FeedDown(reason)):
+                case result.Err(adapters.FeedUnavailable(reason)):
                     self._record_failure(reason)
                     gevent.sleep(random.uniform(0.5, 1.0) * retry_delay_s)
                     retry_delay_s = min(
@@ -237,7 +237,7 @@
         :returns: whether the platform answered.
         """
         response = self._fetch_changes(CATCH_UP_WAIT_S)
-        if isinstance(response.err(), adapters.FeedExpired):
+        if isinstance(response.err(), adapters.CursorExpired):
             return self.refresh()
         return response.is_ok()
 
@@ -291,7 +291,7 @@
             self._poll = None
             poll.kill(block=False)
         if timed_out:
-            return result.Err(adapters.FeedDown("no answer in time"))
+            return result.Err(adapters.FeedUnavailable("no answer in time"))
         if poll.exception is not None:
             raise poll.exception
         if isinstance(poll.value, gevent.GreenletExit):
@@ -322,8 +322,8 @@
 
     def _fetch_changes(self, wait_s: float) -> result.Result:
         sent_at = boot_clock.now()
-        response = self.feed.wait(self.cursor, wait_s)
-        if response.is_ok() or isinstance(response.err(), adapters.FeedExpired):
+        response = self.feed.poll(self.cursor, wait_s)
+        if response.is_ok() or isinstance(response.err(), adapters.CursorExpired):
             self._record_latency(boot_clock.now() - sent_at - wait_s)
             self._record_call_answered()
         if response.is_ok():
--- a/packages/mothworks_gateway/tests/test_declaration_updates.py
+++ b/packages/mothworks_gateway/tests/test_declaration_updates.py
@@ -59,7 +59,7 @@
         return node_declarations
 
     def receive_from_platform(self, name, document):
-        listing = adapters.Listing(1, {"main": document})
+        listing = adapters.Snapshot(1, {"main": document})
         self.declarations_by_vm[name]._apply_listing(listing)
 
     def versions(self):
--- a/packages/mothworks_gateway/tests/test_feed_reports.py
+++ b/packages/mothworks_gateway/tests/test_feed_reports.py
@@ -90,8 +90,8 @@
 
 def test_an_expired_history_counts_as_an_answer(clock):
     class Feed:
-        def wait(self, cursor, wait_s):
-            return feeding.result.Err(adapters.FeedExpired())
+        def poll(self, cursor, wait_s):
+            return feeding.result.Err(adapters.CursorExpired())
 
     follower = feeding.Follower("declarations", Feed(), None, None)
     clock.advance(5)
--- a/packages/mothworks_gateway/tests/test_freshness.py
+++ b/packages/mothworks_gateway/tests/test_freshness.py
@@ -53,8 +53,8 @@
         version = self.version
         self.clock.advance(self.reply_delay_s)
         if not self.answers:
-            return result.Err(adapters.FeedDown("silent"))
-        return result.Ok(adapters.Listing(version, {"main": b"%d" % version}))
+            return result.Err(adapters.FeedUnavailable("silent"))
+        return result.Ok(adapters.Snapshot(version, {"main": b"%d" % version}))
 
 
 class Link:
@@ -150,7 +150,7 @@
         self.watcher = Vm("watcher", self.platform, self.link, names, is_watcher=True)
         self.follower = Vm("follower", self.platform, self.link, names)
         self.watcher.poll()
-        self.follower.apply_listing(adapters.Listing(1, {"main": b"1"}))
+        self.follower.apply_listing(adapters.Snapshot(1, {"main": b"1"}))
 
     def check_follower(self):
         self.follower.freshness._check()
@@ -319,7 +319,7 @@
         """Give the follower the watcher's version without proof of its age."""
         version = self.pair.watcher.declarations.version
         self.pair.follower.apply_listing(
-            adapters.Listing(version, {"main": b"%d" % version})
+            adapters.Snapshot(version, {"main": b"%d" % version})
         )
 
     @hypothesis.stateful.invariant()
--- a/packages/mothworks_gateway/tests/test_silent_polls.py
+++ b/packages/mothworks_gateway/tests/test_silent_polls.py
@@ -34,9 +34,9 @@
     def read(self):
         self.calls.append("read")
         self.answers.wait()
-        return result.Ok(adapters.Listing(5, {}))
+        return result.Ok(adapters.Snapshot(5, {}))
 
-    def wait(self, cursor, wait_s):
+    def poll(self, cursor, wait_s):
         self.calls.append(("wait", cursor))
         self.answers.wait()
         gevent.sleep(0.01)
@@ -55,9 +55,9 @@
         self.cancelled = 0
 
     def read(self):
-        return result.Ok(adapters.Listing(5, {}))
+        return result.Ok(adapters.Snapshot(5, {}))
 
-    def wait(self, cursor, wait_s):
+    def poll(self, cursor, wait_s):
         try:
             gevent.sleep(wait_s + self.answer_s)
         except gevent.GreenletExit:
