--- a/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
@@ -124,10 +124,10 @@
         raise NotImplementedError
 
 
-class Callers:
+class CallerProtocol:
     """The callers' protocol: decodes the requests of callers."""
 
-    def read(
+    def decode_request(
         self,
         call: calls.Call,
         route: declaration_types.Route,
@@ -293,7 +293,9 @@
         """
         raise NotImplementedError
 
-    def limit(self, answer: transport.HttpAnswer) -> result.Result[float | None, str]:
+    def rate_limit(
+        self, answer: transport.HttpAnswer
+    ) -> result.Result[float | None, str]:
         """Return the rate limit that a response advertises, in requests per second.
 
         The limit covers the requests of all VMs together, for as long as the endpoint
@@ -311,12 +313,14 @@
         """
         raise NotImplementedError
 
-    def order(self, endpoint: registry.Endpoint, order: Order, valid) -> OrderOutcome:
+    def order(
+        self, endpoint: registry.Endpoint, order: Order, may_send
+    ) -> OrderOutcome:
         """Send one copy of an order.
 
         :param endpoint: the endpoint to send it to.
         :param order: the order.
-        :param valid: called right before the first byte is sent; the order is sent only
-            if it returns true.
+        :param may_send: called right before the first byte is sent; the order is sent
+            only if it returns true.
         """
         raise NotImplementedError
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_limits.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_limits.py
@@ -149,7 +149,7 @@
         :param ran: whether the request ran; a refusal or failure that reports no limit
             does not lift one.
         """
-        match self.protocol.limit(answer):
+        match self.protocol.rate_limit(answer):
             case result.Ok(None) if not ran:
                 pass
             case result.Ok(per_s):
--- a/packages/mothworks_gateway/src/mothworks_gateway/front.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/front.py
@@ -74,7 +74,7 @@
         self.discovery = node_kernel.get(discovery.Discovery)
         self.dispatch = node_kernel.get(dispatch.Dispatch)
         self.admission = node_kernel.get(admission.Admission)
-        self.callers: adapters.Callers = plugins.find(
+        self.callers: adapters.CallerProtocol = plugins.find(
             adapters.CALLERS, config.adapter
         )()
         max_connections = int(
@@ -205,7 +205,9 @@
             case refused:
                 return refused
         service = self.dispatch.endpoint_selection.service(route)
-        parsed = self.callers.read(call, route, service, body, version, account)
+        parsed = self.callers.decode_request(
+            call, route, service, body, version, account
+        )
         return parsed.map_err(outcomes.invalid)
 
     def _route(
--- a/packages/mothworks_gateway/tests/fleet_builders.py
+++ b/packages/mothworks_gateway/tests/fleet_builders.py
@@ -105,7 +105,7 @@
 class LimitProtocol:
     """A fake protocol that treats an answer as the limit it contains."""
 
-    def limit(self, answer):
+    def rate_limit(self, answer):
         return answer if isinstance(answer, result.Err) else result.Ok(answer)
 
 
--- a/packages/mothworks_gateway/tests/modelled_endpoint.py
+++ b/packages/mothworks_gateway/tests/modelled_endpoint.py
@@ -74,8 +74,8 @@
             adapters.Inventory(self.accepted, self.busy, holdings, born=self.born)
         )
 
-    def order(self, _, order, valid):
-        if not valid():
+    def order(self, _, order, may_send):
+        if not may_send():
             return adapters.OrderOutcome.UNSENT
         fault = self.faults.pop(0) if self.faults else None
         if fault == "unanswered":
--- a/packages/mothworks_gateway/tests/test_unloads.py
+++ b/packages/mothworks_gateway/tests/test_unloads.py
@@ -39,8 +39,8 @@
     clock = None
     refused = 0
 
-    def order(self, endpoint, order, valid):
-        outcome = super().order(endpoint, order, valid)
+    def order(self, endpoint, order, may_send):
+        outcome = super().order(endpoint, order, may_send)
         if outcome is modelled_endpoint.adapters.OrderOutcome.CONFLICT:
             self.refused += 1
         elif not order.load and not order.adapter:
