--- a/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
@@ -196,22 +196,22 @@
 class Inventory:
     """What an endpoint reports that it holds; some hundred milliseconds old.
 
-    :param accepted: number of orders that it has accepted since its start.
-    :param ordered: whether it is executing an order now.
+    :param accepted_orders: number of orders that it has accepted since its start.
+    :param executing_order: whether it is executing an order now.
     :param holdings: the models that it holds.
-    :param arriving: adapters that it is loading, as (model, adapter).
+    :param loading_adapters: adapters that it is loading, as (model, adapter).
     :param running: number of running requests.
     :param queued: number of requests queued on it.
-    :param born: its start time; see :class:`registry.Entry`.
+    :param started_ms: its start time; see :class:`registry.Entry`.
     """
 
-    accepted: int
-    ordered: bool
+    accepted_orders: int
+    executing_order: bool
     holdings: tuple[Holding, ...]
-    arriving: tuple[tuple[str, str], ...] = ()
+    loading_adapters: tuple[tuple[str, str], ...] = ()
     running: int = 0
     queued: int = 0
-    born: int = 0
+    started_ms: int = 0
 
 
 class OrderOutcome(enum.Enum):
@@ -242,7 +242,8 @@
     :param load: whether to load; otherwise unload.
     :param model: the model.
     :param adapter: an adapter of it; empty for the model itself.
-    :param accepted: number of orders that the endpoint must have accepted so far.
+    :param expected_orders: number of orders that the endpoint must have accepted so
+        far.
     :param holder: the VM that sends the order.
     :param fence: the fencing token of its lease.
     """
@@ -250,7 +251,7 @@
     load: bool
     model: str
     adapter: str
-    accepted: int
+    expected_orders: int
     holder: str
     fence: int
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_state.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_state.py
@@ -219,17 +219,17 @@
 
         :param inventory: the report.
         """
-        if inventory.ordered:
+        if inventory.executing_order:
             # The order that it is executing is unknown, and so is the memory that it
             # will use.
             self.accepted = None
             return
-        self.accepted = inventory.accepted
+        self.accepted = inventory.accepted_orders
         self.loading = ""
         self.adapters_by_model = {
             item.model: set(item.adapters) for item in inventory.holdings
         }
-        for model, adapter in inventory.arriving:
+        for model, adapter in inventory.loading_adapters:
             self.adapters_by_model.setdefault(model, set()).add(adapter)
 
     def apply_outcome(
--- a/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
@@ -26,15 +26,15 @@
     """An order that got no response; sent to all VMs.
 
     :param endpoint: the endpoint's name, which its incarnations share.
-    :param accepted: number of orders that the endpoint must have accepted to execute
-        it.
+    :param expected_orders: number of orders that the endpoint must have accepted to
+        execute it.
     :param load: whether it loads; otherwise it unloads.
     :param model: the model.
     :param adapter: its adapter, or empty.
     """
 
     endpoint: str
-    accepted: int
+    expected_orders: int
     load: bool
     model: str
     adapter: str
@@ -58,7 +58,11 @@
     :param order: the order.
     """
     return UnansweredOrder(
-        endpoint.entry.name, order.accepted, order.load, order.model, order.adapter
+        endpoint.entry.name,
+        order.expected_orders,
+        order.load,
+        order.model,
+        order.adapter,
     )
 
 
@@ -77,7 +81,7 @@
     :param accepted: number of orders that it has accepted.
     """
     for order in late:
-        if order.accepted != accepted or not order.changes(holdings):
+        if order.expected_orders != accepted or not order.changes(holdings):
             continue
         if order.load and not state.fits(order.model, order.adapter, holdings):
             return False
@@ -113,7 +117,7 @@
         :param endpoint: the endpoint that it was sent to.
         :param order: the order.
         """
-        if endpoint.entry.born:
+        if endpoint.entry.started_ms:
             unanswered = from_order(endpoint, order)
             self._remember(unanswered)
             self.peers.send_all(unanswered)
--- a/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
@@ -115,15 +115,17 @@
         self, state: endpoint_state.EndpointState
     ) -> adapters.Inventory | None:
         """Return an endpoint's inventory; None if this incarnation reports none."""
-        entry_born = state.endpoint.entry.born
+        entry_started_ms = state.endpoint.entry.started_ms
         match self.protocol.inventory(state.endpoint):
-            case result.Ok(inventory) if not (entry_born and inventory.born):
+            case result.Ok(inventory) if not (
+                entry_started_ms and inventory.started_ms
+            ):
                 # Without both start times, the incarnations cannot be compared.
                 return inventory
-            case result.Ok(inventory) if inventory.born == entry_born:
+            case result.Ok(inventory) if inventory.started_ms == entry_started_ms:
                 return inventory
             case result.Ok(inventory):
-                self.registry.restarted(state.endpoint, inventory.born)
+                self.registry.restarted(state.endpoint, inventory.started_ms)
                 reason = "another incarnation answers"
             case result.Err(reason):
                 pass
@@ -242,7 +244,7 @@
             order=kind,
             model=order.model,
             adapter=order.adapter,
-            accepted=order.accepted,
+            accepted=order.expected_orders,
             fence=order.fence,
             outcome=outcome.value,
         )
@@ -270,7 +272,7 @@
             state.accepted = None
             return False
         holdings = state.after(order)
-        if not late_orders.all_fit(late, state, holdings, order.accepted + 1):
+        if not late_orders.all_fit(late, state, holdings, order.expected_orders + 1):
             return False
         # This order may be late, too, and meet its number in the next incarnation,
         # which starts empty.
--- a/packages/mothworks_gateway/src/mothworks_gateway/registry.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/registry.py
@@ -35,7 +35,7 @@
         service.
     :param in_host_memory: models whose weights are in its host memory.
     :param on_disk: models whose weights are on its disk.
-    :param born: when it started, Unix time in milliseconds; 0 if unknown. It
+    :param started_ms: when it started, Unix time in milliseconds; 0 if unknown. It
         distinguishes the endpoint's incarnations.
     """
 
@@ -49,12 +49,12 @@
     adapters_by_model: dict[str, frozenset[str]] | None = None
     in_host_memory: frozenset[str] = frozenset()
     on_disk: frozenset[str] = frozenset()
-    born: int = 0
+    started_ms: int = 0
 
     @property
     def id(self) -> str:
         """Return the unique id of this incarnation."""
-        return f"{self.name}@{self.born}" if self.born else self.name
+        return f"{self.name}@{self.started_ms}" if self.started_ms else self.name
 
 
 @attrs.define(eq=False)
@@ -127,11 +127,11 @@
         :param document: the platform's document of the entry.
         """
         endpoint = self.named(entry.name)
-        if endpoint is not None and entry.born < endpoint.entry.born:
+        if endpoint is not None and entry.started_ms < endpoint.entry.started_ms:
             # Written before the endpoint restarted, and arrived late.
             self._log(entry, "older incarnation, left out")
             return
-        if endpoint is not None and entry.born > endpoint.entry.born:
+        if endpoint is not None and entry.started_ms > endpoint.entry.started_ms:
             self._remove(endpoint, "started again")
             endpoint = None
         if endpoint is None:
@@ -175,17 +175,22 @@
             return
         self._remove(endpoint, "removed")
 
-    def restarted(self, endpoint: Endpoint, born: int) -> None:
+    def restarted(self, endpoint: Endpoint, started_ms: int) -> None:
         """Record a restart that an endpoint reported to this VM.
 
         Its new entry may arrive seconds later, or not at all while the platform is
         down. Until then, no model is assumed to be loaded.
 
         :param endpoint: the previous incarnation.
-        :param born: when the new one started; see :class:`Entry`.
+        :param started_ms: when the new one started; see :class:`Entry`.
         """
-        if self.named(endpoint.entry.name) is endpoint and born > endpoint.entry.born:
-            new_entry = attrs.evolve(endpoint.entry, born=born, adapters_by_model={})
+        if (
+            self.named(endpoint.entry.name) is endpoint
+            and started_ms > endpoint.entry.started_ms
+        ):
+            new_entry = attrs.evolve(
+                endpoint.entry, started_ms=started_ms, adapters_by_model={}
+            )
             self.put(new_entry, endpoint.document)
             self.changed()
 
--- a/packages/mothworks_gateway/tests/modelled_endpoint.py
+++ b/packages/mothworks_gateway/tests/modelled_endpoint.py
@@ -47,7 +47,7 @@
     def __init__(self, declared_as):
         self.declared_as = declared_as
         self.crashes = 0
-        self.born = 0
+        self.started_ms = 0
         #: Faults of the next orders' responses; None for a normal response.
         self.faults = []
         #: Orders without a response, which may be executed later.
@@ -62,7 +62,7 @@
 
     def restart(self):
         """Restart empty under the same name."""
-        self.born += 1
+        self.started_ms += 1
         self.start()
 
     def inventory(self, _):
@@ -71,7 +71,9 @@
             for name, held_adapters in self.adapters_by_model.items()
         )
         return result.Ok(
-            adapters.Inventory(self.accepted, self.busy, holdings, born=self.born)
+            adapters.Inventory(
+                self.accepted, self.busy, holdings, started_ms=self.started_ms
+            )
         )
 
     def order(self, _, order, may_send):
@@ -86,7 +88,7 @@
 
     def receive(self, order):
         """Handle an order, now or late."""
-        if self.busy or order.accepted != self.accepted:
+        if self.busy or order.expected_orders != self.accepted:
             return adapters.OrderOutcome.CONFLICT
         held_adapters = self.adapters_by_model.get(order.model)
         has = held_adapters is not None and (
--- a/packages/mothworks_gateway/tests/test_late_orders.py
+++ b/packages/mothworks_gateway/tests/test_late_orders.py
@@ -22,7 +22,9 @@
         for name, adapters_held in endpoint.adapters_by_model.items()
     }
     registered = gateway_builders.endpoint(NAME).entry
-    return attrs.evolve(registered, born=endpoint.born, adapters_by_model=held)
+    return attrs.evolve(
+        registered, started_ms=endpoint.started_ms, adapters_by_model=held
+    )
 
 
 def started():
@@ -244,4 +246,4 @@
     endpoint.finish()
     orders.attempt(state, adapters.Order(True, "a", "", 1, "vm-1", 1))
     assert not endpoint.crashes
-    assert view.named(NAME).entry.born == endpoint.born
+    assert view.named(NAME).entry.started_ms == endpoint.started_ms
--- a/packages/mothworks_gateway/tests/test_order_sender.py
+++ b/packages/mothworks_gateway/tests/test_order_sender.py
@@ -60,7 +60,7 @@
     # Only its inventory reports the start time. It was mistaken for another incarnation
     # and believed to be empty, and later registry entries were rejected as older.
     state = state_of(endpoint, "small")
-    endpoint.born = 7
+    endpoint.started_ms = 7
     orders.refresh(state)
     assert state.adapters_by_model == {"small": set()}
     assert state.endpoint.id == "i-1"
--- a/packages/mothworks_gateway/tests/test_registry.py
+++ b/packages/mothworks_gateway/tests/test_registry.py
@@ -70,10 +70,10 @@
     # the previous incarnation (that it was excluded, and its loaded models) must not
     # apply to the new one.
     entry = gateway_builders.endpoint("i-2", models=("m",)).entry
-    endpoints.put(attrs.evolve(entry, born=5), b"")
+    endpoints.put(attrs.evolve(entry, started_ms=5), b"")
     previous = endpoints.named("i-2")
     endpoints.dismiss(previous, "another endpoint has its address")
-    endpoints.put(attrs.evolve(entry, born=9, adapters_by_model={}), b"")
+    endpoints.put(attrs.evolve(entry, started_ms=9, adapters_by_model={}), b"")
     restarted = endpoints.named("i-2")
     assert restarted.open and restarted.id != previous.id
     assert not restarted.holds("m", "")
@@ -83,8 +83,8 @@
 
 def test_an_entry_of_an_older_incarnation_is_ignored(endpoints, logged_outcomes):
     entry = gateway_builders.endpoint("i-2").entry
-    endpoints.put(attrs.evolve(entry, born=9), b"new")
-    endpoints.put(attrs.evolve(entry, born=5, leaving=True), b"old")
+    endpoints.put(attrs.evolve(entry, started_ms=9), b"new")
+    endpoints.put(attrs.evolve(entry, started_ms=5, leaving=True), b"old")
     assert endpoints.named("i-2").open
     assert endpoints.named("i-2").document == b"new"
 
@@ -95,8 +95,8 @@
     # The platform's store is down, so the entry still lists the models from before the
     # restart. The endpoint's own report contains the later start time.
     entry = gateway_builders.endpoint("i-2", models=("m",)).entry
-    endpoints.put(attrs.evolve(entry, born=5), b"")
+    endpoints.put(attrs.evolve(entry, started_ms=5), b"")
     endpoints.restarted(endpoints.named("i-2"), 9)
     assert not endpoints.named("i-2").holds("m", "")
-    endpoints.put(attrs.evolve(entry, born=5), b"")
-    assert endpoints.named("i-2").entry.born == 9
+    endpoints.put(attrs.evolve(entry, started_ms=5), b"")
+    assert endpoints.named("i-2").entry.started_ms == 9
