--- a/packages/mothworks_gateway/src/mothworks_gateway/declaration_types.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/declaration_types.py
@@ -97,8 +97,8 @@
     """Capacity of one model endpoint of a service.
 
     :param memory_mb: accelerator memory for weights and adapters, MB.
-    :param adapter_places: maximum number of loaded adapters.
-    :param batch: maximum batch size, requests.
+    :param adapter_slots: maximum number of loaded adapters.
+    :param batch_slots: maximum batch size, requests.
     :param kv_tokens: capacity of its KV cache in prompt and output tokens.
     :param store_loads_per_s: loads per second that the weight store allows for all
         endpoints together.
@@ -106,8 +106,8 @@
     """
 
     memory_mb: float
-    adapter_places: int
-    batch: int
+    adapter_slots: int
+    batch_slots: int
     kv_tokens: int
     store_loads_per_s: float
     model_by_name: dict[str, Model]
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_selection.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_selection.py
@@ -103,7 +103,7 @@
         Endpoints in other data centres get a surcharge.
         """
         running = self.running_requests.of_endpoint(endpoint.id)
-        occupancy = running / max(1, endpoint.entry.places)
+        occupancy = running / max(1, endpoint.entry.batch_slots)
         is_local = endpoint.entry.data_centre == self.data_centre
         return occupancy if is_local else occupancy + _margin(endpoint)
 
@@ -119,4 +119,4 @@
 
 def _margin(endpoint: registry.Endpoint) -> float:
     """Return the load margin of an endpoint, as a share of its batch slots."""
-    return min(LOAD_MARGIN, MAX_MARGIN_REQUESTS / max(1, endpoint.entry.places))
+    return min(LOAD_MARGIN, MAX_MARGIN_REQUESTS / max(1, endpoint.entry.batch_slots))
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_state.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_state.py
@@ -83,7 +83,7 @@
     :param adapters_by_model: what it holds after those orders.
     :param loading: the model that it is loading, or empty.
     :param ready_at: monotonic time at which that load is expected to be done.
-    :param leaving: the model that is draining before its unload, or empty.
+    :param draining_model: the model that is draining before its unload, or empty.
     :param drained_at: monotonic time at which that is expected to be done.
     :param jobs: what it is to load next.
     :param busy: whether a task works on it.
@@ -103,7 +103,7 @@
     adapters_by_model: dict[str, set[str]] = attrs.field(factory=dict)
     loading: str = ""
     ready_at: float = 0.0
-    leaving: str = ""
+    draining_model: str = ""
     drained_at: float = 0.0
     jobs: collections.deque[Job] = attrs.field(factory=collections.deque)
     busy: bool = False
@@ -148,7 +148,7 @@
         """Return the first queued adapter whose model is held."""
         for job in self.jobs:
             holds_model = (
-                job.model in self.adapters_by_model and job.model != self.leaving
+                job.model in self.adapters_by_model and job.model != self.draining_model
             )
             if job.adapter and holds_model:
                 return job
@@ -198,7 +198,7 @@
         if declared_model is None or adapter and model not in holdings:
             return False
         adapter_count = sum(map(len, holdings.values()))
-        if adapter and adapter_count >= self.accelerator.adapter_places:
+        if adapter and adapter_count >= self.accelerator.adapter_slots:
             return False
         used_mb = sum(
             self._size_mb(name, held_adapters)
@@ -300,7 +300,7 @@
         """Return the seconds until ready of each model that is loading or queued."""
         now = time.monotonic()
         until_ready_s = max(0.0, self.ready_at - now) if self.loading else 0.0
-        if self.leaving:
+        if self.draining_model:
             until_ready_s += max(0.0, self.drained_at - now)
         ready_s = {self.loading: until_ready_s} if self.loading else {}
         for job in self.jobs:
--- a/packages/mothworks_gateway/src/mothworks_gateway/job_execution.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/job_execution.py
@@ -227,7 +227,7 @@
         running ones have ended.
         """
         running = self.running_requests.of_model(state.endpoint.id, name)
-        state.leaving = name
+        state.draining_model = name
         state.drained_at = time.monotonic() + endpoint_state.expected_unload_s(running)
         self.orders.publish(state)
         deadline = time.monotonic() + endpoint_state.MAX_DRAIN_S
@@ -239,7 +239,7 @@
                 state.woken.clear()
                 state.woken.wait(DRAIN_POLL_S)
         gone = self.orders.order(state, False, name, "")
-        state.leaving = ""
+        state.draining_model = ""
         if not gone:
             # Inform the VMs that they may send requests for the model again.
             self.orders.publish(state)
@@ -259,7 +259,7 @@
         if job.model not in state.adapters_by_model:
             return False
         while (
-            state.adapter_count() >= state.accelerator.adapter_places
+            state.adapter_count() >= state.accelerator.adapter_slots
             or state.free_mb() < model.adapter_mb
         ):
             victim = self._adapter_to_evict(state)
@@ -273,7 +273,7 @@
         :param state: the endpoint's state.
         """
         queued = sum(1 for job in state.jobs if job.adapter)
-        free_slots = state.accelerator.adapter_places - state.adapter_count() - queued
+        free_slots = state.accelerator.adapter_slots - state.adapter_count() - queued
         return free_slots > 0 or len(self._idle_adapters(state)) > -free_slots
 
     def _adapter_to_evict(
--- a/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
@@ -337,7 +337,7 @@
         holdings = {
             name: sorted(held_adapters)
             for name, held_adapters in state.adapters_by_model.items()
-            if name != state.leaving
+            if name != state.draining_model
         }
         if without is not None and not without.adapter:
             holdings.pop(without.model, None)
--- a/packages/mothworks_gateway/src/mothworks_gateway/placement_candidates.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/placement_candidates.py
@@ -146,7 +146,7 @@
         per_s = self.limits.per_s(state.endpoint.id)
         if per_s is None:
             return 1.0
-        return min(1.0, per_s * REQUEST_DURATION_S / state.accelerator.batch)
+        return min(1.0, per_s * REQUEST_DURATION_S / state.accelerator.batch_slots)
 
     def replica_value(self, target: caller_request.Target, replicas: float) -> float:
         """Return how many requests a model's last replica serves in time.
@@ -301,7 +301,7 @@
         running = sum(self.running(name, [state]) for name in names)
         share = (
             self.running_requests.of_endpoint(state.endpoint.id)
-            / state.accelerator.batch
+            / state.accelerator.batch_slots
         )
         ready_in_s = (
             state.load_s(model)
@@ -330,7 +330,9 @@
         if value > 0:
             return max(value, rate * seconds * SPARE_REPLICA_COST_SHARE)
         running = self.running(name, [state, *others])
-        if running <= TAKEOVER_BATCH_SHARE * state.accelerator.batch * len(others):
+        if running <= TAKEOVER_BATCH_SHARE * state.accelerator.batch_slots * len(
+            others
+        ):
             return rate * seconds * SPARE_REPLICA_COST_SHARE
         return rate * seconds
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/registry.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/registry.py
@@ -28,9 +28,9 @@
     :param service: the service that it belongs to.
     :param address: IP number and port.
     :param data_centre: where it runs.
-    :param places: requests that it runs concurrently.
-    :param leaving: whether it is shutting down and must get no new requests.
-    :param left_s: time until it shuts down, seconds; None if unknown.
+    :param batch_slots: requests that it runs concurrently.
+    :param draining: whether it is shutting down and must get no new requests.
+    :param remaining_s: time until it shuts down, seconds; None if unknown.
     :param adapters_by_model: its loaded models and their adapters; None for a plain
         service.
     :param in_host_memory: models whose weights are in its host memory.
@@ -43,9 +43,9 @@
     service: str
     address: tuple[str, int]
     data_centre: str = ""
-    places: int = 1
-    leaving: bool = False
-    left_s: float | None = None
+    batch_slots: int = 1
+    draining: bool = False
+    remaining_s: float | None = None
     adapters_by_model: dict[str, frozenset[str]] | None = None
     in_host_memory: frozenset[str] = frozenset()
     on_disk: frozenset[str] = frozenset()
@@ -83,7 +83,7 @@
     @property
     def open(self) -> bool:
         """Return whether it accepts new requests."""
-        return not (self.entry.leaving or self.dismissed)
+        return not (self.entry.draining or self.dismissed)
 
     def holds(self, model: str, adapter: str) -> bool:
         """Return whether a model and its adapter are loaded.
@@ -142,8 +142,8 @@
         endpoint.document = document
         endpoint.lapsed_until = None
         self._update_models(endpoint, previous, entry)
-        if previous.leaving != entry.leaving:
-            self._log(entry, "leaves" if entry.leaving else "stays")
+        if previous.draining != entry.draining:
+            self._log(entry, "leaves" if entry.draining else "stays")
 
     def named(self, name: str) -> Endpoint | None:
         """Return the newest incarnation of an endpoint; None if it is unknown.
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -179,7 +179,7 @@
             return
         # Callers that were refused with a time to retry after are not in the count.
         callers = max(unmet.count, self.demand.rate(unmet.target.base) * RETRY_WINDOW_S)
-        if len(holders) > callers // (REPLICA_BATCH_SHARE * accelerator.batch):
+        if len(holders) > callers // (REPLICA_BATCH_SHARE * accelerator.batch_slots):
             return
         model = accelerator.model_by_name[unmet.target.model]
         late_s = max(0.0, -unmet.left_s)
@@ -211,9 +211,9 @@
     def _pressure(self, state: endpoint_state.EndpointState) -> float:
         batch_share = (
             self.running_requests.of_endpoint(state.endpoint.id)
-            / state.accelerator.batch
+            / state.accelerator.batch_slots
         )
-        adapter_share = state.adapter_count() / max(1, state.accelerator.adapter_places)
+        adapter_share = state.adapter_count() / max(1, state.accelerator.adapter_slots)
         # An adapter waits for seconds behind a model that is loaded or unloaded.
         loading = LOADING_PRESSURE if state.occupied else 0.0
         return (
@@ -307,7 +307,7 @@
         if since_last_s < SPREAD_INTERVAL_S or not holders:
             return False
         running = self.placement.running(target.model, holders)
-        slots = accelerator.batch * self.placement.capacity(holders)
+        slots = accelerator.batch_slots * self.placement.capacity(holders)
         if any(target.model not in state.adapters_by_model for state in holders):
             # Another endpoint is loading the model, which takes up to four seconds.
             return running > SPREAD_LOADING_BATCH_SHARE * slots
--- a/packages/mothworks_gateway/tests/gateway_builders.py
+++ b/packages/mothworks_gateway/tests/gateway_builders.py
@@ -63,7 +63,7 @@
     )
 
 
-def endpoint(endpoint_id, service="s", places=10, models=(), data_centre="a"):
+def endpoint(endpoint_id, service="s", batch_slots=10, models=(), data_centre="a"):
     """Return an endpoint that holds some models."""
     adapters_by_model = {name: frozenset() for name in models}
     entry = registry.Entry(
@@ -71,7 +71,7 @@
         service,
         ("10.0.1.1", 80),
         data_centre,
-        places,
+        batch_slots,
         False,
         None,
         adapters_by_model,
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -135,14 +135,14 @@
     return state
 
 
-def accelerator_for(names, batch):
+def accelerator_for(names, batch_slots):
     """Return endpoints with memory for two large models that may hold given models.
 
     :param names: the models' names.
-    :param batch: batch slots of an endpoint.
+    :param batch_slots: batch slots of an endpoint.
     """
     models = {
         name: declaration_types.Model(name, 34_300.0, 0, 0.0, 4.0, 1.0, 0.8)
         for name in names
     }
-    return declaration_types.Accelerator(83_000.0, 8, batch, 133_000, 2.2, models)
+    return declaration_types.Accelerator(83_000.0, 8, batch_slots, 133_000, 2.2, models)
--- a/packages/mothworks_gateway/tests/test_endpoint_selection.py
+++ b/packages/mothworks_gateway/tests/test_endpoint_selection.py
@@ -86,7 +86,7 @@
     # Endpoints have 96 batch slots, and the prefill of a dozen prompts keeps one busy.
     # One that ran nine requests more than the other, a tenth of its slots, still
     # received all requests that share a prompt, and all of their streams stalled.
-    endpoints = [gateway_builders.endpoint(f"i-{n}", places=96) for n in range(2)]
+    endpoints = [gateway_builders.endpoint(f"i-{n}", batch_slots=96) for n in range(2)]
     request = gateway_builders.request(prompt=prompt("a", "own"))
     preferred = make_selection(endpoints).candidates(request).ready[0]
     selection = make_selection(endpoints, {preferred.id: 9})
--- a/packages/mothworks_gateway/tests/test_limited_sites.py
+++ b/packages/mothworks_gateway/tests/test_limited_sites.py
@@ -19,7 +19,7 @@
 @pytest.fixture
 def scheduling(monkeypatch):
     names = {name for names in MODELS_PER_ENDPOINT for name in names}
-    accelerator = scheduling_builders.accelerator_for(names, batch=32)
+    accelerator = scheduling_builders.accelerator_for(names, batch_slots=32)
     clock = scheduling_builders.Clock(monkeypatch)
     return scheduling_builders.Scheduling(clock, accelerator, MODELS_PER_ENDPOINT)
 
--- a/packages/mothworks_gateway/tests/test_moving_demand.py
+++ b/packages/mothworks_gateway/tests/test_moving_demand.py
@@ -21,7 +21,7 @@
 @pytest.fixture
 def scheduling(monkeypatch):
     names = ["rising", "fallen", *(f"rare-{number}" for number in range(9))]
-    accelerator = scheduling_builders.accelerator_for(names, batch=96)
+    accelerator = scheduling_builders.accelerator_for(names, batch_slots=96)
     clock = scheduling_builders.Clock(monkeypatch)
     return scheduling_builders.Scheduling(clock, accelerator, HOLDING)
 
--- a/packages/mothworks_gateway/tests/test_registry.py
+++ b/packages/mothworks_gateway/tests/test_registry.py
@@ -59,7 +59,7 @@
 
 def test_a_leaving_endpoint_gets_no_new_requests(endpoints, logged_outcomes):
     entry = endpoints.by_id["i-1"].entry
-    endpoints.put(attrs.evolve(entry, leaving=True), b"")
+    endpoints.put(attrs.evolve(entry, draining=True), b"")
     assert not endpoints.by_id["i-1"].open
     assert endpoints.of_service("s") == []
     assert logged_outcomes == ["leaves"]
@@ -84,7 +84,7 @@
 def test_an_entry_of_an_older_incarnation_is_ignored(endpoints, logged_outcomes):
     entry = gateway_builders.endpoint("i-2").entry
     endpoints.put(attrs.evolve(entry, started_ms=9), b"new")
-    endpoints.put(attrs.evolve(entry, started_ms=5, leaving=True), b"old")
+    endpoints.put(attrs.evolve(entry, started_ms=5, draining=True), b"old")
     assert endpoints.named("i-2").open
     assert endpoints.named("i-2").document == b"new"
 
