--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -272,7 +272,7 @@
             case adapters.ResponseKind.NOT_HELD:
                 self.residency.missed(endpoint, request.target)
             case adapters.ResponseKind.MISDIRECTED:
-                self.registry.dismiss(endpoint, "another endpoint has its address")
+                self.registry.exclude(endpoint, "another endpoint has its address")
             case adapters.ResponseKind.UNRECOGNIZED:
                 progress.may_have_run = True
                 self.health.failed(endpoint, "not an answer to the request")
--- a/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
@@ -172,4 +172,4 @@
     def _notify_changed(self) -> None:
         self.loaded = True
         self.updated_at = time.monotonic()
-        self.registry.changed()
+        self.registry.notify_changed()
--- a/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
@@ -290,4 +290,4 @@
 
 
 def _accepts(endpoint: registry.Endpoint, target: caller_request.Target) -> bool:
-    return endpoint.open and endpoint.holds(target.model, target.adapter)
+    return endpoint.available and endpoint.holds(target.model, target.adapter)
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_state.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_state.py
@@ -120,9 +120,9 @@
         return self.accepted is not None
 
     @property
-    def open(self) -> bool:
+    def available(self) -> bool:
         """Return whether the endpoint accepts new orders and requests."""
-        return self.endpoint.open and time.monotonic() >= self.paused_until
+        return self.endpoint.available and time.monotonic() >= self.paused_until
 
     @property
     def occupied(self) -> bool:
--- a/packages/mothworks_gateway/src/mothworks_gateway/job_execution.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/job_execution.py
@@ -120,7 +120,7 @@
                 self._start_inventory_tasks()
 
     def _queue_inventory(self, state: endpoint_state.EndpointState) -> None:
-        if state.endpoint.open and time.monotonic() >= state.inventory_retry_at:
+        if state.endpoint.available and time.monotonic() >= state.inventory_retry_at:
             state.busy = True
             self._inventory_queue.append(state)
 
@@ -143,7 +143,7 @@
 
     def _request_inventory(self, state: endpoint_state.EndpointState) -> bool:
         """Request an endpoint's inventory; returns whether its state is now known."""
-        if state.endpoint.open:
+        if state.endpoint.available:
             self.orders.refresh(state)
         if not state.known:
             state.inventory_retry_at = (
@@ -248,7 +248,7 @@
     def _still_draining(self, state: endpoint_state.EndpointState, name: str) -> bool:
         """Return whether to continue waiting for a model's requests to end."""
         running = self.running_requests.of_model(state.endpoint.id, name)
-        return bool(running) and state.open and self.lease.held()
+        return bool(running) and state.available and self.lease.held()
 
     def _execute_adapter(
         self,
--- a/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
@@ -125,7 +125,7 @@
             case result.Ok(inventory) if inventory.started_ms == entry_started_ms:
                 return inventory
             case result.Ok(inventory):
-                self.registry.restarted(state.endpoint, inventory.started_ms)
+                self.registry.record_restart(state.endpoint, inventory.started_ms)
                 reason = "another incarnation answers"
             case result.Err(reason):
                 pass
@@ -147,7 +147,7 @@
         retry_delay_s = CONFLICT_RETRY_S
         refused = unanswered = False
         self._wait_for_unload(state)
-        while time.monotonic() < deadline and self.lease.held() and state.open:
+        while time.monotonic() < deadline and self.lease.held() and state.available:
             if not state.known:
                 self.refresh(state)
                 inventory_at = time.monotonic() + CONFLICT_INVENTORY_S
@@ -186,7 +186,7 @@
                 case adapters.OrderOutcome.MISDIRECTED:
                     # Its inventory came from the endpoint that now has its address, and
                     # looked like an endpoint with all of its memory free.
-                    self.registry.dismiss(
+                    self.registry.exclude(
                         state.endpoint, "another endpoint has its address"
                     )
                     return False
@@ -309,7 +309,7 @@
         state.ready_at = time.monotonic() + state.load_s(model)
         self.publish(state)
         overdue_at = state.ready_at + LOAD_OVERDUE_S
-        while state.loading and self.lease.held() and state.endpoint.open:
+        while state.loading and self.lease.held() and state.endpoint.available:
             if order.model in (state.endpoint.entry.adapters_by_model or {}):
                 state.finish(order)
                 self.publish(state)
--- a/packages/mothworks_gateway/src/mothworks_gateway/placement_candidates.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/placement_candidates.py
@@ -176,7 +176,7 @@
             cached = [
                 state
                 for state in self._involved(target)
-                if state.open and state.will_hold(target.model, target.adapter)
+                if state.available and state.will_hold(target.model, target.adapter)
             ]
             self.holders_by_target[target] = cached
         return cached
@@ -252,7 +252,7 @@
         better than none.
         """
         open_states = [
-            state for state in self.job_executor.of_service(service) if state.open
+            state for state in self.job_executor.of_service(service) if state.available
         ]
         unlimited = [
             state
--- a/packages/mothworks_gateway/src/mothworks_gateway/registry.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/registry.py
@@ -64,7 +64,7 @@
     :param entry: the newest entry.
     :param document: the platform's document of the entry, for peers.
     :param adapters_by_model: the models and adapters assumed to be loaded now.
-    :param dismissed: why this VM sends it no new requests; empty if it does.
+    :param exclusion_reason: why this VM sends it no new requests; empty if it does.
     :param lapsed_until: monotonic time until which it stays in use although its entry
         is missing; None while the entry exists.
     """
@@ -72,7 +72,7 @@
     entry: Entry
     document: bytes = attrs.field(default=b"", repr=False)
     adapters_by_model: dict[str, frozenset[str]] = attrs.field(factory=dict)
-    dismissed: str = ""
+    exclusion_reason: str = ""
     lapsed_until: float | None = None
 
     @property
@@ -81,9 +81,9 @@
         return self.entry.id
 
     @property
-    def open(self) -> bool:
+    def available(self) -> bool:
         """Return whether it accepts new requests."""
-        return not (self.entry.draining or self.dismissed)
+        return not (self.entry.draining or self.exclusion_reason)
 
     def holds(self, model: str, adapter: str) -> bool:
         """Return whether a model and its adapter are loaded.
@@ -117,7 +117,7 @@
         return [
             item
             for item in self.by_id.values()
-            if item.open and item.entry.service == service
+            if item.available and item.entry.service == service
         ]
 
     def put(self, entry: Entry, document: bytes) -> None:
@@ -126,7 +126,7 @@
         :param entry: the endpoint's entry.
         :param document: the platform's document of the entry.
         """
-        endpoint = self.named(entry.name)
+        endpoint = self.find_by_name(entry.name)
         if endpoint is not None and entry.started_ms < endpoint.entry.started_ms:
             # Written before the endpoint restarted, and arrived late.
             self._log(entry, "older incarnation, left out")
@@ -145,7 +145,7 @@
         if previous.draining != entry.draining:
             self._log(entry, "leaves" if entry.draining else "stays")
 
-    def named(self, name: str) -> Endpoint | None:
+    def find_by_name(self, name: str) -> Endpoint | None:
         """Return the newest incarnation of an endpoint; None if it is unknown.
 
         :param name: its name on the platform.
@@ -165,7 +165,7 @@
             although its entry is missing; it stays in use until then.
         :param reason: why it may be running, for the log.
         """
-        endpoint = self.named(name)
+        endpoint = self.find_by_name(name)
         if endpoint is None:
             return
         if time.monotonic() < suspect_until:
@@ -175,7 +175,7 @@
             return
         self._remove(endpoint, "removed")
 
-    def restarted(self, endpoint: Endpoint, started_ms: int) -> None:
+    def record_restart(self, endpoint: Endpoint, started_ms: int) -> None:
         """Record a restart that an endpoint reported to this VM.
 
         Its new entry may arrive seconds later, or not at all while the platform is
@@ -185,14 +185,14 @@
         :param started_ms: when the new one started; see :class:`Entry`.
         """
         if (
-            self.named(endpoint.entry.name) is endpoint
+            self.find_by_name(endpoint.entry.name) is endpoint
             and started_ms > endpoint.entry.started_ms
         ):
             new_entry = attrs.evolve(
                 endpoint.entry, started_ms=started_ms, adapters_by_model={}
             )
             self.put(new_entry, endpoint.document)
-            self.changed()
+            self.notify_changed()
 
     def expire(self) -> None:
         """Remove endpoints whose lapsed entries did not return in time."""
@@ -200,20 +200,20 @@
         for item in list(self.by_id.values()):
             if item.lapsed_until is not None and now > item.lapsed_until:
                 self._remove(item, "removed")
-                self.changed()
+                self.notify_changed()
 
-    def dismiss(self, endpoint: Endpoint, reason: str) -> None:
+    def exclude(self, endpoint: Endpoint, reason: str) -> None:
         """Exclude an endpoint from new requests because of its own behaviour.
 
         :param endpoint: the endpoint.
         :param reason: the observed behaviour.
         """
-        if not endpoint.dismissed:
-            endpoint.dismissed = reason
+        if not endpoint.exclusion_reason:
+            endpoint.exclusion_reason = reason
             self._log(endpoint.entry, f"dismissed: {reason}")
-            self.changed()
+            self.notify_changed()
 
-    def changed(self) -> None:
+    def notify_changed(self) -> None:
         """Call the :attr:`on_change` callbacks."""
         for notify in self.on_change:
             notify()
--- a/packages/mothworks_gateway/src/mothworks_gateway/stream_relay.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/stream_relay.py
@@ -113,7 +113,7 @@
         if time.monotonic() >= self.request.deadline - MIN_RESUME_S:
             return
         self.attempts.health.failed(self.endpoint, reason)
-        if self.endpoint.open:
+        if self.endpoint.available:
             self.attempts.poison_requests.record_crash(self.request, self.endpoint)
 
     def _resume(self) -> bool:
--- a/packages/mothworks_gateway/tests/test_endpoint_limits.py
+++ b/packages/mothworks_gateway/tests/test_endpoint_limits.py
@@ -102,7 +102,7 @@
 def test_a_limit_is_removed_with_its_endpoint(limits):
     limits.answer(2.0, 0.1, 0.2)
     limits.view.by_id = {}
-    limits.view.changed()
+    limits.view.notify_changed()
     assert limits.per_s is None
 
 
--- a/packages/mothworks_gateway/tests/test_endpoint_selection.py
+++ b/packages/mothworks_gateway/tests/test_endpoint_selection.py
@@ -75,7 +75,7 @@
 
 def test_a_leaving_endpoint_is_no_candidate():
     leaving, staying = [gateway_builders.endpoint(f"i-{n}") for n in range(2)]
-    leaving.dismissed = "it leaves"
+    leaving.exclusion_reason = "it leaves"
     candidates = make_selection([leaving, staying]).candidates(
         gateway_builders.request()
     )
--- a/packages/mothworks_gateway/tests/test_health.py
+++ b/packages/mothworks_gateway/tests/test_health.py
@@ -74,7 +74,7 @@
         for item in gone:
             endpoint_health.failed(item, "status 500")
     endpoint_health.registry.by_id = {item.id: item for item in staying}
-    endpoint_health.registry.changed()
+    endpoint_health.registry.notify_changed()
     failing, *healthy = staying
     for number in range(60):
         for item in healthy:
--- a/packages/mothworks_gateway/tests/test_late_orders.py
+++ b/packages/mothworks_gateway/tests/test_late_orders.py
@@ -43,7 +43,7 @@
 
 def state_of(endpoint, view):
     """Return a state of the incarnation that the registry knows."""
-    return endpoint_state.EndpointState(view.named(NAME), endpoint.declared_as)
+    return endpoint_state.EndpointState(view.find_by_name(NAME), endpoint.declared_as)
 
 
 HOLDER = st.sampled_from([0, 0, 0, 1])
@@ -71,7 +71,7 @@
         self.state_by_holder = {0: None, 1: None}
 
     def state_for(self, holder):
-        endpoint = self.view.named(NAME)
+        endpoint = self.view.find_by_name(NAME)
         state = self.state_by_holder[holder]
         if state is None or state.endpoint is not endpoint:
             state = endpoint_state.EndpointState(endpoint, self.endpoint.declared_as)
@@ -246,4 +246,4 @@
     endpoint.finish()
     orders.attempt(state, adapters.Order(True, "a", "", 1, "vm-1", 1))
     assert not endpoint.crashes
-    assert view.named(NAME).entry.started_ms == endpoint.started_ms
+    assert view.find_by_name(NAME).entry.started_ms == endpoint.started_ms
--- a/packages/mothworks_gateway/tests/test_published_changes.py
+++ b/packages/mothworks_gateway/tests/test_published_changes.py
@@ -41,7 +41,7 @@
 def state(part):
     """Return the revision that wrote each known entry, by name."""
     return {
-        name: part.registry.named(name).entry.service
+        name: part.registry.find_by_name(name).entry.service
         for name in part.registry.id_by_name
     }
 
--- a/packages/mothworks_gateway/tests/test_registry.py
+++ b/packages/mothworks_gateway/tests/test_registry.py
@@ -36,7 +36,7 @@
     for _ in range(4):
         endpoints.remove("i-1", time.monotonic() + SUSPECT_S)
     assert logged_outcomes == ["lapsed during an outage"]
-    assert endpoints.by_id["i-1"].open
+    assert endpoints.by_id["i-1"].available
 
 
 def test_a_lapsed_entry_that_returned_may_lapse_again(endpoints, logged_outcomes):
@@ -60,7 +60,7 @@
 def test_a_leaving_endpoint_gets_no_new_requests(endpoints, logged_outcomes):
     entry = endpoints.by_id["i-1"].entry
     endpoints.put(attrs.evolve(entry, draining=True), b"")
-    assert not endpoints.by_id["i-1"].open
+    assert not endpoints.by_id["i-1"].available
     assert endpoints.of_service("s") == []
     assert logged_outcomes == ["leaves"]
 
@@ -71,11 +71,11 @@
     # apply to the new one.
     entry = gateway_builders.endpoint("i-2", models=("m",)).entry
     endpoints.put(attrs.evolve(entry, started_ms=5), b"")
-    previous = endpoints.named("i-2")
-    endpoints.dismiss(previous, "another endpoint has its address")
+    previous = endpoints.find_by_name("i-2")
+    endpoints.exclude(previous, "another endpoint has its address")
     endpoints.put(attrs.evolve(entry, started_ms=9, adapters_by_model={}), b"")
-    restarted = endpoints.named("i-2")
-    assert restarted.open and restarted.id != previous.id
+    restarted = endpoints.find_by_name("i-2")
+    assert restarted.available and restarted.id != previous.id
     assert not restarted.holds("m", "")
     assert previous.id not in endpoints.by_id
     assert logged_outcomes[-2:] == ["started again", "appeared"]
@@ -85,8 +85,8 @@
     entry = gateway_builders.endpoint("i-2").entry
     endpoints.put(attrs.evolve(entry, started_ms=9), b"new")
     endpoints.put(attrs.evolve(entry, started_ms=5, draining=True), b"old")
-    assert endpoints.named("i-2").open
-    assert endpoints.named("i-2").document == b"new"
+    assert endpoints.find_by_name("i-2").available
+    assert endpoints.find_by_name("i-2").document == b"new"
 
 
 def test_an_endpoint_that_reports_its_restart_has_no_models_loaded(
@@ -96,7 +96,7 @@
     # restart. The endpoint's own report contains the later start time.
     entry = gateway_builders.endpoint("i-2", models=("m",)).entry
     endpoints.put(attrs.evolve(entry, started_ms=5), b"")
-    endpoints.restarted(endpoints.named("i-2"), 9)
-    assert not endpoints.named("i-2").holds("m", "")
+    endpoints.record_restart(endpoints.find_by_name("i-2"), 9)
+    assert not endpoints.find_by_name("i-2").holds("m", "")
     endpoints.put(attrs.evolve(entry, started_ms=5), b"")
-    assert endpoints.named("i-2").entry.started_ms == 9
+    assert endpoints.find_by_name("i-2").entry.started_ms == 9
--- a/packages/mothworks_gateway/tests/test_residency.py
+++ b/packages/mothworks_gateway/tests/test_residency.py
@@ -114,7 +114,7 @@
     caller = spawn_waiter(part, "m-1", checks)
     gevent.sleep(0)
     checks.clear()
-    part.registry.changed()
+    part.registry.notify_changed()
     gevent.sleep(0)
     assert checks == ["m-1"]
     caller.kill()
