--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -228,7 +228,7 @@
         return (
             request.route.repeatable
             and not request.route.streaming
-            and len(progress.tried) < request.route.most_endpoints
+            and len(progress.tried) < request.route.max_endpoints
             and len(self.registry.of_service(request.target.service)) > 1
         )
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/declaration_types.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/declaration_types.py
@@ -12,7 +12,7 @@
 from mothworks_gateway import client_accounts
 
 #: Highest rank of urgency that endpoints distinguish; 0 is the most urgent.
-LEAST_URGENT = 9
+LOWEST_URGENCY = 9
 
 
 @attrs.frozen
@@ -40,12 +40,12 @@
     :param resumable: whether an interrupted stream may be resumed on another endpoint.
     :param timeout_s: longest time that a caller waits, seconds.
     :param objective_s: latency objective for a response, seconds.
-    :param gap_s: longest pause between two events of a stream that meets its
+    :param max_gap_s: longest pause between two events of a stream that meets its
         objective, seconds; 0 for other routes.
     :param caller_timeout_s: time without an event after which callers close a stream,
         also before its first event, seconds.
     :param urgency: rank among routes; 0 is the most urgent.
-    :param most_endpoints: maximum number of endpoints that one request is sent to.
+    :param max_endpoints: maximum number of endpoints that one request is sent to.
     :param public: whether callers need no key.
     """
 
@@ -58,10 +58,10 @@
     resumable: bool = False
     timeout_s: float = 60.0
     objective_s: float = 1.0
-    gap_s: float = 0.0
+    max_gap_s: float = 0.0
     caller_timeout_s: float = math.inf
     urgency: int = 0
-    most_endpoints: int = 1
+    max_endpoints: int = 1
     public: bool = False
 
     @property
@@ -78,18 +78,18 @@
     :param memory_mb: accelerator memory for its weights, MB.
     :param adapters: number of its adapters.
     :param adapter_mb: accelerator memory for one adapter, MB.
-    :param store_s: time to load it from the weight store, seconds.
-    :param disk_s: time to load it from the endpoint's disk, seconds.
-    :param host_s: time to load it from the endpoint's host memory, seconds.
+    :param store_load_s: time to load it from the weight store, seconds.
+    :param disk_load_s: time to load it from the endpoint's disk, seconds.
+    :param host_load_s: time to load it from the endpoint's host memory, seconds.
     """
 
     name: str
     memory_mb: float
     adapters: int = 0
     adapter_mb: float = 0.0
-    store_s: float = 4.0
-    disk_s: float = 1.0
-    host_s: float = 0.5
+    store_load_s: float = 4.0
+    disk_load_s: float = 1.0
+    host_load_s: float = 0.5
 
 
 @attrs.frozen
@@ -118,13 +118,13 @@
     """A group of endpoints that can serve the same requests.
 
     :param name: its name.
-    :param most_connections: maximum number of connections that one endpoint accepts
+    :param max_connections: maximum number of connections that one endpoint accepts
         from all VMs together.
     :param accelerator: capacity of its endpoints; None for a service without models.
     """
 
     name: str
-    most_connections: int = 64
+    max_connections: int = 64
     accelerator: Accelerator | None = None
 
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
@@ -209,7 +209,7 @@
         ready: tuple[registry.Endpoint, ...],
     ) -> list[registry.Endpoint]:
         """Return the endpoints that a request may be sent to."""
-        if len(progress.tried) < request.route.most_endpoints:
+        if len(progress.tried) < request.route.max_endpoints:
             untried = [item for item in ready if item.id not in progress.tried]
             if untried:
                 return untried
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_state.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_state.py
@@ -291,10 +291,10 @@
         """
         entry = self.endpoint.entry
         if model.name in entry.in_host_memory:
-            return model.host_s
+            return model.host_load_s
         if model.name in entry.on_disk:
-            return model.disk_s
-        return model.store_s
+            return model.disk_load_s
+        return model.store_load_s
 
     def ready_s_by_model(self) -> dict[str, float]:
         """Return the seconds until ready of each model that is loading or queued."""
--- a/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
@@ -91,7 +91,7 @@
         :param model: the model to load.
         :param share: the share of the rate that such loads may use.
         """
-        if state.load_s(model) < model.store_s:
+        if state.load_s(model) < model.store_load_s:
             return True
         per_s = state.accelerator.store_loads_per_s * self.bounds.load_factor
         max_loads = max(1, int(per_s * self.bounds.load_window_s * share))
@@ -289,7 +289,7 @@
         maybe_started = (adapters.OrderOutcome.ACCEPTED, adapters.OrderOutcome.UNKNOWN)
         if order.load and not order.adapter and outcome in maybe_started:
             model = state.accelerator.model_by_name[order.model]
-            if state.load_s(model) >= model.store_s:
+            if state.load_s(model) >= model.store_load_s:
                 self.store_loads.add()
 
     def _wait_until_executed(
--- a/packages/mothworks_gateway/src/mothworks_gateway/placement_candidates.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/placement_candidates.py
@@ -323,7 +323,7 @@
         min_rate = MIN_RATE_PER_S * (1 if demand_observed else (1 + len(others)) ** 2)
         rate = max(min_rate, self.demand.rate(target))
         model = state.accelerator.model_by_name.get(name)
-        seconds = UNAVAILABLE_S + (model.host_s if model else 0.0)
+        seconds = UNAVAILABLE_S + (model.host_load_s if model else 0.0)
         if not others:
             return rate * seconds
         value = self.replica_value(target, len(others) + 1)
--- a/packages/mothworks_gateway/src/mothworks_gateway/prefill_pacing.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/prefill_pacing.py
@@ -96,7 +96,7 @@
     def __init__(self):
         #: Monotonic time at which the prompts of each rank and of all more urgent ranks
         #: are processed.
-        self.free_at_by_urgency = [0.0] * (declaration_types.LEAST_URGENT + 1)
+        self.free_at_by_urgency = [0.0] * (declaration_types.LOWEST_URGENCY + 1)
 
     def reserve(
         self,
@@ -205,7 +205,7 @@
         schedule = self.schedule_by_endpoint.setdefault(
             slot_request.endpoint, PrefillSchedule()
         )
-        urgency = min(max(slot_request.urgency, 0), declaration_types.LEAST_URGENT)
+        urgency = min(max(slot_request.urgency, 0), declaration_types.LOWEST_URGENCY)
         pace = max(slot_request.tokens_per_s, MIN_TOKENS_PER_S)
         return schedule.reserve(slot_request.tokens, urgency, time.monotonic(), pace)
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -347,7 +347,7 @@
             copies_by_model.update(state.local_models())
         models = accelerator.model_by_name.values()
         for model in sorted(models, key=lambda item: copies_by_model[item.name]):
-            faster_from_disk = model.disk_s < model.store_s
+            faster_from_disk = model.disk_load_s < model.store_load_s
             if faster_from_disk and copies_by_model[model.name] < MIN_COPIES:
                 target = caller_request.Target(service, model.name)
                 candidate = self._place_model(target, model, COPY, COPY_COST_LIMIT, 0)
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -339,7 +339,7 @@
         bucket = self._bucket_of(endpoint_id)
         if bucket.cap.burst < BURST:
             self._randomise_level(endpoint_id, bucket)
-        rank = min(max(slot_request.urgency, 0), declaration_types.LEAST_URGENT)
+        rank = min(max(slot_request.urgency, 0), declaration_types.LOWEST_URGENCY)
         refusal_streak = self.refusals_by_id[endpoint_id]
         max_ahead_s = (
             OVERLOAD_MAX_AHEAD_S if refusal_streak.is_sustained(now) else MAX_AHEAD_S
--- a/packages/mothworks_gateway/src/mothworks_gateway/stream_relay.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/stream_relay.py
@@ -104,8 +104,8 @@
             self.attempts.running_requests.request_ended(
                 self.endpoint, self.request.target
             )
-            gap_s = self.request.route.gap_s
-            if gap_s and self.longest_gap_s > gap_s:
+            max_gap_s = self.request.route.max_gap_s
+            if max_gap_s and self.longest_gap_s > max_gap_s:
                 self.attempts.running_requests.record_late(self.request.target)
 
     def _record_break(self, reason: str) -> None:
@@ -119,7 +119,7 @@
     def _resume(self) -> bool:
         """Resume the stream at another endpoint; returns whether that succeeded."""
         route = self.request.route
-        if self.event_splitter is None or len(self.tried_ids) >= route.most_endpoints:
+        if self.event_splitter is None or len(self.tried_ids) >= route.max_endpoints:
             return False
         if self.relayed_bytes and not self.event_splitter.last_id:
             return False
