--- a/packages/mothworks_gateway/src/mothworks_gateway/client_accounts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/client_accounts.py
@@ -47,27 +47,27 @@
     :param per_s: units per second.
     :param burst: units that may accumulate while the account is idle.
     :param unit: what is counted.
-    :param plain_tokens: tokens counted for a request that specifies none.
+    :param default_tokens: tokens counted for a request that specifies none.
     """
 
     per_s: float
     burst: float
     unit: CapUnit = CapUnit.REQUESTS
-    plain_tokens: int = 1
+    default_tokens: int = 1
 
     def cost(self, tokens: int) -> float:
         """Return the units that a request consumes.
 
         :param tokens: prompt tokens plus maximum output tokens; 0 if it specifies none.
 
-        >>> UsageCap(10.0, 10.0, CapUnit.TOKENS, plain_tokens=200).cost(0)
+        >>> UsageCap(10.0, 10.0, CapUnit.TOKENS, default_tokens=200).cost(0)
         200
         """
         if self.unit is CapUnit.REQUESTS:
             return 1
-        return tokens or self.plain_tokens
+        return tokens or self.default_tokens
 
-    def part(self, share: float) -> "UsageCap":
+    def scaled(self, share: float) -> "UsageCap":
         """Return this cap scaled down to a share of it.
 
         :param share: the share, at most 1.
@@ -76,7 +76,7 @@
             return self
         return attrs.evolve(self, per_s=share * self.per_s, burst=share * self.burst)
 
-    def most_in(self, seconds: float) -> float:
+    def max_units(self, seconds: float) -> float:
         """Return the maximum number of units that an account may use in any window.
 
         :param seconds: length of the window.
--- a/packages/mothworks_gateway/src/mothworks_gateway/credit.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/credit.py
@@ -229,7 +229,7 @@
         than that share.
         """
         window_s = self.kernel.settings.bounds.cap_window_s
-        allowed = account.cap.most_in(window_s)
+        allowed = account.cap.max_units(window_s)
         share = RESERVE_SHARE * self._tolerated_excess(account.cap) / allowed
         if account.name in self.calm_accounts:
             share = max(share, CALM_S / window_s) if share else 0.0
@@ -239,7 +239,7 @@
     def _tolerated_excess(self, cap: client_accounts.UsageCap) -> float:
         """Return the units by which the usage in one window may exceed a cap."""
         bounds = self.kernel.settings.bounds
-        return bounds.cap_over * cap.most_in(bounds.cap_window_s) + bounds.cap_slack
+        return bounds.cap_over * cap.max_units(bounds.cap_window_s) + bounds.cap_slack
 
     def _grant(self, request: CreditRequest) -> CreditReply:
         bucket = self._bucket(request.account)
@@ -262,7 +262,7 @@
         declared = accounts and accounts.by_name.get(account)
         if not declared or declared.cap is None:
             return None
-        cap = declared.cap.part(self.budgets.part())
+        cap = declared.cap.scaled(self.budgets.part())
         bucket = self.bucket_by_account.get(account)
         if bucket is not None and bucket.cap == cap:
             return bucket
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -372,7 +372,7 @@
         """Return the token bucket of an endpoint that reports a limit."""
         now = time.monotonic()
         per_s = max(MIN_RATE_PER_S, self.limits.per_s(endpoint_id))
-        cap = client_accounts.UsageCap(per_s, BURST).part(self.budgets.part())
+        cap = client_accounts.UsageCap(per_s, BURST).scaled(self.budgets.part())
         bucket = self.bucket_by_id.get(endpoint_id)
         if bucket is None:
             empty_since = max(now - cap.burst / cap.per_s, self.budgets.synced_since)
--- a/packages/mothworks_gateway/tests/limit_ways.py
+++ b/packages/mothworks_gateway/tests/limit_ways.py
@@ -31,7 +31,7 @@
         per_s = self.vm_by_name[name].limits.per_s(endpoint.id)
         if per_s is None:
             return result.Ok(send_slots.SendSlot(endpoint))
-        cap = client_accounts.UsageCap(per_s, send_slots.BURST).part(
+        cap = client_accounts.UsageCap(per_s, send_slots.BURST).scaled(
             self.share_per_vm()
         )
         now = self.clock.monotonic()
--- a/packages/mothworks_gateway/tests/test_client_accounts.py
+++ b/packages/mothworks_gateway/tests/test_client_accounts.py
@@ -5,7 +5,7 @@
 from mothworks_gateway import client_accounts
 
 CAP = client_accounts.UsageCap(
-    10.0, 20.0, client_accounts.CapUnit.TOKENS, plain_tokens=200
+    10.0, 20.0, client_accounts.CapUnit.TOKENS, default_tokens=200
 )
 
 
@@ -45,4 +45,4 @@
 
 
 def test_maximum_units_in_a_window():
-    assert CAP.most_in(8.0) == 100.0
+    assert CAP.max_units(8.0) == 100.0
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -238,7 +238,7 @@
 
     def worst_window(self, name):
         """Return the highest usage in a window, relative to what is tolerated."""
-        allowed = self.accounts.by_name[name].cap.most_in(8.0) * 1.1 + 17_000.0
+        allowed = self.accounts.by_name[name].cap.max_units(8.0) * 1.1 + 17_000.0
         granted = self.granted[name]
         first, used, worst_window = 0, 0.0, 0.0
         for at, units in granted:
--- a/packages/mothworks_gateway/tests/test_token_bucket.py
+++ b/packages/mothworks_gateway/tests/test_token_bucket.py
@@ -22,7 +22,7 @@
             granted.append((now, units))
     for begin, _ in granted:
         used = sum(units for at, units in granted if begin <= at < begin + 8.0)
-        assert used <= CAP.most_in(8.0) + 9000
+        assert used <= CAP.max_units(8.0) + 9000
     assert sum(units for _, units in granted) >= 0.95 * CAP.per_s * 60.0
 
 
