--- a/packages/mothworks_gateway/src/mothworks_gateway/admission.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/admission.py
@@ -57,7 +57,7 @@
         current = self.declarations.current
         if current is None or current.accounts is None:
             return True
-        return self.freshness.holds() or self.freshness.shared_by_all()
+        return self.freshness.is_proven() or self.freshness.is_fleet_wide()
 
     def identify(
         self, route: declaration_types.Route, key: str
@@ -70,7 +70,7 @@
         accounts = self.declarations.current.accounts
         if accounts is None or route.public:
             return result.Ok(None)
-        if not self.freshness.holds():
+        if not self.freshness.is_proven():
             message = "this VM can't verify whether keys are still valid"
             return result.Err(
                 outcomes.overloaded(message, UNVERIFIED_RETRY_S, "unproven")
--- a/packages/mothworks_gateway/src/mothworks_gateway/credit.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/credit.py
@@ -253,7 +253,7 @@
         if is_minority or not self.budgets.may_lend():
             return False
         is_fresh = self.freshness.age_s() <= MAX_DECLARATION_AGE_S
-        return is_fresh or self.freshness.shared_by_all()
+        return is_fresh or self.freshness.is_fleet_wide()
 
     def _bucket(self, account: str) -> token_bucket.TokenBucket | None:
         """Return an account's bucket; None where it has no cap here."""
--- a/packages/mothworks_gateway/src/mothworks_gateway/declaration_updates.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/declaration_updates.py
@@ -47,4 +47,4 @@
             self.broadcast.publish(DeclarationUpdate(document))
 
     def _on_update(self, vm: str, update: DeclarationUpdate, _: peers.Answer) -> None:
-        self.declarations.offer(update.document, f"peer {vm}")
+        self.declarations.apply_if_newer(update.document, f"peer {vm}")
--- a/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
@@ -54,7 +54,7 @@
         self.kernel.get(feeding.FeedFollowers).add(follower)
         self.tasks.spawn(follower.run)
 
-    def offer(self, document: bytes, source: str) -> None:
+    def apply_if_newer(self, document: bytes, source: str) -> None:
         """Apply a declaration if it is newer than the one in force.
 
         :param document: the operator's document.
@@ -88,7 +88,7 @@
         if document is None:
             return
         previous_version = self.version
-        self.offer(document, "platform")
+        self.apply_if_newer(document, "platform")
         if self.version > previous_version:
             for notify in self.on_platform_document:
                 notify(document)
--- a/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
@@ -59,7 +59,9 @@
         self.tasks.spawn(self.follower.run)
         self.tasks.every(EXPIRE_CHECK_S, self.registry.expire)
 
-    def take_peer(self, cursor: int, document_by_name: dict[str, bytes]) -> None:
+    def apply_peer_snapshot(
+        self, cursor: int, document_by_name: dict[str, bytes]
+    ) -> None:
         """Apply a peer's registry if it is newer than this VM's.
 
         :param cursor: the platform's revision up to which it is complete.
--- a/packages/mothworks_gateway/src/mothworks_gateway/feed_reports.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/feed_reports.py
@@ -68,7 +68,7 @@
         "cursor": follower.cursor,
         "unanswered_s": round(follower.unanswered_s, 3),
         "polling_s": round(follower.poll_duration_s, 3),
-        "lost": follower.lost_at is not None,
+        "lost": follower.outage_since is not None,
     }
 
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
@@ -85,8 +85,8 @@
     :param on_health: called when the platform stops answering, and with its first
         answer after that or after this VM started to follow the feed.
     :param cursor: the newest revision received.
-    :param lost_at: monotonic time at which the platform stopped answering; None while
-        it answers.
+    :param outage_since: monotonic time at which the platform stopped answering; None
+        while it answers.
     :param outage_ended_at: monotonic time at which the last outage ended.
     :param answered_at: monotonic time at which the platform last answered a call.
     :param answer_due_at: monotonic time by which the next answer must arrive.
@@ -105,7 +105,7 @@
     max_poll_s: float = MAX_POLL_S
     on_health: collections.abc.Callable[[], None] = _ignore
     cursor: int = 0
-    lost_at: float | None = None
+    outage_since: float | None = None
     outage_ended_at: float = -SUSPECT_REMOVAL_S
     answered_at: float = attrs.field(factory=lambda: time.monotonic())
     answer_due_at: float = -math.inf
@@ -164,7 +164,7 @@
         An answer counts only until the next one is due, since a platform that becomes
         unresponsive on an open connection never fails the call.
         """
-        return self.lost_at is None and time.monotonic() < self.answer_due_at
+        return self.outage_since is None and time.monotonic() < self.answer_due_at
 
     @property
     def grace_s(self) -> float:
@@ -172,7 +172,7 @@
 
         During an outage it is the longest, since the platform may only be slow.
         """
-        if self.lost_at is not None:
+        if self.outage_since is not None:
             return MAX_GRACE_S
         return min(MAX_GRACE_S, max(MIN_GRACE_S, GRACE_LATENCY_FACTOR * self.latency_s))
 
@@ -191,7 +191,7 @@
         """Return the seconds since the platform last answered a call."""
         return time.monotonic() - self.answered_at
 
-    def follow(self, follows: bool) -> None:
+    def set_followed(self, follows: bool) -> None:
         """Start or stop following the feed on this VM.
 
         :param follows: whether this VM itself follows the feed.
@@ -241,7 +241,7 @@
             return self.refresh()
         return response.is_ok()
 
-    def batch_for(self, seconds: float) -> None:
+    def set_batch_time(self, seconds: float) -> None:
         """Set how long changes accumulate; a shorter time ends the current pause.
 
         :param seconds: see :attr:`batch_s`.
@@ -266,7 +266,7 @@
     @property
     def suspect_until(self) -> float:
         """Return the monotonic time until which an outage may hide entries."""
-        if self.lost_at is not None:
+        if self.outage_since is not None:
             return time.monotonic() + SUSPECT_REMOVAL_S
         return self.outage_ended_at + SUSPECT_REMOVAL_S
 
@@ -302,7 +302,7 @@
         """Return how long the next poll may wait for changes, seconds."""
         catch_up_now, self._catch_up_next = self._catch_up_next, False
         # Changes written during an outage exist as soon as the platform answers.
-        in_outage = self.lost_at is not None
+        in_outage = self.outage_since is not None
         return CATCH_UP_WAIT_S if catch_up_now or in_outage else self.wait_s
 
     def _interrupt(self) -> None:
@@ -347,8 +347,8 @@
         self.answer_due_at = now + delay_s + self.wait_s + self.grace_s
 
     def _record_failure(self, reason: str) -> None:
-        if self.lost_at is None:
-            self.lost_at = time.monotonic()
+        if self.outage_since is None:
+            self.outage_since = time.monotonic()
             logs.event(
                 log,
                 "dependency lost",
@@ -370,7 +370,7 @@
             self.on_health()
 
     def _end_outage(self, outcome: str) -> None:
-        if self.lost_at is None:
+        if self.outage_since is None:
             return
         self.outage_ended_at = time.monotonic()
         logs.event(
@@ -378,11 +378,11 @@
             "dependency regained",
             dependency="platform",
             feed=self.name,
-            away_s=round(self.outage_ended_at - self.lost_at, 3),
+            away_s=round(self.outage_ended_at - self.outage_since, 3),
             cursor=self.cursor,
             outcome=outcome,
         )
-        self.lost_at = None
+        self.outage_since = None
 
 
 class FeedFollowers(kernel.Part):
--- a/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
@@ -120,11 +120,11 @@
         revoke_s = self.kernel.settings.bounds.revoke_ms / 1000
         return revoke_s * (1 - MARGIN_SHARE) if revoke_s else math.inf
 
-    def holds(self) -> bool:
+    def is_proven(self) -> bool:
         """Return whether the declaration is recent enough to honour keys."""
         return self.age_s() <= self.bound_s
 
-    def shared_by_all(self) -> bool:
+    def is_fleet_wide(self) -> bool:
         """Return whether a stale declaration seems to affect all VMs.
 
         If only this VM, or a minority with it, is cut off from the platform and from
@@ -200,7 +200,7 @@
 
     def _log_change(self) -> None:
         """Log when keys start to be refused, and when they are honoured again."""
-        proven = self.holds()
+        proven = self.is_proven()
         if proven != self.proven:
             self.proven = proven
             logs.event(
--- a/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
@@ -205,7 +205,7 @@
                 )
             # The cursor also advances with unrelated writes, so the peer's last change
             # is compared.
-            is_lost = follower_by_name["endpoints"].lost_at is not None
+            is_lost = follower_by_name["endpoints"].outage_since is not None
             is_stuck = heartbeat.registry_changed_at > self.discovery.registry.cursor
             if heartbeat.declaration_version > self.declarations.version or (
                 is_lost and is_stuck
@@ -241,9 +241,9 @@
         match self.peers.call(vm, request, STATE_TIMEOUT_S):
             case result.Ok(State(declaration, cursor, document_by_name)):
                 if declaration:
-                    self.declarations.offer(declaration, f"peer {vm}")
+                    self.declarations.apply_if_newer(declaration, f"peer {vm}")
                 if document_by_name:
-                    self.discovery.take_peer(cursor, document_by_name)
+                    self.discovery.apply_peer_snapshot(cursor, document_by_name)
 
     def _serve_state(self, vm: str, request: StateRequest, answer) -> None:
         current = self.declarations.current
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -138,7 +138,7 @@
             holds_lease = self.lease.held()
             # The lease holder batches changes only briefly: it informs the other VMs.
             batch_s = HOLDER_BATCH_S if holds_lease else self.discovery.batch_s
-            self.discovery.follower.batch_for(batch_s)
+            self.discovery.follower.set_batch_time(batch_s)
             if holds_lease and self.declarations.current is not None:
                 started_at = time.monotonic()
                 self._schedule(self.declarations.current)
--- a/packages/mothworks_gateway/src/mothworks_gateway/watching.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/watching.py
@@ -149,7 +149,7 @@
         """
         loaded = self.discovery.loaded and self.declarations.version > 0
         for follower in self.feeding.follower_by_name.values():
-            follower.follow(self.is_watcher or not healthy or not loaded)
+            follower.set_followed(self.is_watcher or not healthy or not loaded)
 
     def _set_max_polls(self, alone: bool) -> None:
         current = self.declarations.current
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -97,7 +97,7 @@
     def age_s(self):
         return self.fleet.age_s(self.name)
 
-    def shared_by_all(self):
+    def is_fleet_wide(self):
         return False
 
 
--- a/packages/mothworks_gateway/tests/test_declaration_updates.py
+++ b/packages/mothworks_gateway/tests/test_declaration_updates.py
@@ -86,14 +86,14 @@
 
 def test_an_older_declaration_that_arrives_late_is_ignored():
     fleet = Fleet("vm-3")
-    fleet.declarations_by_vm["vm-4"].offer(b"9 routes", "test")
+    fleet.declarations_by_vm["vm-4"].apply_if_newer(b"9 routes", "test")
     fleet.receive_from_platform("vm-3", b"7 routes")
     assert fleet.declarations_by_vm["vm-4"].version == 9
 
 
 def test_a_declaration_from_a_peer_is_not_published_again():
     fleet = Fleet("vm-3")
-    fleet.declarations_by_vm["vm-3"].offer(b"7 routes", "peer vm-5")
+    fleet.declarations_by_vm["vm-3"].apply_if_newer(b"7 routes", "peer vm-5")
     assert fleet.wire.sent_by_vm == {}
 
 
--- a/packages/mothworks_gateway/tests/test_feed_reports.py
+++ b/packages/mothworks_gateway/tests/test_feed_reports.py
@@ -65,7 +65,7 @@
 
 
 def test_a_feed_that_other_vms_follow_is_not_logged_as_stale(reports, clock):
-    reports.feeding.follower_by_name["declarations"].follow(False)
+    reports.feeding.follower_by_name["declarations"].set_followed(False)
     clock.advance(60)
     assert report(reports) == []
 
@@ -73,7 +73,7 @@
 def test_a_stale_feed_that_is_left_to_others_does_not_count_as_answered(reports, clock):
     clock.advance(STALE_S + 1)
     report(reports)
-    reports.feeding.follower_by_name["declarations"].follow(False)
+    reports.feeding.follower_by_name["declarations"].set_followed(False)
     [line] = report(reports)
     assert line.outcome == "left to others"
 
@@ -83,7 +83,7 @@
     report(reports)
     assert gauge_value(reports.unanswered_seconds) == 0.25
     assert gauge_value(reports.followed) == 1
-    reports.feeding.follower_by_name["declarations"].follow(False)
+    reports.feeding.follower_by_name["declarations"].set_followed(False)
     report(reports)
     assert gauge_value(reports.followed) == 0
 
--- a/packages/mothworks_gateway/tests/test_freshness.py
+++ b/packages/mothworks_gateway/tests/test_freshness.py
@@ -166,7 +166,7 @@
         pair.clock.advance(0.4)
         pair.watcher.poll()
         pair.check_follower()
-        assert pair.follower.freshness.holds()
+        assert pair.follower.freshness.is_proven()
     assert pair.follower.follower.as_of < 0
 
 
@@ -180,14 +180,14 @@
         pair.clock.advance(0.4)
         pair.check_follower()
     assert pair.clock.now - pair.platform.acknowledged_at_by_version[2] < REVOKE_S
-    assert not pair.follower.freshness.holds()
+    assert not pair.follower.freshness.is_proven()
 
 
 def test_a_vm_honours_no_keys_after_a_suspension(pair):
     # The monotonic clock does not count the 10 s of the suspension.
     pair.check_follower()
     pair.clock.suspend(10.0)
-    assert not pair.follower.freshness.holds()
+    assert not pair.follower.freshness.is_proven()
 
 
 def test_a_reply_delayed_in_a_socket_is_as_old_as_its_request(pair):
@@ -195,7 +195,7 @@
     # Treated as current, the reply let a key work that was revoked 9 s ago.
     pair.link.reply_delay_s = 10.0
     pair.check_follower()
-    assert not pair.follower.freshness.holds()
+    assert not pair.follower.freshness.is_proven()
 
 
 def test_a_reply_includes_the_age_on_the_peer(pair):
@@ -210,7 +210,7 @@
     pair.clock.advance(10.0)
     pair.platform.reply_delay_s = 6.0
     pair.watcher.poll()
-    assert not pair.watcher.freshness.holds()
+    assert not pair.watcher.freshness.is_proven()
 
 
 def test_a_newer_version_on_a_peer_proves_nothing(pair):
@@ -218,16 +218,16 @@
     pair.platform.declare()
     pair.watcher.poll()
     pair.check_follower()
-    assert not pair.follower.freshness.holds()
+    assert not pair.follower.freshness.is_proven()
 
 
 def test_an_unreadable_document_ends_the_proof(pair):
     # The newest declaration can't be decoded, so the one in force is not the newest.
     pair.watcher.poll()
     pair.watcher.declarations.readable = False
-    assert not pair.watcher.freshness.holds()
+    assert not pair.watcher.freshness.is_proven()
     pair.check_follower()
-    assert not pair.follower.freshness.holds()
+    assert not pair.follower.freshness.is_proven()
 
 
 def test_a_partition_of_one_vm_differs_from_a_platform_outage(pair):
@@ -235,12 +235,12 @@
     # other VMs. If the platform is down for all VMs, leaving would only stop service.
     pair.clock.advance(10.0)
     pair.check_follower()
-    assert pair.follower.freshness.shared_by_all()
+    assert pair.follower.freshness.is_fleet_wide()
     pair.link.up = False
     for _ in range(8):
         pair.clock.advance(0.4)
         pair.check_follower()
-    assert not pair.follower.freshness.shared_by_all()
+    assert not pair.follower.freshness.is_fleet_wide()
 
 
 def test_a_vm_that_lost_all_peers_counts_as_partitioned(pair):
@@ -255,7 +255,7 @@
     fleet._count()
     pair.clock.advance(10.0)
     pair.check_follower()
-    assert not pair.follower.freshness.shared_by_all()
+    assert not pair.follower.freshness.is_fleet_wide()
 
 
 def test_a_deployment_without_accounts_sends_no_requests(pair):
@@ -330,7 +330,7 @@
             acknowledged_at = self.pair.platform.acknowledged_at_by_version.get(
                 later, now
             )
-            if vm.freshness.holds():
+            if vm.freshness.is_proven():
                 assert now - acknowledged_at <= REVOKE_S
 
 
--- a/packages/mothworks_gateway/tests/test_published_changes.py
+++ b/packages/mothworks_gateway/tests/test_published_changes.py
@@ -166,13 +166,13 @@
     task = feeding.gevent.spawn(follower.run)
     try:
         _until(lambda: feed.waits > 3)
-        follower.follow(False)
+        follower.set_followed(False)
         _until(lambda: not follower.is_polling)
         waits = feed.waits
         feeding.gevent.sleep(0.05)
         assert feed.waits <= waits + 1
         assert follower.catch_up()
-        follower.follow(True)
+        follower.set_followed(True)
         _until(lambda: feed.waits > waits + 5)
     finally:
         task.kill()
--- a/packages/mothworks_gateway/tests/test_silent_polls.py
+++ b/packages/mothworks_gateway/tests/test_silent_polls.py
@@ -93,11 +93,11 @@
     until(lambda: len(feed.calls) > 2)
     feed.answers.clear()
     gevent.sleep(0.05)
-    follower.lost_at = feeding.time.monotonic()
+    follower.outage_since = feeding.time.monotonic()
     calls = len(feed.calls)
     follower.interrupt_if_behind(follower.cursor + 1, 0.0)
     until(lambda: len(feed.calls) > calls)
-    assert follower.lost_at is not None
+    assert follower.outage_since is not None
 
 
 # Guards against polls of a slow platform that are cancelled before the answers arrive.
@@ -130,7 +130,7 @@
     feed.answers.set()
     until(lambda: len(feed.calls) > 2)
     feed.answers.clear()
-    until(lambda: follower.lost_at is not None)
+    until(lambda: follower.outage_since is not None)
     for _ in range(2):
         calls = len(feed.calls)
         started_at = feeding.time.monotonic()
