--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -153,7 +153,9 @@
         failed = kind is adapters.ResponseKind.FAILED
         if failed and self._may_hedge(request, progress):
             answer.close()
-            self.health.failed(endpoint, f"status {answer.status}", ERROR_WEIGHT)
+            self.health.record_failure(
+                endpoint, f"status {answer.status}", ERROR_WEIGHT
+            )
             progress.may_have_run = True
             progress.reason = f"status {answer.status}"
             return None
@@ -194,7 +196,7 @@
         """Turn an answer into a reply; non-streaming ones are read whole first."""
         if request.route.streaming and kind is adapters.ResponseKind.ANSWER:
             took_s = time.monotonic() - started_at
-            self.health.succeeded(endpoint, took_s)
+            self.health.record_success(endpoint, took_s)
             self.prefill_speed.add_sample(request, took_s)
             if took_s > request.route.objective_s:
                 self.running_requests.record_late(request.target)
@@ -208,10 +210,12 @@
             return None
         self.running_requests.request_ended(endpoint, request.target)
         if kind is adapters.ResponseKind.ANSWER:
-            self.health.succeeded(endpoint, time.monotonic() - started_at)
+            self.health.record_success(endpoint, time.monotonic() - started_at)
             self.poison_requests.clear(request)
         else:
-            self.health.failed(endpoint, f"status {answer.status}", ERROR_WEIGHT)
+            self.health.record_failure(
+                endpoint, f"status {answer.status}", ERROR_WEIGHT
+            )
         return self._reply(request, answer, [whole_body.ok_value])
 
     def _reply(
@@ -243,7 +247,7 @@
         if not failure.sent:
             # Nothing was sent, so the endpoint does not count as tried.
             progress.tried.discard(endpoint.id)
-            self.health.failed(endpoint, failure.reason, consecutive_failures=2)
+            self.health.record_failure(endpoint, failure.reason, consecutive_failures=2)
             return
         self._handle_broken_answer(request, endpoint, progress, failure.reason)
 
@@ -256,7 +260,7 @@
     ) -> None:
         progress.may_have_run = True
         progress.reason = reason[:80]
-        self.health.failed(endpoint, reason)
+        self.health.record_failure(endpoint, reason)
         if "timed out" not in reason and "late" not in reason:
             self.poison_requests.record_crash(request, endpoint)
 
@@ -270,11 +274,11 @@
         progress.reason = kind.value
         match kind:
             case adapters.ResponseKind.NOT_HELD:
-                self.residency.missed(endpoint, request.target)
+                self.residency.report_not_held(endpoint, request.target)
             case adapters.ResponseKind.MISDIRECTED:
                 self.registry.exclude(endpoint, "another endpoint has its address")
             case adapters.ResponseKind.UNRECOGNIZED:
                 progress.may_have_run = True
-                self.health.failed(endpoint, "not an answer to the request")
+                self.health.record_failure(endpoint, "not an answer to the request")
             case adapters.ResponseKind.BUSY:
                 gevent.sleep(BUSY_PAUSE_S)
--- a/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
@@ -164,7 +164,7 @@
         if seconds <= 0:
             progress.reason = "the service has no endpoint"
             return self._refuse(request, progress, 503, NO_ENDPOINT_RETRY_S)
-        self.residency.changed.wait(seconds)
+        self.residency.endpoints_changed.wait(seconds)
         return None
 
     def _wait_for_model(
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_selection.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_selection.py
@@ -78,7 +78,7 @@
         holding = [
             item for item in endpoints if item.holds(target.model, target.adapter)
         ]
-        ready = self.health.usable(holding) if holding else []
+        ready = self.health.healthy(holding) if holding else []
         return Candidates(tuple(self._order(ready, request)), tuple(endpoints))
 
     def _order(
--- a/packages/mothworks_gateway/src/mothworks_gateway/front.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/front.py
@@ -44,7 +44,7 @@
 #: the load balancer needs two checks, one per second, to notice it.
 ACCEPT_AFTER_STOP_S = 2.6
 #: Time before the kill deadline at which the process exits by itself, seconds.
-END_S = 0.9
+EXIT_MARGIN_S = 0.9
 #: Retry-After while this VM stops, seconds: the retry reaches another VM.
 STOPPING_RETRY_S = 0.02
 #: Factor on the declared idle timeout of connections: a caller that reuses a connection
--- a/packages/mothworks_gateway/src/mothworks_gateway/health.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/health.py
@@ -82,7 +82,7 @@
             self.record_by_id[endpoint.id] = endpoint_record
         return endpoint_record
 
-    def succeeded(self, endpoint: registry.Endpoint, answer_s: float) -> None:
+    def record_success(self, endpoint: registry.Endpoint, answer_s: float) -> None:
         """Record a success.
 
         :param endpoint: the endpoint that answered.
@@ -100,7 +100,7 @@
         for notify in self.on_answer:
             notify(endpoint, True)
 
-    def failed(
+    def record_failure(
         self,
         endpoint: registry.Endpoint,
         reason: str,
@@ -129,7 +129,7 @@
         ):
             self.eject(endpoint, reason)
 
-    def usable(self, candidates: list[registry.Endpoint]) -> list[registry.Endpoint]:
+    def healthy(self, candidates: list[registry.Endpoint]) -> list[registry.Endpoint]:
         """Return the candidates that are not ejected now.
 
         :param candidates: endpoints of one service.
--- a/packages/mothworks_gateway/src/mothworks_gateway/residency.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/residency.py
@@ -131,7 +131,7 @@
         self.has_waiters = gevent.event.Event()
         self.version_by_endpoint: dict[str, tuple[int, int]] = {}
         #: Set for a moment when endpoints are added or removed.
-        self.changed = gevent.event.Event()
+        self.endpoints_changed = gevent.event.Event()
         #: Monotonic time at which a load is expected to end, by (endpoint id, model).
         self.ready_at_by_model: dict[tuple[str, str], float] = {}
         #: Functions to call on the lease holder, with a VM's name and its message.
@@ -192,7 +192,7 @@
         ]
         return min(times) - now if times else None
 
-    def missed(
+    def report_not_held(
         self, endpoint: registry.Endpoint, target: caller_request.Target
     ) -> None:
         """Record that an endpoint refused a request for a model that it does not hold.
@@ -310,8 +310,8 @@
 
     def _wake_all(self) -> None:
         """Wake all waiting callers."""
-        self.changed.set()
-        self.changed.clear()
+        self.endpoints_changed.set()
+        self.endpoints_changed.clear()
         for waiters in self.waiters_by_target.values():
             waiters.wake()
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/stream_relay.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/stream_relay.py
@@ -112,7 +112,7 @@
         self.outcome = f"broke: {reason}"[:100]
         if time.monotonic() >= self.request.deadline - MIN_RESUME_S:
             return
-        self.attempts.health.failed(self.endpoint, reason)
+        self.attempts.health.record_failure(self.endpoint, reason)
         if self.endpoint.available:
             self.attempts.poison_requests.record_crash(self.request, self.endpoint)
 
--- a/packages/mothworks_gateway/tests/test_aggregation.py
+++ b/packages/mothworks_gateway/tests/test_aggregation.py
@@ -249,15 +249,15 @@
             health_part = fleet.vm_by_name[fleet.random.choice(fleet.names)].health
             endpoint = fleet.random.choice(LOOKUPS)
             if fleet.random.random() < (error_share if endpoint in failing else 0.004):
-                health_part.failed(endpoint, "status 500", 0.5)
+                health_part.record_failure(endpoint, "status 500", 0.5)
             else:
-                health_part.succeeded(endpoint, 0.05)
+                health_part.record_success(endpoint, 0.05)
         fleet.run(heartbeat.HEARTBEAT_S)
         passed_over |= {
             (name, endpoint.id)
             for name in fleet.names
             for endpoint in LOOKUPS
-            if endpoint not in fleet.vm_by_name[name].health.usable(LOOKUPS)
+            if endpoint not in fleet.vm_by_name[name].health.healthy(LOOKUPS)
         }
     return passed_over
 
@@ -299,12 +299,12 @@
     fleet = fleet_with_lookups(monkeypatch, VMS)
     isolated = fleet.vm_by_name[fleet.names[7]]
     for _ in range(20):
-        isolated.health.failed(LOOKUPS[0], "timed out")
+        isolated.health.record_failure(LOOKUPS[0], "timed out")
     # Shorter than the minimum time for which an endpoint is passed over.
     fleet.run(0.5)
-    assert LOOKUPS[0] not in isolated.health.usable(LOOKUPS)
+    assert LOOKUPS[0] not in isolated.health.healthy(LOOKUPS)
     others = [fleet.vm_by_name[name] for name in fleet.names if name != fleet.names[7]]
-    assert all(LOOKUPS[0] in vm.health.usable(LOOKUPS) for vm in others)
+    assert all(LOOKUPS[0] in vm.health.healthy(LOOKUPS) for vm in others)
 
 
 def test_the_ranking_is_computed_once_per_membership_change(monkeypatch):
--- a/packages/mothworks_gateway/tests/test_endpoint_selection.py
+++ b/packages/mothworks_gateway/tests/test_endpoint_selection.py
@@ -11,7 +11,7 @@
 
 
 class Health:
-    def usable(self, candidates):
+    def healthy(self, candidates):
         return candidates
 
 
--- a/packages/mothworks_gateway/tests/test_health.py
+++ b/packages/mothworks_gateway/tests/test_health.py
@@ -18,8 +18,8 @@
 def test_consecutive_failures_eject_an_endpoint(endpoint_health):
     failing, *healthy = endpoints(3)
     for _ in range(health.MAX_CONSECUTIVE_FAILURES):
-        endpoint_health.failed(failing, "reset")
-    assert endpoint_health.usable([failing, *healthy]) == healthy
+        endpoint_health.record_failure(failing, "reset")
+    assert endpoint_health.healthy([failing, *healthy]) == healthy
 
 
 def test_most_of_a_service_is_never_ejected(endpoint_health):
@@ -28,8 +28,8 @@
     items = endpoints(4)
     for item in items:
         for _ in range(5):
-            endpoint_health.failed(item, "reset")
-    assert endpoint_health.usable(items) == items
+            endpoint_health.record_failure(item, "reset")
+    assert endpoint_health.healthy(items) == items
 
 
 def test_an_endpoint_that_fails_a_part_of_its_requests_is_ejected(endpoint_health):
@@ -38,12 +38,12 @@
     failing, *healthy = endpoints(4)
     for number in range(60):
         for item in healthy:
-            endpoint_health.succeeded(item, 0.01)
+            endpoint_health.record_success(item, 0.01)
         if number % 2:
-            endpoint_health.succeeded(failing, 0.01)
+            endpoint_health.record_success(failing, 0.01)
         else:
-            endpoint_health.failed(failing, "status 500")
-    assert failing not in endpoint_health.usable([failing, *healthy])
+            endpoint_health.record_failure(failing, "status 500")
+    assert failing not in endpoint_health.healthy([failing, *healthy])
 
 
 def test_errors_that_all_endpoints_return_eject_none(endpoint_health):
@@ -51,19 +51,19 @@
     for number in range(60):
         for item in items:
             if number % 4:
-                endpoint_health.succeeded(item, 0.01)
+                endpoint_health.record_success(item, 0.01)
             else:
-                endpoint_health.failed(item, "status 500", 0.5)
-    assert endpoint_health.usable(items) == items
+                endpoint_health.record_failure(item, "status 500", 0.5)
+    assert endpoint_health.healthy(items) == items
 
 
 def test_an_ejection_ends(endpoint_health, monkeypatch):
     failing, *healthy = endpoints(3)
     for _ in range(health.MAX_CONSECUTIVE_FAILURES):
-        endpoint_health.failed(failing, "reset")
+        endpoint_health.record_failure(failing, "reset")
     ejected_until = endpoint_health.record(failing).ejected_until
     monkeypatch.setattr(health.time, "monotonic", lambda: ejected_until + 0.1)
-    assert failing in endpoint_health.usable([failing, *healthy])
+    assert failing in endpoint_health.healthy([failing, *healthy])
 
 
 def test_endpoints_that_are_gone_do_not_affect_the_median(endpoint_health):
@@ -72,16 +72,16 @@
     gone, staying = endpoints(8)[:5], endpoints(8)[5:]
     for _ in range(60):
         for item in gone:
-            endpoint_health.failed(item, "status 500")
+            endpoint_health.record_failure(item, "status 500")
     endpoint_health.registry.by_id = {item.id: item for item in staying}
     endpoint_health.registry.notify_changed()
     failing, *healthy = staying
     for number in range(60):
         for item in healthy:
-            endpoint_health.succeeded(item, 0.01)
+            endpoint_health.record_success(item, 0.01)
         if number % 2:
-            endpoint_health.succeeded(failing, 0.01)
+            endpoint_health.record_success(failing, 0.01)
         else:
-            endpoint_health.failed(failing, "status 500")
-    assert failing not in endpoint_health.usable(staying)
+            endpoint_health.record_failure(failing, "status 500")
+    assert failing not in endpoint_health.healthy(staying)
     assert endpoint_health.record_by_id.keys() == endpoint_health.registry.by_id.keys()
