--- a/packages/mothworks_gateway/src/mothworks_gateway/credit.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/credit.py
@@ -138,7 +138,7 @@
         self.budgets = node_kernel.get(shared_budgets.SharedBudgets)
         self.budgets.on_spent.append(self._on_spent)
         self.bucket_by_account: dict[str, token_bucket.TokenBucket] = {}
-        self.budgets.on_begin.append(self.bucket_by_account.clear)
+        self.budgets.on_reset.append(self.bucket_by_account.clear)
         self.granted_by_account = self._make_windows()
         self.reserve_used_by_account = self._make_windows()
         #: Random draws, 0 to 1, for requests that cost more than the reserve.
@@ -179,7 +179,7 @@
     def _acquire(
         self, account: client_accounts.ClientAccount, units: float
     ) -> result.Result[Grant, Refused]:
-        for owner in self.budgets.lenders(f"cap {account.name}"):
+        for owner in self.budgets.responsive_owners(f"cap {account.name}"):
             reply = self._call_owner(owner, CreditRequest(account.name, units))
             if reply is None or not reply.may_grant:
                 continue
@@ -205,7 +205,7 @@
     def _call_owner(self, owner: str, request: CreditRequest) -> CreditReply | None:
         if owner == self.name:
             return self._grant(request)
-        match self.budgets.ask(owner, request, f"the cap of {request.account}"):
+        match self.budgets.call_owner(owner, request, f"the cap of {request.account}"):
             case CreditReply() as reply:
                 return reply
         return None
@@ -249,8 +249,8 @@
         return CreditReply(True, wait_s, bucket.level > CALM_SHARE * bucket.cap.burst)
 
     def _may_grant(self) -> bool:
-        is_minority = self.budgets.part() < MIN_SHARE
-        if is_minority or not self.budgets.may_lend():
+        is_minority = self.budgets.share() < MIN_SHARE
+        if is_minority or not self.budgets.may_grant():
             return False
         is_fresh = self.freshness.age_s() <= MAX_DECLARATION_AGE_S
         return is_fresh or self.freshness.is_fleet_wide()
@@ -262,7 +262,7 @@
         declared = accounts and accounts.by_name.get(account)
         if not declared or declared.cap is None:
             return None
-        cap = declared.cap.scaled(self.budgets.part())
+        cap = declared.cap.scaled(self.budgets.share())
         bucket = self.bucket_by_account.get(account)
         if bucket is not None and bucket.cap == cap:
             return bucket
--- a/packages/mothworks_gateway/src/mothworks_gateway/owners.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/owners.py
@@ -66,7 +66,7 @@
         """
         return time.monotonic() < self._backoff_until_by_vm.get(owner, 0.0)
 
-    def ask(
+    def call(
         self, owner: str, message: typing.Any, reply_s: float, thing: str
     ) -> typing.Any:
         """Call an owner and return its reply; None where it is unresponsive.
--- a/packages/mothworks_gateway/src/mothworks_gateway/prefill_pacing.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/prefill_pacing.py
@@ -186,7 +186,7 @@
 
     def _request_slot(self, owner: str, slot_request: PrefillSlotRequest) -> float:
         """Return the seconds until a prefill slot; 0 if the owner does not reply."""
-        match self.owners.ask(
+        match self.owners.call(
             owner,
             slot_request,
             REPLY_TIMEOUT_S,
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -180,7 +180,7 @@
         self.budgets = node_kernel.get(shared_budgets.SharedBudgets)
         self.budgets.on_spent.append(self._on_spent)
         self.bucket_by_id: dict[str, token_bucket.TokenBucket] = {}
-        self.budgets.on_begin.append(self.bucket_by_id.clear)
+        self.budgets.on_reset.append(self.bucket_by_id.clear)
         self.refusals_by_id = collections.defaultdict(RefusalStreak)
         #: Endpoints whose bucket was set to a random level and granted no slot since.
         self.randomised_ids: set[str] = set()
@@ -271,7 +271,7 @@
         row = endpoint_limits.row_from_limit(endpoint.id, limit, now)
         slot_request = SendSlotRequest(row, ahead_s, request.urgency)
         age_s = now - limit.sent_at
-        for owner in self.budgets.lenders(owner_key(endpoint.id)):
+        for owner in self.budgets.responsive_owners(owner_key(endpoint.id)):
             reply = self._request_from(owner, slot_request)
             if reply is None or not reply.is_owner:
                 continue
@@ -315,7 +315,7 @@
     ) -> SendSlotReply | None:
         if owner == self.name:
             return self._grant(slot_request)
-        match self.budgets.ask(
+        match self.budgets.call_owner(
             owner, slot_request, f"the limit of {slot_request.endpoint_id}"
         ):
             case SendSlotReply() as reply:
@@ -333,7 +333,7 @@
         if self.limits.per_s(endpoint_id) is None:
             # The limit was lifted, which the requesting VM does not know yet.
             return SendSlotReply(True, True)
-        if not self.budgets.may_lend():
+        if not self.budgets.may_grant():
             return SendSlotReply(False)
         now = time.monotonic()
         bucket = self._bucket_of(endpoint_id)
@@ -372,7 +372,7 @@
         """Return the token bucket of an endpoint that reports a limit."""
         now = time.monotonic()
         per_s = max(MIN_RATE_PER_S, self.limits.per_s(endpoint_id))
-        cap = client_accounts.UsageCap(per_s, BURST).scaled(self.budgets.part())
+        cap = client_accounts.UsageCap(per_s, BURST).scaled(self.budgets.share())
         bucket = self.bucket_by_id.get(endpoint_id)
         if bucket is None:
             empty_since = max(now - cap.burst / cap.per_s, self.budgets.synced_since)
--- a/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
@@ -63,7 +63,7 @@
         self.on_spent: list[SpentHandler] = []
         #: Functions to call without arguments when this VM starts to receive what is
         #: spent: what it recorded before is incomplete.
-        self.on_begin: list[collections.abc.Callable[[], None]] = []
+        self.on_reset: list[collections.abc.Callable[[], None]] = []
 
     def spend(self, budget: str, granter: str, units: float) -> None:
         """Publish units that were spent to all candidates with the next heartbeat.
@@ -75,7 +75,7 @@
         """
         self.spent[budget, granter] += units
 
-    def lenders(self, key: str) -> list[str]:
+    def responsive_owners(self, key: str) -> list[str]:
         """Return the VMs to call for a grant, in order.
 
         :param key: the budget's key for ownership; see :meth:`owners.Owners.ranked`.
@@ -83,16 +83,16 @@
         ranked = self.owners.ranked(key)
         return [vm for vm in ranked if not self.owners.is_unresponsive(vm)][:MAX_OWNERS]
 
-    def ask(self, owner: str, message: typing.Any, thing: str) -> typing.Any:
+    def call_owner(self, owner: str, message: typing.Any, thing: str) -> typing.Any:
         """Call an owner and return its reply; None where it does not answer.
 
         :param owner: the VM.
         :param message: the request.
         :param thing: what the request is about, for the log.
         """
-        return self.owners.ask(owner, message, OWNER_TIMEOUT_S, thing)
+        return self.owners.call(owner, message, OWNER_TIMEOUT_S, thing)
 
-    def may_lend(self) -> bool:
+    def may_grant(self) -> bool:
         """Return whether this VM may act as an owner and grant now."""
         candidates = self.owners.candidates()
         if self.name not in candidates:
@@ -103,7 +103,7 @@
         self._check_completeness()
         return not self.is_incomplete
 
-    def part(self) -> float:
+    def share(self) -> float:
         """Return the share of a budget that the VMs which this one reaches may grant.
 
         Once membership declares the other side of a partition dead, the smaller side
@@ -134,7 +134,7 @@
         """Discard the recorded spending, of which this VM missed a part."""
         self.is_incomplete = False
         self.synced_since = time.monotonic()
-        for notify in self.on_begin:
+        for notify in self.on_reset:
             notify()
 
     def _heartbeat_fields(self) -> dict:
--- a/packages/mothworks_gateway/tests/test_owners.py
+++ b/packages/mothworks_gateway/tests/test_owners.py
@@ -52,16 +52,16 @@
     clock = virtual_time.Clock(monkeypatch, owners)
     connections = Peers()
     part = make("vm-0", fleet_builders.names_of(6), connections)
-    assert [part.ask("vm-1", None, 0.04, "a test") for _ in range(3)] == [None] * 3
+    assert [part.call("vm-1", None, 0.04, "a test") for _ in range(3)] == [None] * 3
     assert connections.called == ["vm-1"]
     assert part.is_unresponsive("vm-1")
     clock.advance(owners.BACKOFF_S)
     connections.reply = "here"
-    assert part.ask("vm-1", None, 0.04, "a test") == "here"
+    assert part.call("vm-1", None, 0.04, "a test") == "here"
 
 
 def test_a_call_does_not_wait_for_a_connection_to_open():
     connections = Peers("here", linked=False)
     part = make("vm-0", fleet_builders.names_of(6), connections)
-    assert part.ask("vm-1", None, 0.04, "a test") is None
+    assert part.call("vm-1", None, 0.04, "a test") is None
     assert (connections.called, connections.opened) == ([], ["vm-1"])
