--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_limits.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_limits.py
@@ -112,7 +112,7 @@
         #: Functions to call with an endpoint's id after its limit changed.
         self.on_change: list[collections.abc.Callable[[str], None]] = []
         heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        heartbeats.on_heartbeat.append(self._heartbeat_fields)
+        heartbeats.field_providers.append(self._heartbeat_fields)
         heartbeats.on_received.append(self._on_heartbeat)
         node_kernel.get(peers.Peers).handle(LimitUpdate, self._on_update)
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
@@ -20,7 +20,7 @@
 log = logbook.Logger("heartbeat")
 
 #: Seconds between heartbeats.
-HEARTBEAT_S = 0.25
+INTERVAL_S = 0.25
 #: Age from which a heartbeat is no longer used, seconds.
 STALE_S = 2.0
 #: Time that the platform has to deliver what a peer already knows, seconds.
@@ -134,7 +134,7 @@
         self.feeding = node_kernel.get(feeding.FeedFollowers)
         self.received_by_vm: dict[str, Received] = {}
         #: Functions that return fields of the next heartbeat, each as a dict.
-        self.on_heartbeat: list = []
+        self.field_providers: list = []
         #: Functions to call with a VM's name and its heartbeat, this VM's included.
         self.on_received: list = []
         #: Transmits a heartbeat of this VM to peers.
@@ -145,7 +145,7 @@
 
     def start(self) -> None:
         """Start to send heartbeats, and fetch what is missing from peers."""
-        self.tasks.every(HEARTBEAT_S, self.send)
+        self.tasks.every(INTERVAL_S, self.send)
         self.tasks.spawn(self._fetch_at_start)
 
     def fresh(self) -> dict[str, Heartbeat]:
@@ -160,7 +160,7 @@
     def send(self) -> None:
         """Compose and send one heartbeat now."""
         fields = {}
-        for provide in self.on_heartbeat:
+        for provide in self.field_providers:
             fields.update(provide())
         heartbeat = Heartbeat(
             self.declarations.version,
@@ -210,7 +210,7 @@
             if heartbeat.declaration_version > self.declarations.version or (
                 is_lost and is_stuck
             ):
-                self.ask(vm)
+                self.fetch_state(vm)
             elif is_stuck:
                 follower_by_name["endpoints"].interrupt_if_behind(
                     heartbeat.registry_changed_at, POLL_STUCK_S
@@ -228,9 +228,9 @@
             gevent.sleep(STARTUP_FETCH_INTERVAL_S)
             near = self.membership.near()
             if near:
-                self.ask(random.choice(near).name)
+                self.fetch_state(random.choice(near).name)
 
-    def ask(self, vm: str) -> None:
+    def fetch_state(self, vm: str) -> None:
         """Fetch and apply a peer's declaration and registry where they are newer.
 
         :param vm: the peer.
--- a/packages/mothworks_gateway/src/mothworks_gateway/lease.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease.py
@@ -88,7 +88,7 @@
         self.api = node_kernel.get(relayed_objects.RelayedObjects)
         self.membership = node_kernel.get(membership.Membership)
         self.heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        self.heartbeats.on_heartbeat.append(self._heartbeat_fields)
+        self.heartbeats.field_providers.append(self._heartbeat_fields)
         self.heartbeats.on_received.append(self._on_heartbeat)
         node_kernel.on_draining.append(lambda: self.tasks.spawn(self._release))
         self.started_at = time.monotonic()
--- a/packages/mothworks_gateway/src/mothworks_gateway/running_requests.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/running_requests.py
@@ -68,7 +68,7 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        self.heartbeats.on_heartbeat.append(self._heartbeat_fields)
+        self.heartbeats.field_providers.append(self._heartbeat_fields)
         self.heartbeats.on_received.append(self._on_heartbeat)
         self.running = _RunningCounts()
         self.arrived: collections.defaultdict[caller_request.Target, float] = (
--- a/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
@@ -25,7 +25,7 @@
 MAX_OWNERS = 2
 #: Time without a heartbeat after which a candidate counts as silent, seconds: two
 #: heartbeats. If it were longer, both sides of a partition could grant a full burst.
-HEARTBEAT_TIMEOUT_S = 2 * heartbeat.HEARTBEAT_S
+HEARTBEAT_TIMEOUT_S = 2 * heartbeat.INTERVAL_S
 #: Time for which a VM that knows no other does not grant, seconds: when all VMs start
 #: at once, each would grant the whole budget until they discover each other.
 ALONE_DELAY_S = 1.5
@@ -47,7 +47,7 @@
         self.owners.on_change.append(self._update_candidacy)
         self.fleet = node_kernel.get(fleet_size.FleetSize)
         heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        heartbeats.on_heartbeat.append(self._heartbeat_fields)
+        heartbeats.field_providers.append(self._heartbeat_fields)
         heartbeats.on_received.append(self._on_heartbeat)
         #: Monotonic time since which this VM has received all that is spent.
         self.synced_since = time.monotonic()
--- a/packages/mothworks_gateway/src/mothworks_gateway/shared_health.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/shared_health.py
@@ -55,7 +55,7 @@
         self.own_counts = AnswerCounts()
         self.error_rates = error_rates.ErrorRates()
         heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        heartbeats.on_heartbeat.append(lambda: {"answers": self.own_counts.drain()})
+        heartbeats.field_providers.append(lambda: {"answers": self.own_counts.drain()})
         heartbeats.on_received.append(self._on_heartbeat)
 
     def _on_heartbeat(self, vm: str, received: heartbeat.Heartbeat) -> None:
--- a/packages/mothworks_gateway/src/mothworks_gateway/watching.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/watching.py
@@ -299,7 +299,7 @@
         """
         try:
             if not read():
-                self.heartbeats.ask(vm)
+                self.heartbeats.fetch_state(vm)
         finally:
             self._reads_in_progress.discard(read)
 
--- a/packages/mothworks_gateway/tests/gateway_builders.py
+++ b/packages/mothworks_gateway/tests/gateway_builders.py
@@ -16,7 +16,7 @@
     """Stub of the heartbeats of a node."""
 
     def __init__(self):
-        self.on_heartbeat = []
+        self.field_providers = []
         self.on_received = []
 
 
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -106,9 +106,9 @@
 
     def ask(self, model, per_s, tokens, seconds):
         """Send requests at a steady rate, with a scheduling pass per heartbeat."""
-        for _ in range(round(seconds / heartbeat.HEARTBEAT_S)):
-            self.clock.now += heartbeat.HEARTBEAT_S
-            count = per_s * heartbeat.HEARTBEAT_S
+        for _ in range(round(seconds / heartbeat.INTERVAL_S)):
+            self.clock.now += heartbeat.INTERVAL_S
+            count = per_s * heartbeat.INTERVAL_S
             arrived = ((SERVICE, model, "", count, round(count * tokens)),)
             message = heartbeat.Heartbeat(1, 1, 0, arrived=arrived)
             self.demand._on_heartbeat("vm-1", message)
--- a/packages/mothworks_gateway/tests/test_aggregation.py
+++ b/packages/mothworks_gateway/tests/test_aggregation.py
@@ -66,7 +66,7 @@
         kernel.parts[heartbeat.Heartbeats] = self.heartbeats = heartbeat.Heartbeats(
             kernel
         )
-        self.heartbeats.on_heartbeat.append(
+        self.heartbeats.field_providers.append(
             lambda: {"fence": 3 * (fleet.holder == name)}
         )
         kernel.parts[running_requests.RunningRequests] = self.running_requests = (
@@ -105,8 +105,8 @@
         self.running_by_endpoint[endpoint.id] += 1
 
     def run(self, seconds):
-        for _ in range(round(seconds / heartbeat.HEARTBEAT_S)):
-            self.clock.now += heartbeat.HEARTBEAT_S
+        for _ in range(round(seconds / heartbeat.INTERVAL_S)):
+            self.clock.now += heartbeat.INTERVAL_S
             for name in self.random.sample(self.names, len(self.names)):
                 if name not in self.wire.down:
                     self.vm_by_name[name].heartbeats.send()
@@ -244,7 +244,7 @@
     :returns: pairs of a VM and an endpoint's id that the VM passed over at any time.
     """
     passed_over = set()
-    for _ in range(round(seconds / heartbeat.HEARTBEAT_S)):
+    for _ in range(round(seconds / heartbeat.INTERVAL_S)):
         for _ in range(25):
             health_part = fleet.vm_by_name[fleet.random.choice(fleet.names)].health
             endpoint = fleet.random.choice(LOOKUPS)
@@ -252,7 +252,7 @@
                 health_part.record_failure(endpoint, "status 500", 0.5)
             else:
                 health_part.record_success(endpoint, 0.05)
-        fleet.run(heartbeat.HEARTBEAT_S)
+        fleet.run(heartbeat.INTERVAL_S)
         passed_over |= {
             (name, endpoint.id)
             for name in fleet.names
--- a/packages/mothworks_gateway/tests/test_running_requests.py
+++ b/packages/mothworks_gateway/tests/test_running_requests.py
@@ -58,7 +58,7 @@
     assert part.of_adapter("i-9", "m", "a") == 1
     part.request_ended(endpoint, target)
     assert part.of_endpoint("i-9") == part.of_model("i-9", "m") == 0
-    (heartbeat_fields,) = part.heartbeats.on_heartbeat
+    (heartbeat_fields,) = part.heartbeats.field_providers
     assert heartbeat_fields()["running"] == ()
 
 
@@ -66,7 +66,7 @@
     endpoint = gateway_builders.endpoint("i-1")
     for adapter in ("", "a", "a"):
         part.request_started(endpoint, caller_request.Target("s", "m", adapter))
-    (heartbeat_fields,) = part.heartbeats.on_heartbeat
+    (heartbeat_fields,) = part.heartbeats.field_providers
     assert set(heartbeat_fields()["running"]) == {
         ("i-1", "m", "", 1),
         ("i-1", "m", "a", 2),
