--- a/packages/mothworks_gateway/src/mothworks_gateway/broadcast.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/broadcast.py
@@ -141,7 +141,7 @@
     >>> divide("vm-1", ["vm-2", "vm-3"])
     [('vm-2',), ('vm-3',)]
     """
-    if collectors.are_few(vms):
+    if collectors.is_full_mesh(vms):
         return [(vm,) for vm in vms]
     ranked = sorted(vms, key=lambda vm: ownership.weight(sender, vm))
     group_count = math.isqrt(len(vms))
--- a/packages/mothworks_gateway/src/mothworks_gateway/collectors.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/collectors.py
@@ -29,7 +29,7 @@
 BACKOFF_S = 5.0
 
 
-def are_few(peers: collections.abc.Sized) -> bool:
+def is_full_mesh(peers: collections.abc.Sized) -> bool:
     """Return whether the fleet is small enough for each VM to send to all others.
 
     :param peers: all live VMs but one.
--- a/packages/mothworks_gateway/src/mothworks_gateway/fleet_size.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/fleet_size.py
@@ -24,17 +24,17 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.membership = node_kernel.get(membership.Membership)
-        self.membership.on_change.append(self._count)
+        self.membership.on_change.append(self._update)
         #: Number of live VMs, including this one.
         self.live = 1
         #: Recent peak of live VMs.
         self._peak = 1
         #: Time at which so many were last live, on the clock of :func:`boot_clock.now`.
         self._peak_at = boot_clock.now()
-        self._count()
+        self._update()
 
     @property
-    def most(self) -> int:
+    def peak(self) -> int:
         """Return the recent peak of live VMs, including this one."""
         now = boot_clock.now()
         is_minority = 2 * self.live <= self._peak
@@ -45,10 +45,10 @@
             self._peak, self._peak_at = self.live, now
         return self._peak
 
-    def _count(self) -> None:
+    def _update(self) -> None:
         """Update the counts after membership changed."""
         # The property first settles the peak with the count from before this change.
-        peak = self.most
+        peak = self.peak
         self.live = 1 + len(self.membership.near())
         if self.live >= peak:
             self._peak, self._peak_at = self.live, boot_clock.now()
--- a/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
@@ -130,7 +130,7 @@
         If only this VM, or a minority with it, is cut off from the platform and from
         the other VMs, callers should be sent to other VMs.
         """
-        if 2 * self.fleet.live < self.fleet.most:
+        if 2 * self.fleet.live < self.fleet.peak:
             return False
         is_only_vm = self.fleet.live == 1
         return is_only_vm or boot_clock.now() - self.peer_reached_at <= REACHABLE_S
@@ -164,7 +164,7 @@
         """
         candidates = self.owners.candidates()
         watchers = list(self.watching.election.healthy_watchers(time.monotonic()))
-        few_vms = collectors.are_few(self.membership.near())
+        few_vms = collectors.is_full_mesh(self.membership.near())
         if few_vms or self.name in candidates:
             return watchers or [vm for vm in candidates if vm != self.name]
         return candidates
--- a/packages/mothworks_gateway/src/mothworks_gateway/owners.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/owners.py
@@ -42,7 +42,7 @@
     def candidates(self) -> list[str]:
         """Return the VMs that can own resources; at least one."""
         vms = self.ranking.vms
-        return vms if collectors.are_few(vms[1:]) else collectors.select(vms)
+        return vms if collectors.is_full_mesh(vms[1:]) else collectors.select(vms)
 
     def ranked(self, key: str) -> list[str]:
         """Return the candidates for a resource, its owner first.
--- a/packages/mothworks_gateway/src/mothworks_gateway/relayed_objects.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/relayed_objects.py
@@ -97,7 +97,7 @@
         #: Whether the store answered this VM's last call.
         self.is_reachable = True
         #: Functions to call when the store answers this VM again after an outage.
-        self.on_return: list = []
+        self.on_recovered: list = []
         self.peers.handle(RelayedRead, self._serve_read)
         self.peers.handle(RelayedWrite, self._serve_write)
 
@@ -163,7 +163,7 @@
         is_recovered = is_reachable and not self.is_reachable
         self.is_reachable = is_reachable
         if is_recovered:
-            for notify in self.on_return:
+            for notify in self.on_recovered:
                 notify()
 
     def _call_peers(
--- a/packages/mothworks_gateway/src/mothworks_gateway/retry_budget.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/retry_budget.py
@@ -44,7 +44,7 @@
         retries = self.retries_by_service[service]
         requests = self.requests_by_service[service].count()
         bounds = self.kernel.settings.bounds
-        slack_per_vm = bounds.retry_slack / self.fleet.most
+        slack_per_vm = bounds.retry_slack / self.fleet.peak
         allowed = ALLOWANCE_SHARE * (bounds.retry_share * requests + slack_per_vm)
         if retries.count() + 1 > allowed:
             return False
--- a/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
@@ -111,7 +111,7 @@
         of live VMs. A majority of it grants the whole budget; a minority grants its
         proportional share.
         """
-        live, peak = self.fleet.live, self.fleet.most
+        live, peak = self.fleet.live, self.fleet.peak
         return 1.0 if 2 * live > peak else live / peak
 
     def _receives_majority(self) -> bool:
--- a/packages/mothworks_gateway/src/mothworks_gateway/watching.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/watching.py
@@ -98,7 +98,7 @@
         self.discovery.on_platform_changes.append(self._publish_changes)
         self.declarations.on_change.append(lambda _: self._publish_status())
         store = node_kernel.get(relayed_objects.RelayedObjects)
-        store.on_return.append(self._restart_polls)
+        store.on_recovered.append(self._restart_polls)
 
     def start(self) -> None:
         """Start the periodic check of watchers, and publishing."""
--- a/packages/mothworks_gateway/tests/test_fleet_size.py
+++ b/packages/mothworks_gateway/tests/test_fleet_size.py
@@ -36,11 +36,11 @@
     fleet.resize(8)
     fleet.clock.advance(300.0)
     fleet.resize(5)
-    assert (fleet.size.live, fleet.size.most) == (5, 8)
+    assert (fleet.size.live, fleet.size.peak) == (5, 8)
     fleet.clock.advance(fleet_size.PEAK_RETENTION_S - 1)
-    assert fleet.size.most == 8
+    assert fleet.size.peak == 8
     fleet.clock.advance(2.0)
-    assert fleet.size.most == 5
+    assert fleet.size.peak == 5
 
 
 # Guards against the smaller side of a partition counting itself as the whole fleet.
@@ -49,12 +49,12 @@
     fleet.resize(8)
     fleet.resize(live)
     fleet.clock.advance(fleet_size.MINORITY_PEAK_RETENTION_S - 1)
-    assert fleet.size.most == 8
+    assert fleet.size.peak == 8
     fleet.clock.advance(2.0)
-    assert fleet.size.most == live
+    assert fleet.size.peak == live
 
 
 def test_vms_that_join_count_at_once(fleet):
     fleet.resize(2)
     fleet.resize(9)
-    assert fleet.size.most == 9
+    assert fleet.size.peak == 9
--- a/packages/mothworks_gateway/tests/test_freshness.py
+++ b/packages/mothworks_gateway/tests/test_freshness.py
@@ -250,9 +250,9 @@
     pair.link.up = False
     fleet = pair.follower.freshness.fleet
     fleet.membership.near()[:] = range(2)
-    fleet._count()
+    fleet._update()
     fleet.membership.near().clear()
-    fleet._count()
+    fleet._update()
     pair.clock.advance(10.0)
     pair.check_follower()
     assert not pair.follower.freshness.is_fleet_wide()
--- a/packages/mothworks_gateway/tests/test_retry_budget.py
+++ b/packages/mothworks_gateway/tests/test_retry_budget.py
@@ -9,7 +9,7 @@
 
 
 def make_budget(vms=1, live=None, **bounds):
-    fleet = types.SimpleNamespace(live=live or vms, most=vms)
+    fleet = types.SimpleNamespace(live=live or vms, peak=vms)
     return retry_budget.RetryBudget(
         gateway_builders.Kernel({fleet_size.FleetSize: fleet}, **bounds)
     )
--- a/packages/mothworks_gateway/tests/test_silent_polls.py
+++ b/packages/mothworks_gateway/tests/test_silent_polls.py
@@ -186,7 +186,7 @@
             broadcast.Broadcast: types.SimpleNamespace(publish=self.published.append),
             lease.Lease: types.SimpleNamespace(held=lambda: True),
             heartbeat.Heartbeats: None,
-            relayed_objects.RelayedObjects: types.SimpleNamespace(on_return=[]),
+            relayed_objects.RelayedObjects: types.SimpleNamespace(on_recovered=[]),
             declarations.Declarations: node_declarations,
             discovery.Discovery: node_discovery,
         }
