--- a/packages/mothworks_gateway/src/mothworks_gateway/lease.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease.py
@@ -79,7 +79,7 @@
         self.renew_interval_s = lease_s * RENEW_INTERVAL_SHARE
         self.duration_s = lease_s * (FENCED_DURATION_FACTOR if fenced else 1)
         #: Time without a renewal after which another VM may take over, seconds.
-        self.watch_s = (
+        self.takeover_s = (
             self.renew_interval_s * TAKEOVER_INTERVALS if fenced else self.duration_s
         )
         # Where endpoints check fencing tokens, they reject a late order of the former
@@ -90,16 +90,16 @@
         self.heartbeats = node_kernel.get(heartbeat.Heartbeats)
         self.heartbeats.field_providers.append(self._heartbeat_fields)
         self.heartbeats.on_received.append(self._on_heartbeat)
-        node_kernel.on_draining.append(lambda: self.tasks.spawn(self._release))
+        node_kernel.on_draining.append(lambda: self.tasks.spawn(self._release_on_drain))
         self.started_at = time.monotonic()
         self.record: lease_record.Record | None = None
         self.version: str | None = None
         self.valid_until = 0.0
         self.orders_from = 0.0
-        self.known_renewal: lease_record.KnownRenewal | None = None
+        self.observed_renewal: lease_record.ObservedRenewal | None = None
         self.checked_at = boot_clock.now()
         #: Functions to call after this VM acquired the lease.
-        self.on_gained: list = []
+        self.on_acquired: list = []
         self._rejected_fence = 0
 
     def start(self) -> None:
@@ -133,7 +133,7 @@
         }
         return max(fence_by_vm, key=fence_by_vm.__getitem__, default="")
 
-    def refused(self, fence: int) -> None:
+    def fence_rejected(self, fence: int) -> None:
         """Drop the lease: an endpoint has seen a newer fencing token.
 
         :param fence: the token that the endpoint rejected.
@@ -142,7 +142,7 @@
             self._drop("an endpoint has seen a newer fencing token")
             self._rejected_fence = fence
 
-    def give_up(self, reason: str) -> None:
+    def release(self, reason: str) -> None:
         """Release the lease at once, so that another VM can acquire it.
 
         :param reason: the reason, for the log.
@@ -153,7 +153,7 @@
             released = attrs.evolve(record, holder="", renewals=record.renewals + 1)
             self.api.put(KEY, released.body(), version)
 
-    def _release(self) -> None:
+    def _release_on_drain(self) -> None:
         """Release the lease while the node drains, so that the next holder can start.
 
         While the store is unreachable no other VM can acquire the lease, and models
@@ -161,7 +161,7 @@
         """
         while self.record is not None and boot_clock.now() < self.valid_until:
             if self._read() is not None:
-                self.give_up("shutting down")
+                self.release("shutting down")
                 return
             gevent.sleep(POLL_INTERVAL_S)
 
@@ -169,7 +169,7 @@
         gevent.sleep(STARTUP_DELAY_S * random.uniform(0.8, 1.2))
         while not self.kernel.draining:
             if self.record is None:
-                self._seek()
+                self._try_acquire()
             else:
                 self._renew()
             # A lease that was just acquired is renewed on the same schedule: another VM
@@ -227,7 +227,7 @@
             logs.event(
                 log, "lease", fence=record.fence, version=version, outcome="held"
             )
-            for notify in self.on_gained:
+            for notify in self.on_acquired:
                 notify()
 
     def _drop(self, reason: str) -> None:
@@ -247,14 +247,14 @@
         """Record the newest renewal of another VM, and when it was first observed."""
         if vm == self.name or not (received.fence and received.lease_version):
             return
-        newest = self.known_renewal or lease_record.KnownRenewal(0, "", 0.0)
+        newest = self.observed_renewal or lease_record.ObservedRenewal(0, "", 0.0)
         is_changed = received.lease_version != newest.version
         if is_changed and received.fence >= newest.fence:
-            self.known_renewal = lease_record.KnownRenewal(
+            self.observed_renewal = lease_record.ObservedRenewal(
                 received.fence, received.lease_version, boot_clock.now()
             )
 
-    def _seek(self) -> None:
+    def _try_acquire(self) -> None:
         """Acquire the lease where no VM holds it and this VM is next by rank."""
         if self.holder() or self._rank() > 0 and not self._higher_ranks_timed_out():
             return
@@ -263,37 +263,44 @@
             return
         record, version = stored
         if record is None:
-            self._take(0, None)
+            self._acquire(0, None)
         elif record.holder in ("", self.name):
             # It was released, or held by an earlier process of this VM, which is gone.
-            self._take(record.fence, version)
+            self._acquire(record.fence, version)
         else:
-            if self.known_renewal is None or self.known_renewal.version != version:
-                self.known_renewal = lease_record.KnownRenewal(
+            if (
+                self.observed_renewal is None
+                or self.observed_renewal.version != version
+            ):
+                self.observed_renewal = lease_record.ObservedRenewal(
                     record.fence, version, boot_clock.now()
                 )
-            self._take_over(self.known_renewal)
+            self._take_over(self.observed_renewal)
 
-    def _take_over(self, renewal: lease_record.KnownRenewal) -> None:
+    def _take_over(self, renewal: lease_record.ObservedRenewal) -> None:
         """Acquire the lease of a holder that is gone, once that is safe."""
         if self._await_takeover(renewal):
-            orders_from = renewal.at + self.watch_s + self.order_delay_s
-            self._take(renewal.fence, renewal.version, orders_from)
+            orders_from = renewal.at + self.takeover_s + self.order_delay_s
+            self._acquire(renewal.fence, renewal.version, orders_from)
 
-    def _await_takeover(self, renewal: lease_record.KnownRenewal) -> bool:
+    def _await_takeover(self, renewal: lease_record.ObservedRenewal) -> bool:
         """Wait until this VM may take over; return False if a holder appears."""
-        while boot_clock.now() < renewal.at + self.watch_s:
+        while boot_clock.now() < renewal.at + self.takeover_s:
             gevent.sleep(
                 max(
                     0.01,
-                    min(POLL_INTERVAL_S, renewal.at + self.watch_s - boot_clock.now()),
+                    min(
+                        POLL_INTERVAL_S, renewal.at + self.takeover_s - boot_clock.now()
+                    ),
                 )
             )
             if self.holder():
                 return False
         return True
 
-    def _take(self, fence: int, version: str | None, orders_from: float = 0.0) -> None:
+    def _acquire(
+        self, fence: int, version: str | None, orders_from: float = 0.0
+    ) -> None:
         """Write this VM into the lease as its holder.
 
         :param fence: the fencing token of the last holder.
--- a/packages/mothworks_gateway/src/mothworks_gateway/lease_record.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease_record.py
@@ -43,7 +43,7 @@
 
 
 @attrs.frozen
-class KnownRenewal:
+class ObservedRenewal:
     """A renewal of another VM, as this VM first observed it.
 
     :param fence: the fencing token of the lease.
--- a/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
@@ -252,7 +252,7 @@
         state.apply_outcome(order, outcome)
         match outcome:
             case adapters.OrderOutcome.FENCED:
-                self.lease.refused(order.fence)
+                self.lease.fence_rejected(order.fence)
             case adapters.OrderOutcome.UNKNOWN:
                 self.late_orders.record(state.endpoint, order)
         return outcome
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -125,7 +125,7 @@
         node_kernel.get(residency.Residency).on_waiting.append(
             lambda *_: self.woken.set()
         )
-        self.lease.on_gained.append(self._on_lease_acquired)
+        self.lease.on_acquired.append(self._on_lease_acquired)
 
     def start(self) -> None:
         """Start the scheduling loop; it schedules while this VM holds the lease."""
--- a/packages/mothworks_gateway/tests/modelled_endpoint.py
+++ b/packages/mothworks_gateway/tests/modelled_endpoint.py
@@ -145,7 +145,7 @@
     def held(self):
         return not self.lapsed
 
-    def refused(self, _):
+    def fence_rejected(self, _):
         self.lapsed = True
 
 
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -85,7 +85,7 @@
             order_sender.OrderSender: types.SimpleNamespace(may_load=lambda *_: True),
             residency.Residency: types.SimpleNamespace(on_waiting=[]),
             heartbeat.Heartbeats: types.SimpleNamespace(on_received=[]),
-            lease.Lease: types.SimpleNamespace(on_gained=[], fence=1),
+            lease.Lease: types.SimpleNamespace(on_acquired=[], fence=1),
             declarations.Declarations: None,
             discovery.Discovery: None,
             endpoint_limits.EndpointLimits: types.SimpleNamespace(
--- a/packages/mothworks_gateway/tests/test_scheduler.py
+++ b/packages/mothworks_gateway/tests/test_scheduler.py
@@ -56,7 +56,7 @@
     def build(loaded, loading, running):
         holders = [state(True) for _ in range(loaded)]
         holders += [state(False) for _ in range(loading)]
-        stub = types.SimpleNamespace(on_gained=[], on_waiting=[], follower=None)
+        stub = types.SimpleNamespace(on_acquired=[], on_waiting=[], follower=None)
         parts = dict.fromkeys(
             (
                 lease.Lease,
