--- a/packages/mothworks_gateway/src/mothworks_gateway/admission.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/admission.py
@@ -91,10 +91,10 @@
         if account is None or account.cap is None:
             return result.Ok(None)
         units = account.cap.cost(request.input_tokens + request.output_tokens)
-        match self.credits.admit(account, units):
+        match self.credits.acquire(account, units):
             case result.Ok(grant):
                 return result.Ok(grant)
-            case result.Err(credit.Over(wait_s)):
+            case result.Err(credit.OverCap(wait_s)):
                 refusal = outcomes.Refusal(
                     429,
                     "over_cap",
@@ -103,7 +103,7 @@
                 )
             case result.Err(credit.Unchecked()):
                 message = "no VM that owns this account's usage cap replies"
-                retry_s = credit.UNCHECKED_RETRY_S
+                retry_s = credit.UNCHECKED_RETRY_AFTER_S
                 refusal = outcomes.overloaded(message, retry_s, "unchecked")
         self._log_refused(request, units, refusal)
         return result.Err(refusal)
--- a/packages/mothworks_gateway/src/mothworks_gateway/credit.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/credit.py
@@ -46,7 +46,7 @@
 CALM_S = 0.6
 #: Retry hint to a caller whose account's cap can't be checked here, seconds: the retry
 #: reaches another VM.
-UNCHECKED_RETRY_S = 0.2
+UNCHECKED_RETRY_AFTER_S = 0.2
 
 
 @messages.message(129)
@@ -106,7 +106,7 @@
 
 
 @attrs.frozen
-class Over:
+class OverCap:
     """Refused: the request is over its account's usage cap.
 
     :param wait_s: seconds until its credit is available.
@@ -120,7 +120,7 @@
     """Refused: no owner answers, and the reserve is exhausted."""
 
 
-Refused = Over | Unchecked
+Refused = OverCap | Unchecked
 
 
 class Credits(kernel.Part):
@@ -151,7 +151,7 @@
             "credit_seconds", "Time until a request's credit was granted or refused."
         )
 
-    def admit(
+    def acquire(
         self, account: client_accounts.ClientAccount, units: float
     ) -> result.Result[Grant, Refused]:
         """Acquire the credit for one request.
@@ -165,7 +165,7 @@
         finally:
             self.latency.observe({}, time.monotonic() - started_at)
 
-    def give_back(self, grant: Grant) -> None:
+    def refund(self, grant: Grant) -> None:
         """Refund the credit of a request that did not run and never will.
 
         :param grant: the grant to refund.
@@ -185,7 +185,7 @@
                 continue
             self._record_calm(account.name, reply.calm)
             if reply.wait_s:
-                return result.Err(Over(reply.wait_s))
+                return result.Err(OverCap(reply.wait_s))
             return result.Ok(self._record_grant(Grant(account.name, units, owner)))
         # One request may cost more than the reserve of a VM with few callers. A random
         # draw lets all VMs together use the sum of their reserves. It is kept until a
--- a/packages/mothworks_gateway/src/mothworks_gateway/front.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/front.py
@@ -253,7 +253,7 @@
                 return reply
             case result.Err(refusal):
                 if grant is not None and refusal.ran is outcomes.Ran.NO:
-                    self.admission.credits.give_back(grant)
+                    self.admission.credits.refund(grant)
                 return self.refuse(refusal)
 
     def _log_and_refuse(
--- a/packages/mothworks_gateway/tests/cap_ways.py
+++ b/packages/mothworks_gateway/tests/cap_ways.py
@@ -40,7 +40,7 @@
         bucket.set_cap(vm_cap, now)
         wait_s = bucket.acquire(units, now)
         if wait_s:
-            return result.Err(credit.Over(wait_s))
+            return result.Err(credit.OverCap(wait_s))
         self.granted[name].append((self.clock.now, units))
         return result.Ok(None)
 
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -227,7 +227,9 @@
             self.refused[name] += 1
 
     def admit(self, vm, name, units):
-        admitted = self.vm_by_name[vm].credits.admit(self.accounts.by_name[name], units)
+        admitted = self.vm_by_name[vm].credits.acquire(
+            self.accounts.by_name[name], units
+        )
         if admitted.is_ok():
             self.granted[name].append((self.clock.now, units))
         return admitted
@@ -347,7 +349,7 @@
     fleet = Fleet(monkeypatch, 60, {"small": SMALL})
     requester = fleet.names[5]
     grant = fleet.admit(requester, "small", 4000.0).unwrap()
-    fleet.vm_by_name[requester].credits.give_back(grant)
+    fleet.vm_by_name[requester].credits.refund(grant)
     fleet.send_heartbeats()
     fleet.send_heartbeats()
     for name in fleet.vm_by_name[requester].credits.budgets.owners.candidates():
@@ -392,9 +394,9 @@
     monkeypatch.setattr(credits_part.budgets.owners, "ranked", lambda _: ["vm-60"])
     fleet.clock.advance(1.0)
     large = fleet.accounts.by_name["large"]
-    assert credits_part.admit(large, 500.0).err() == credit.Unchecked()
+    assert credits_part.acquire(large, 500.0).err() == credit.Unchecked()
     fleet.clock.advance(1.0)
-    assert credits_part.admit(large, 500.0).is_ok()
+    assert credits_part.acquire(large, 500.0).is_ok()
 
 
 def test_a_vm_without_an_owner_uses_its_reserve(monkeypatch):
