--- a/packages/mothworks_gateway/tests/fleet_builders.py
+++ b/packages/mothworks_gateway/tests/fleet_builders.py
@@ -69,7 +69,7 @@
             handler(sender, message, None)
 
 
-def names_of(count):
+def vm_names(count):
     """Return the names of the first VMs of a fleet.
 
     :param count: number of VMs.
@@ -77,12 +77,12 @@
     return [f"vm-{number}" for number in range(count)]
 
 
-def member(name):
+def make_member(name):
     """Return a VM's member record."""
     return members.Member(name, "10.0.0.1", 7000, 80, "a", "r")
 
 
-def kernel_of(name, names, wire, parts=None):
+def make_kernel(name, names, wire, parts=None):
     """Return the kernel of one VM of a fleet whose VMs all know each other.
 
     :param name: the VM.
@@ -90,7 +90,7 @@
     :param wire: the network.
     :param parts: further parts, by class.
     """
-    near = [member(vm) for vm in names if vm != name]
+    near = [make_member(vm) for vm in names if vm != name]
     node_membership = types.SimpleNamespace(near=lambda: near, on_change=[])
     parts = {
         membership.Membership: node_membership,
@@ -109,7 +109,7 @@
         return answer if isinstance(answer, result.Err) else result.Ok(answer)
 
 
-def add_limits(kernel):
+def add_endpoint_limits(kernel):
     """Add endpoint limits to a kernel that has heartbeats and a registry.
 
     :param kernel: the kernel.
@@ -123,7 +123,7 @@
     return limits
 
 
-def notice(kernel, name, names, wire):
+def update_membership(kernel, name, names, wire):
     """Update one VM's membership to the VMs that it can reach.
 
     :param kernel: the VM's kernel.
@@ -134,7 +134,7 @@
     live_vms = [vm for vm in names if vm != name and vm not in wire.down]
     node_membership = kernel.get(membership.Membership)
     node_membership.near()[:] = [
-        member(vm) for vm in live_vms if not wire.cuts(name, vm)
+        make_member(vm) for vm in live_vms if not wire.cuts(name, vm)
     ]
     for notify in node_membership.on_change:
         notify()
--- a/packages/mothworks_gateway/tests/limited_fleet.py
+++ b/packages/mothworks_gateway/tests/limited_fleet.py
@@ -95,7 +95,7 @@
             ),
             feeding.FeedFollowers: None,
         }
-        kernel = fleet_builders.kernel_of(name, fleet.names, fleet.wire, parts)
+        kernel = fleet_builders.make_kernel(name, fleet.names, fleet.wire, parts)
         kernel.parts[peers.Peers] = test_credit.Peers(name, fleet.wire, fleet.names)
         kernel.parts[heartbeat.Heartbeats] = self.heartbeats = heartbeat.Heartbeats(
             kernel
@@ -109,7 +109,7 @@
             shared_budgets.SharedBudgets,
         ):
             kernel.parts[part_class] = part_class(kernel)
-        self.limits = fleet_builders.add_limits(kernel)
+        self.limits = fleet_builders.add_endpoint_limits(kernel)
         for part_class in (aggregation.Aggregation, send_slots.SendSlots):
             kernel.parts[part_class] = part_class(kernel)
         self.kernel = kernel
@@ -149,7 +149,7 @@
         self.registry_view.by_id = {
             item.registered.id: item.registered for item in self.endpoints
         }
-        self.names = fleet_builders.names_of(count)
+        self.names = fleet_builders.vm_names(count)
         self.vm_by_name = {name: Vm(name, self) for name in self.names}
         self.scheduled = []
         self.sequence = itertools.count()
@@ -259,7 +259,7 @@
     def update_membership(self):
         """Update the membership of all VMs by who reaches whom."""
         for name, vm in self.vm_by_name.items():
-            fleet_builders.notice(vm.kernel, name, self.names, self.wire)
+            fleet_builders.update_membership(vm.kernel, name, self.names, self.wire)
 
     def owner_of(self, endpoint):
         slots = self.vm_by_name[self.names[0]].slots
--- a/packages/mothworks_gateway/tests/test_aggregation.py
+++ b/packages/mothworks_gateway/tests/test_aggregation.py
@@ -62,7 +62,7 @@
             discovery.Discovery: types.SimpleNamespace(registry=view, changed_at=1),
             feeding.FeedFollowers: None,
         }
-        kernel = fleet_builders.kernel_of(name, fleet.names, fleet.wire, parts)
+        kernel = fleet_builders.make_kernel(name, fleet.names, fleet.wire, parts)
         kernel.parts[heartbeat.Heartbeats] = self.heartbeats = heartbeat.Heartbeats(
             kernel
         )
@@ -74,7 +74,7 @@
         )
         kernel.parts[health.Health] = self.health = health.Health(kernel)
         kernel.parts[shared_health.SharedHealth] = shared_health.SharedHealth(kernel)
-        fleet_builders.add_limits(kernel)
+        fleet_builders.add_endpoint_limits(kernel)
         self.aggregation = aggregation.Aggregation(kernel)
         #: Number of arrived requests in all heartbeats that this VM received.
         self.arrived_count = 0
@@ -91,7 +91,7 @@
         self.clock = Clock(monkeypatch)
         self.random = random.Random(count)
         self.wire = fleet_builders.Wire()
-        self.names = fleet_builders.names_of(count)
+        self.names = fleet_builders.vm_names(count)
         self.holder = ""
         self.vm_by_name = {name: Vm(name, self) for name in self.names}
         any_vm = self.vm_by_name[self.names[0]].aggregation
--- a/packages/mothworks_gateway/tests/test_broadcast.py
+++ b/packages/mothworks_gateway/tests/test_broadcast.py
@@ -18,13 +18,13 @@
     """Some VMs, and the messages that each of them received."""
 
     def __init__(self, count):
-        self.names = fleet_builders.names_of(count)
+        self.names = fleet_builders.vm_names(count)
         self.wire = fleet_builders.Wire()
         self.received_by_vm = collections.defaultdict(list)
         self.part_by_vm = {name: self.make_broadcast(name) for name in self.names}
 
     def make_broadcast(self, name):
-        kernel = fleet_builders.kernel_of(name, self.names, self.wire)
+        kernel = fleet_builders.make_kernel(name, self.names, self.wire)
         part = broadcast.Broadcast(kernel)
 
         def receive(vm, update, _):
@@ -88,7 +88,7 @@
     fleet = Fleet(18)
     part = fleet.part_by_vm["vm-0"]
     fleet.publish("vm-0", "before")
-    part.membership.near().append(fleet_builders.member("vm-new"))
+    part.membership.near().append(fleet_builders.make_member("vm-new"))
     fleet.part_by_vm["vm-new"] = fleet.make_broadcast("vm-new")
     for notify in part.membership.on_change:
         notify()
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -117,7 +117,7 @@
             feeding.FeedFollowers: None,
             freshness.Freshness: Freshness(fleet, name),
         }
-        kernel = fleet_builders.kernel_of(name, fleet.names, fleet.wire, parts)
+        kernel = fleet_builders.make_kernel(name, fleet.names, fleet.wire, parts)
         kernel.settings = gateway_builders.make_settings(name=name, bounds=BOUNDS)
         kernel.parts[peers.Peers] = Peers(name, fleet.wire, fleet.names)
         kernel.parts[heartbeat.Heartbeats] = self.heartbeats = heartbeat.Heartbeats(
@@ -133,7 +133,7 @@
         kernel.parts[shared_budgets.SharedBudgets] = shared_budgets.SharedBudgets(
             kernel
         )
-        fleet_builders.add_limits(kernel)
+        fleet_builders.add_endpoint_limits(kernel)
         self.aggregation = aggregation.Aggregation(kernel)
         self.credits = credit.Credits(kernel)
 
@@ -166,7 +166,7 @@
         self.accounts = client_accounts.Accounts(
             {name: account(name, per_s) for name, per_s in caps.items()}
         )
-        self.names = fleet_builders.names_of(count)
+        self.names = fleet_builders.vm_names(count)
         self.vm_by_name = {name: Vm(name, self) for name in self.names}
         self.granted = collections.defaultdict(list)
         self.refused = collections.Counter()
@@ -186,7 +186,9 @@
     def notice(self):
         """Update every VM's membership to the VMs that it reaches."""
         for name, vm in self.vm_by_name.items():
-            fleet_builders.notice(vm.credits.kernel, name, self.names, self.wire)
+            fleet_builders.update_membership(
+                vm.credits.kernel, name, self.names, self.wire
+            )
 
     def owner(self, name):
         return self.vm_by_name[self.names[0]].credits.budgets.owners.ranked(
--- a/packages/mothworks_gateway/tests/test_declaration_updates.py
+++ b/packages/mothworks_gateway/tests/test_declaration_updates.py
@@ -41,7 +41,7 @@
 
     def __init__(self, holder):
         self.wire = fleet_builders.Wire()
-        self.names = fleet_builders.names_of(VMS)
+        self.names = fleet_builders.vm_names(VMS)
         self.holder = holder
         self.declarations_by_vm = {name: self._make(name) for name in self.names}
 
@@ -50,7 +50,7 @@
             feeding.FeedFollowers: types.SimpleNamespace(feeds=Feeds()),
             lease.Lease: types.SimpleNamespace(held=lambda: name == self.holder),
         }
-        kernel = fleet_builders.kernel_of(name, self.names, self.wire, parts)
+        kernel = fleet_builders.make_kernel(name, self.names, self.wire, parts)
         kernel.parts[broadcast.Broadcast] = sender = broadcast.Broadcast(kernel)
         sender.publish = sender.publish_now
         node_declarations = declarations.Declarations(kernel)
--- a/packages/mothworks_gateway/tests/test_endpoint_limits.py
+++ b/packages/mothworks_gateway/tests/test_endpoint_limits.py
@@ -33,8 +33,8 @@
             discovery.Discovery: types.SimpleNamespace(registry=self.view),
             heartbeat.Heartbeats: gateway_builders.Heartbeats(),
         }
-        kernel = fleet_builders.kernel_of(name, ["vm-0", "vm-1"], self.wire, parts)
-        return fleet_builders.add_limits(kernel)
+        kernel = fleet_builders.make_kernel(name, ["vm-0", "vm-1"], self.wire, parts)
+        return fleet_builders.add_endpoint_limits(kernel)
 
     def answer(self, per_s, sent_at, received_at, ran=True):
         """Simulate an answer; times are seconds since the start of the test."""
--- a/packages/mothworks_gateway/tests/test_owners.py
+++ b/packages/mothworks_gateway/tests/test_owners.py
@@ -32,26 +32,26 @@
 
 def make(name, names, connections=None):
     parts = {peers.Peers: connections or Peers()}
-    kernel = fleet_builders.kernel_of(name, names, fleet_builders.Wire(), parts)
+    kernel = fleet_builders.make_kernel(name, names, fleet_builders.Wire(), parts)
     return owners.Owners(kernel)
 
 
 def test_all_vms_compute_the_same_ranking_of_owners():
-    names = fleet_builders.names_of(60)
+    names = fleet_builders.vm_names(60)
     ranked = {tuple(make(name, names).ranked("cap desk")) for name in names}
     assert len(ranked) == 1
     assert len(ranked.pop()) == 3
 
 
 def test_every_vm_of_a_small_fleet_is_a_candidate():
-    names = fleet_builders.names_of(6)
+    names = fleet_builders.vm_names(6)
     assert sorted(make("vm-0", names).candidates()) == names
 
 
 def test_an_unresponsive_owner_is_not_called_for_a_while(monkeypatch):
     clock = virtual_time.Clock(monkeypatch, owners)
     connections = Peers()
-    part = make("vm-0", fleet_builders.names_of(6), connections)
+    part = make("vm-0", fleet_builders.vm_names(6), connections)
     assert [part.call("vm-1", None, 0.04, "a test") for _ in range(3)] == [None] * 3
     assert connections.called == ["vm-1"]
     assert part.is_unresponsive("vm-1")
@@ -62,6 +62,6 @@
 
 def test_a_call_does_not_wait_for_a_connection_to_open():
     connections = Peers("here", linked=False)
-    part = make("vm-0", fleet_builders.names_of(6), connections)
+    part = make("vm-0", fleet_builders.vm_names(6), connections)
     assert part.call("vm-1", None, 0.04, "a test") is None
     assert (connections.called, connections.opened) == ([], ["vm-1"])
--- a/packages/mothworks_gateway/tests/test_prefill_pacing.py
+++ b/packages/mothworks_gateway/tests/test_prefill_pacing.py
@@ -187,7 +187,7 @@
     # With 195 VMs and 59 owners, a VM needed most owners about once a day and had no
     # connection to them. No prompt got a slot, and streams stalled.
     stub_peers = Peers(prefill_pacing.PrefillSlot(0.0), linked=False)
-    pacing = make_pacing(stub_peers, *fleet_builders.names_of(195))
+    pacing = make_pacing(stub_peers, *fleet_builders.vm_names(195))
     pacing._connect_to_owners()
     assert len(stub_peers.opened) <= 9
     chosen = {pacing.owners.ranked(f"i-{number}")[0] for number in range(59)}
--- a/packages/mothworks_gateway/tests/test_watcher_election.py
+++ b/packages/mothworks_gateway/tests/test_watcher_election.py
@@ -18,7 +18,7 @@
     """
 
     def __init__(self, count=VMS):
-        self.names = fleet_builders.names_of(count)
+        self.names = fleet_builders.vm_names(count)
         self.election_by_vm = {
             name: watcher_election.WatcherElection(name) for name in self.names
         }
