--- a/packages/mothworks_gateway/tests/fleet_builders.py
+++ b/packages/mothworks_gateway/tests/fleet_builders.py
@@ -9,7 +9,7 @@
 from mothworks_gateway import broadcast, endpoint_limits, endpoints_client
 
 
-class Wire:
+class Network:
     """An in-memory network that delivers messages between VMs synchronously.
 
     :param peers_by_vm: the connections of each VM.
@@ -22,34 +22,34 @@
         self.down = set()
         self.sent_by_vm = {}
 
-    def carry(self, sender, receiver, frame):
+    def deliver(self, sender, receiver, frame):
         """Deliver a packed message, unless the sender or the receiver is down."""
         self.sent_by_vm[sender] = self.sent_by_vm.get(sender, 0) + 1
         if {sender, receiver} & self.down or receiver not in self.peers_by_vm:
             return
-        self.peers_by_vm[receiver].take(sender, frame)
+        self.peers_by_vm[receiver].receive(sender, frame)
 
 
 class Peers:
     """A fake :class:`peers.Peers` of one VM, connected to all VMs that are not down.
 
     :param name: the VM.
-    :param wire: the network.
+    :param network: the network.
     :param names: all VMs.
     """
 
-    def __init__(self, name, wire, names=()):
+    def __init__(self, name, network, names=()):
         self.name = name
-        self.wire = wire
+        self.network = network
         self.names = names
         self.handler_by_class = {}
-        wire.peers_by_vm[name] = self
+        network.peers_by_vm[name] = self
 
     def handle(self, message_class, handler):
         self.handler_by_class[message_class] = handler
 
     def linked(self, vm):
-        return vm not in self.wire.down
+        return vm not in self.network.down
 
     def post(self, vm, message):
         self.post_all([vm], message)
@@ -60,9 +60,9 @@
     def post_all(self, vms, message):
         frame = messages.pack(message)
         for vm in vms:
-            self.wire.carry(self.name, vm, frame)
+            self.network.deliver(self.name, vm, frame)
 
-    def take(self, sender, frame):
+    def receive(self, sender, frame):
         message, _ = messages.unpack(messages.msgpack.unpackb(frame))
         handler = self.handler_by_class.get(type(message))
         if handler is not None:
@@ -82,19 +82,19 @@
     return members.Member(name, "10.0.0.1", 7000, 80, "a", "r")
 
 
-def make_kernel(name, names, wire, parts=None):
+def make_kernel(name, names, network, parts=None):
     """Return the kernel of one VM of a fleet whose VMs all know each other.
 
     :param name: the VM.
     :param names: all VMs.
-    :param wire: the network.
+    :param network: the network.
     :param parts: further parts, by class.
     """
     near = [make_member(vm) for vm in names if vm != name]
     node_membership = types.SimpleNamespace(near=lambda: near, on_change=[])
     parts = {
         membership.Membership: node_membership,
-        peers.Peers: Peers(name, wire, names),
+        peers.Peers: Peers(name, network, names),
         **(parts or {}),
     }
     node_kernel = gateway_builders.Kernel(parts)
@@ -123,18 +123,18 @@
     return limits
 
 
-def update_membership(kernel, name, names, wire):
+def update_membership(kernel, name, names, network):
     """Update one VM's membership to the VMs that it can reach.
 
     :param kernel: the VM's kernel.
     :param name: its name.
     :param names: all VMs.
-    :param wire: the network, with the VMs and links that are down.
+    :param network: the network, with the VMs and links that are down.
     """
-    live_vms = [vm for vm in names if vm != name and vm not in wire.down]
+    live_vms = [vm for vm in names if vm != name and vm not in network.down]
     node_membership = kernel.get(membership.Membership)
     node_membership.near()[:] = [
-        make_member(vm) for vm in live_vms if not wire.cuts(name, vm)
+        make_member(vm) for vm in live_vms if not network.cuts(name, vm)
     ]
     for notify in node_membership.on_change:
         notify()
--- a/packages/mothworks_gateway/tests/limited_fleet.py
+++ b/packages/mothworks_gateway/tests/limited_fleet.py
@@ -95,8 +95,8 @@
             ),
             feeding.FeedFollowers: None,
         }
-        kernel = fleet_builders.make_kernel(name, fleet.names, fleet.wire, parts)
-        kernel.parts[peers.Peers] = test_credit.Peers(name, fleet.wire, fleet.names)
+        kernel = fleet_builders.make_kernel(name, fleet.names, fleet.network, parts)
+        kernel.parts[peers.Peers] = test_credit.Peers(name, fleet.network, fleet.names)
         kernel.parts[heartbeat.Heartbeats] = self.heartbeats = heartbeat.Heartbeats(
             kernel
         )
@@ -139,7 +139,7 @@
         self.clock = virtual_time.Clock(monkeypatch, *modules)
         self.rng = random.Random(seed)
         random.seed(seed)
-        self.wire = test_credit.Wire()
+        self.network = test_credit.Network()
         self.registry_view = registry.Registry()
         # The revision in all heartbeats, so that no VM requests missing updates.
         self.registry_view.cursor = 1
@@ -189,12 +189,12 @@
 
     def send_heartbeats(self):
         for name in self.rng.sample(self.names, len(self.names)):
-            if name not in self.wire.down:
+            if name not in self.network.down:
                 self.vm_by_name[name].heartbeats.send()
 
     def send_request(self, vms=None):
         """Send one caller's request to a random VM."""
-        live_vms = [vm for vm in vms or self.names if vm not in self.wire.down]
+        live_vms = [vm for vm in vms or self.names if vm not in self.network.down]
         self.process_request(self.rng.choice(live_vms), self.now)
 
     def process_request(self, name, requested_at):
@@ -216,7 +216,7 @@
         return self.vm_by_name[name].slots.acquire(request, ranked, max_wait_s)
 
     def send(self, name, slot, requested_at):
-        if name in self.wire.down:
+        if name in self.network.down:
             return
         if not self.vm_by_name[name].slots.wait(slot):
             self.process_request(name, requested_at)
@@ -234,32 +234,32 @@
         )
 
     def deliver_answer(self, name, endpoint, per_s, sent_at):
-        if name not in self.wire.down:
+        if name not in self.network.down:
             limits = self.vm_by_name[name].limits
             limits.observe(endpoint.registered, per_s, sent_at, "q-1")
 
     def stop_vms(self, names):
         """Stop VMs without notice."""
-        self.wire.down |= set(names)
+        self.network.down |= set(names)
 
     def start_vms(self, names):
         """Start VMs without any state."""
         for name in names:
             self.vm_by_name[name] = Vm(name, self)
-            self.wire.down.discard(name)
+            self.network.down.discard(name)
 
     def partition(self, names):
         """Cut off some VMs from all others; they reach each other and the endpoints."""
         for name in names:
-            self.wire.group_by_vm[name] = 1
+            self.network.group_by_vm[name] = 1
 
     def end_partition(self):
-        self.wire.group_by_vm.clear()
+        self.network.group_by_vm.clear()
 
     def update_membership(self):
         """Update the membership of all VMs by who reaches whom."""
         for name, vm in self.vm_by_name.items():
-            fleet_builders.update_membership(vm.kernel, name, self.names, self.wire)
+            fleet_builders.update_membership(vm.kernel, name, self.names, self.network)
 
     def owner_of(self, endpoint):
         slots = self.vm_by_name[self.names[0]].slots
--- a/packages/mothworks_gateway/tests/test_aggregation.py
+++ b/packages/mothworks_gateway/tests/test_aggregation.py
@@ -62,7 +62,7 @@
             discovery.Discovery: types.SimpleNamespace(registry=view, changed_at=1),
             feeding.FeedFollowers: None,
         }
-        kernel = fleet_builders.make_kernel(name, fleet.names, fleet.wire, parts)
+        kernel = fleet_builders.make_kernel(name, fleet.names, fleet.network, parts)
         kernel.parts[heartbeat.Heartbeats] = self.heartbeats = heartbeat.Heartbeats(
             kernel
         )
@@ -90,7 +90,7 @@
     def __init__(self, monkeypatch, count=VMS):
         self.clock = Clock(monkeypatch)
         self.random = random.Random(count)
-        self.wire = fleet_builders.Wire()
+        self.network = fleet_builders.Network()
         self.names = fleet_builders.vm_names(count)
         self.holder = ""
         self.vm_by_name = {name: Vm(name, self) for name in self.names}
@@ -108,7 +108,7 @@
         for _ in range(round(seconds / heartbeat.INTERVAL_S)):
             self.clock.now += heartbeat.INTERVAL_S
             for name in self.random.sample(self.names, len(self.names)):
-                if name not in self.wire.down:
+                if name not in self.network.down:
                     self.vm_by_name[name].heartbeats.send()
                     self.vm_by_name[name].running_requests._expire()
 
@@ -174,7 +174,7 @@
     fleet.fill()
     fleet.run(1)
     failed = fleet.collectors[3]
-    fleet.wire.down.add(failed)
+    fleet.network.down.add(failed)
     lost_requests = fleet.vm_by_name[failed].running_requests.running.by_endpoint
     fleet.running_by_endpoint -= lost_requests
     fleet.run(collectors.TOTALS_TIMEOUT_S + heartbeat.STALE_S + 1.0)
@@ -188,9 +188,9 @@
     # sends to 8 others and about 24 VMs.
     fleet = Fleet(monkeypatch)
     fleet.run(2)
-    fleet.wire.sent_by_vm.clear()
+    fleet.network.sent_by_vm.clear()
     fleet.run(1)
-    sent = fleet.wire.sent_by_vm
+    sent = fleet.network.sent_by_vm
     sent_by_non_collectors = [
         sent[name] for name in fleet.names if name not in fleet.collectors
     ]
--- a/packages/mothworks_gateway/tests/test_broadcast.py
+++ b/packages/mothworks_gateway/tests/test_broadcast.py
@@ -19,12 +19,12 @@
 
     def __init__(self, count):
         self.names = fleet_builders.vm_names(count)
-        self.wire = fleet_builders.Wire()
+        self.network = fleet_builders.Network()
         self.received_by_vm = collections.defaultdict(list)
         self.part_by_vm = {name: self.make_broadcast(name) for name in self.names}
 
     def make_broadcast(self, name):
-        kernel = fleet_builders.make_kernel(name, self.names, self.wire)
+        kernel = fleet_builders.make_kernel(name, self.names, self.network)
         part = broadcast.Broadcast(kernel)
 
         def receive(vm, update, _):
@@ -55,8 +55,8 @@
     # VM has. The square root of 194 is about 14.
     fleet = Fleet(VMS)
     fleet.publish("vm-0", "text")
-    assert sum(fleet.wire.sent_by_vm.values()) == VMS - 1
-    assert max(fleet.wire.sent_by_vm.values()) <= 14
+    assert sum(fleet.network.sent_by_vm.values()) == VMS - 1
+    assert max(fleet.network.sent_by_vm.values()) <= 14
 
 
 def test_groups_differ_by_sender():
@@ -77,10 +77,10 @@
     fleet = Fleet(VMS)
     part = fleet.part_by_vm["vm-0"]
     part.peers.linked = lambda vm: True
-    fleet.wire.down.add(part._groups()[0][0])
+    fleet.network.down.add(part._groups()[0][0])
     for number in range(40):
         fleet.publish("vm-0", f"text {number}")
-    live_vms = set(fleet.names[1:]) - fleet.wire.down
+    live_vms = set(fleet.names[1:]) - fleet.network.down
     assert min(len(fleet.received_by_vm[name]) for name in live_vms) >= 30
 
 
@@ -115,4 +115,4 @@
     while scheduled_flushes:
         scheduled_flushes.pop(0)[1]()
     assert len(fleet.received_by_vm["vm-77"]) == 70
-    assert fleet.wire.sent_by_vm["vm-0"] <= 25 * 14
+    assert fleet.network.sent_by_vm["vm-0"] <= 25 * 14
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -61,18 +61,20 @@
 
     def call(self, vm, message, timeout_s):
         replies = []
-        if not {vm, self.name} & self.wire.down and not self.wire.cuts(self.name, vm):
+        if not {vm, self.name} & self.network.down and not self.network.cuts(
+            self.name, vm
+        ):
             received, _ = messages.unpack(
                 messages.msgpack.unpackb(messages.pack(message))
             )
-            handler = self.wire.peers_by_vm[vm].handler_by_class[type(received)]
+            handler = self.network.peers_by_vm[vm].handler_by_class[type(received)]
             handler(self.name, received, replies.append)
         if not replies:
             return result.Err(peers.PeerFailure(vm, "no reply in time", True))
         return result.Ok(replies[0])
 
 
-class Wire(fleet_builders.Wire):
+class Network(fleet_builders.Network):
     """A wire between groups of VMs; VMs of different groups cannot reach each other."""
 
     def __init__(self):
@@ -82,9 +84,9 @@
     def cuts(self, one, other):
         return self.group_by_vm[one] != self.group_by_vm[other]
 
-    def carry(self, sender, receiver, frame):
+    def deliver(self, sender, receiver, frame):
         if not self.cuts(sender, receiver):
-            super().carry(sender, receiver, frame)
+            super().deliver(sender, receiver, frame)
 
 
 class Freshness:
@@ -117,9 +119,9 @@
             feeding.FeedFollowers: None,
             freshness.Freshness: Freshness(fleet, name),
         }
-        kernel = fleet_builders.make_kernel(name, fleet.names, fleet.wire, parts)
+        kernel = fleet_builders.make_kernel(name, fleet.names, fleet.network, parts)
         kernel.settings = gateway_builders.make_settings(name=name, bounds=BOUNDS)
-        kernel.parts[peers.Peers] = Peers(name, fleet.wire, fleet.names)
+        kernel.parts[peers.Peers] = Peers(name, fleet.network, fleet.names)
         kernel.parts[heartbeat.Heartbeats] = self.heartbeats = heartbeat.Heartbeats(
             kernel
         )
@@ -161,7 +163,7 @@
         self.random = random.Random(seed)
         # The reserve depends on a random draw.
         random.seed(seed)
-        self.wire = Wire()
+        self.network = Network()
         self.cut_at_by_vm = {}
         self.accounts = client_accounts.Accounts(
             {name: account(name, per_s) for name, per_s in caps.items()}
@@ -180,14 +182,14 @@
     def cut(self, names):
         """Cut some VMs off from all others; they still reach each other."""
         for name in names:
-            self.wire.group_by_vm[name] = 1
+            self.network.group_by_vm[name] = 1
             self.cut_at_by_vm[name] = self.clock.now
 
     def notice(self):
         """Update every VM's membership to the VMs that it reaches."""
         for name, vm in self.vm_by_name.items():
             fleet_builders.update_membership(
-                vm.credits.kernel, name, self.names, self.wire
+                vm.credits.kernel, name, self.names, self.network
             )
 
     def owner(self, name):
@@ -215,7 +217,7 @@
 
     def send_heartbeats(self):
         for name in self.random.sample(self.names, len(self.names)):
-            if name not in self.wire.down:
+            if name not in self.network.down:
                 self.vm_by_name[name].heartbeats.send()
 
     def request(self, name, vms=None):
@@ -238,7 +240,7 @@
 
     @property
     def down(self):
-        return self.wire.down
+        return self.network.down
 
     def worst_window(self, name):
         """Return the highest usage in a window, relative to what is tolerated."""
--- a/packages/mothworks_gateway/tests/test_declaration_updates.py
+++ b/packages/mothworks_gateway/tests/test_declaration_updates.py
@@ -40,7 +40,7 @@
     """VMs whose messages arrive immediately; one of them holds the lease."""
 
     def __init__(self, holder):
-        self.wire = fleet_builders.Wire()
+        self.network = fleet_builders.Network()
         self.names = fleet_builders.vm_names(VMS)
         self.holder = holder
         self.declarations_by_vm = {name: self._make(name) for name in self.names}
@@ -50,7 +50,7 @@
             feeding.FeedFollowers: types.SimpleNamespace(feeds=Feeds()),
             lease.Lease: types.SimpleNamespace(held=lambda: name == self.holder),
         }
-        kernel = fleet_builders.make_kernel(name, self.names, self.wire, parts)
+        kernel = fleet_builders.make_kernel(name, self.names, self.network, parts)
         kernel.parts[broadcast.Broadcast] = sender = broadcast.Broadcast(kernel)
         sender.publish = sender.publish_now
         node_declarations = declarations.Declarations(kernel)
@@ -81,7 +81,7 @@
     fleet = Fleet("vm-3")
     fleet.receive_from_platform("vm-5", b"7 routes")
     assert fleet.declarations_by_vm["vm-4"].version == 0
-    assert fleet.wire.sent_by_vm == {}
+    assert fleet.network.sent_by_vm == {}
 
 
 def test_an_older_declaration_that_arrives_late_is_ignored():
@@ -94,7 +94,7 @@
 def test_a_declaration_from_a_peer_is_not_published_again():
     fleet = Fleet("vm-3")
     fleet.declarations_by_vm["vm-3"].apply_if_newer(b"7 routes", "peer vm-5")
-    assert fleet.wire.sent_by_vm == {}
+    assert fleet.network.sent_by_vm == {}
 
 
 @pytest.mark.parametrize("excess_bytes", [0, 1])
--- a/packages/mothworks_gateway/tests/test_endpoint_limits.py
+++ b/packages/mothworks_gateway/tests/test_endpoint_limits.py
@@ -24,7 +24,7 @@
         self.view = registry.Registry()
         self.endpoint = gateway_builders.endpoint("i-1")
         self.view.by_id = {"i-1": self.endpoint}
-        self.wire = fleet_builders.Wire()
+        self.network = fleet_builders.Network()
         self.limits_here = self._limits_of("vm-0")
         self.limits_there = self._limits_of("vm-1")
 
@@ -33,7 +33,7 @@
             discovery.Discovery: types.SimpleNamespace(registry=self.view),
             heartbeat.Heartbeats: gateway_builders.Heartbeats(),
         }
-        kernel = fleet_builders.make_kernel(name, ["vm-0", "vm-1"], self.wire, parts)
+        kernel = fleet_builders.make_kernel(name, ["vm-0", "vm-1"], self.network, parts)
         return fleet_builders.add_endpoint_limits(kernel)
 
     def answer(self, per_s, sent_at, received_at, ran=True):
--- a/packages/mothworks_gateway/tests/test_owners.py
+++ b/packages/mothworks_gateway/tests/test_owners.py
@@ -32,7 +32,7 @@
 
 def make(name, names, connections=None):
     parts = {peers.Peers: connections or Peers()}
-    kernel = fleet_builders.make_kernel(name, names, fleet_builders.Wire(), parts)
+    kernel = fleet_builders.make_kernel(name, names, fleet_builders.Network(), parts)
     return owners.Owners(kernel)
 
 
--- a/packages/mothworks_gateway/tests/test_residency.py
+++ b/packages/mothworks_gateway/tests/test_residency.py
@@ -50,9 +50,9 @@
 def part():
     view = registry.Registry()
     view.by_id = {name: gateway_builders.endpoint(name) for name in ENDPOINTS}
-    wire = fleet_builders.Wire()
+    network = fleet_builders.Network()
     parts = {
-        peers.Peers: fleet_builders.Peers("vm-1", wire),
+        peers.Peers: fleet_builders.Peers("vm-1", network),
         broadcast.Broadcast: None,
         discovery.Discovery: types.SimpleNamespace(registry=view),
         lease.Lease: types.SimpleNamespace(holder=lambda: ""),
--- a/packages/mothworks_gateway/tests/test_send_slots.py
+++ b/packages/mothworks_gateway/tests/test_send_slots.py
@@ -187,7 +187,7 @@
     endpoint.per_s = 1.5
     fleet.run(5.0, 20.0)
     for number, name in enumerate(fleet.names):
-        fleet.wire.group_by_vm[name] = number
+        fleet.network.group_by_vm[name] = number
     fleet.run(3.0, 20.0)
     fleet.update_membership()
     since = fleet.now
@@ -203,7 +203,7 @@
     endpoint.per_s = 1.5
     fleet.run(5.0, 20.0)
     for number, name in enumerate(fleet.names):
-        fleet.wire.group_by_vm[name] = number
+        fleet.network.group_by_vm[name] = number
     fleet.run(3.0, 20.0)
     fleet.update_membership()
     fleet.run(120.0, 20.0)
