--- a/packages/mothworks_gateway/tests/gateway_builders.py
+++ b/packages/mothworks_gateway/tests/gateway_builders.py
@@ -37,7 +37,7 @@
         return self.parts[part_class]
 
 
-def kernel_with(view, parts=None):
+def kernel_with_registry(view, parts=None):
     """Return a kernel with a registry and further parts.
 
     :param view: the registry.
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -104,7 +104,7 @@
         service = declaration_types.Service(SERVICE, accelerator=accelerator)
         self.declaration = declaration_types.Declaration(1, (), {SERVICE: service})
 
-    def ask(self, model, per_s, tokens, seconds):
+    def send_requests(self, model, per_s, tokens, seconds):
         """Send requests at a steady rate, with a scheduling pass per heartbeat."""
         for _ in range(round(seconds / heartbeat.INTERVAL_S)):
             self.clock.now += heartbeat.INTERVAL_S
--- a/packages/mothworks_gateway/tests/test_endpoint_selection.py
+++ b/packages/mothworks_gateway/tests/test_endpoint_selection.py
@@ -23,7 +23,7 @@
         running_requests.RunningRequests: gateway_builders.RunningRequests(running),
     }
     return endpoint_selection.EndpointSelection(
-        gateway_builders.kernel_with(view, parts)
+        gateway_builders.kernel_with_registry(view, parts)
     )
 
 
--- a/packages/mothworks_gateway/tests/test_health.py
+++ b/packages/mothworks_gateway/tests/test_health.py
@@ -8,7 +8,7 @@
 
 @pytest.fixture
 def endpoint_health():
-    return health.Health(gateway_builders.kernel_with(registry.Registry()))
+    return health.Health(gateway_builders.kernel_with_registry(registry.Registry()))
 
 
 def endpoints(count):
--- a/packages/mothworks_gateway/tests/test_limited_sites.py
+++ b/packages/mothworks_gateway/tests/test_limited_sites.py
@@ -30,28 +30,28 @@
 
 # Guards against a model whose only endpoint is at its limit while others are idle.
 def test_a_model_whose_endpoint_is_at_its_limit_is_loaded_elsewhere(scheduling):
-    scheduling.ask("busy", PER_S, TOKENS, seconds=2.0)
+    scheduling.send_requests("busy", PER_S, TOKENS, seconds=2.0)
     assert loading_endpoint_ids(scheduling) == []
     scheduling.limit_by_id["i-0"] = 1.5
-    scheduling.ask("busy", PER_S, TOKENS, seconds=0.5)
+    scheduling.send_requests("busy", PER_S, TOKENS, seconds=0.5)
     assert scheduling.holders("busy") == 2
 
 
 # Guards against loads at an endpoint that accepts hardly any requests.
 def test_nothing_is_loaded_at_a_limited_endpoint(scheduling):
     scheduling.limit_by_id.update({f"i-{number}": 1.5 for number in range(4)})
-    scheduling.ask("busy", 10 * PER_S, 3 * TOKENS, seconds=4.0)
+    scheduling.send_requests("busy", 10 * PER_S, 3 * TOKENS, seconds=4.0)
     assert set(loading_endpoint_ids(scheduling)) == {"i-4"}
 
 
 def test_a_limit_that_is_not_reached_costs_no_load(scheduling):
     scheduling.limit_by_id["i-0"] = 12.0
-    scheduling.ask("busy", 1.0, TOKENS, seconds=4.0)
+    scheduling.send_requests("busy", 1.0, TOKENS, seconds=4.0)
     assert scheduling.holders("busy") == 1
 
 
 # Guards against a model that is loaded nowhere because all endpoints report limits.
 def test_models_are_still_loaded_if_all_endpoints_report_limits(scheduling):
     scheduling.limit_by_id.update({f"i-{number}": 6.0 for number in range(5)})
-    scheduling.ask("busy", PER_S, TOKENS, seconds=2.0)
+    scheduling.send_requests("busy", PER_S, TOKENS, seconds=2.0)
     assert scheduling.holders("busy") >= 2
--- a/packages/mothworks_gateway/tests/test_moving_demand.py
+++ b/packages/mothworks_gateway/tests/test_moving_demand.py
@@ -31,7 +31,7 @@
     # each other's prompts while eight endpoints were idle, because further endpoints
     # were added one per second, and each only once the last was full. After two seconds
     # three quarters of the new rate are observed.
-    scheduling.ask("rising", PER_S, TOKENS, seconds=2.0)
+    scheduling.send_requests("rising", PER_S, TOKENS, seconds=2.0)
     needed = (
         PER_S
         * TOKENS
@@ -41,7 +41,7 @@
 
 
 def test_a_model_that_one_endpoint_suffices_for_gets_no_other(scheduling):
-    scheduling.ask("rising", 3.0, TOKENS, seconds=4.0)
+    scheduling.send_requests("rising", 3.0, TOKENS, seconds=4.0)
     assert scheduling.holders("rising") == 1
 
 
@@ -49,21 +49,21 @@
     # Half of the endpoints each: neither evicts the other's replicas again and again,
     # since each load takes seconds.
     for _ in range(16):
-        scheduling.ask("rising", 16.0, TOKENS, seconds=0.25)
-        scheduling.ask("rare-3", 16.0, TOKENS, seconds=0.25)
+        scheduling.send_requests("rising", 16.0, TOKENS, seconds=0.25)
+        scheduling.send_requests("rare-3", 16.0, TOKENS, seconds=0.25)
     assert scheduling.holders("rising") >= 2
     assert scheduling.holders("rare-3") >= 2
 
 
 def test_rarely_requested_models_stay_loaded(scheduling):
-    scheduling.ask("rising", 8.0, TOKENS, seconds=4.0)
+    scheduling.send_requests("rising", 8.0, TOKENS, seconds=4.0)
     assert all(scheduling.holders(f"rare-{number}") for number in range(9))
 
 
 def test_holders_are_determined_anew_in_each_pass(scheduling):
     # Holders are requested thousands of times in a pass and cached for it. An endpoint
     # that unloads its model between two passes must no longer be listed.
-    scheduling.ask("rising", 1.0, TOKENS, seconds=0.25)
+    scheduling.send_requests("rising", 1.0, TOKENS, seconds=0.25)
     assert scheduling.holders("rising") == 1
     scheduling.states[0].adapters_by_model.pop("rising")
     scheduling.scheduler._schedule(scheduling.declaration)
