--- a/packages/mothworks_gateway/tests/cap_ways.py
+++ b/packages/mothworks_gateway/tests/cap_strategies.py
@@ -1,4 +1,4 @@
-"""Alternative ways to enforce a usage cap over all VMs, for comparison.
+"""Alternative strategies to enforce a usage cap over all VMs, for comparison.
 
 Run as a program it prints the table of ``docs/design/client-accounts.md``.
 """
@@ -76,7 +76,7 @@
             self.demand[key] *= 0.75
 
 
-WAYS = {
+STRATEGIES = {
     "equal parts": EqualShares,
     "parts by demand": SharesByDemand,
     "an owner lends": test_credit.Fleet,
@@ -89,9 +89,9 @@
 
 def print_table():
     """Print refusals below the cap, and the worst window above it."""
-    print("way | VMs | cap | refused at 0.55 of it | worst window at 4.4 times it")
+    print("strategy | VMs | cap | refused at 0.55 of it | worst window at 4.4 times it")
     for count in (60, 300):
-        for way, kind in WAYS.items():
+        for strategy, kind in STRATEGIES.items():
             for name, per_s in (
                 ("small", test_credit.SMALL),
                 ("large", test_credit.LARGE),
@@ -103,7 +103,8 @@
                     over = kind(patch, count, {name: per_s}, seed=7)
                     over.run(12.0, {name: 4.4 * per_s}, over.names[:1])
                 print(
-                    f"{way} | {count} | {per_s:.0f} | {refused_share(under, name):.3f}"
+                    f"{strategy} | {count} | {per_s:.0f} | "
+                    f"{refused_share(under, name):.3f}"
                     f" | {over.worst_window(name):.2f}, "
                     f"{sum(u for _, u in over.granted[name]) / per_s / 12.0:.2f}"
                     " of the cap used at one VM"
--- a/packages/mothworks_gateway/tests/limit_ways.py
+++ b/packages/mothworks_gateway/tests/limit_strategies.py
@@ -8,7 +8,7 @@
 import pytest
 import result
 
-import limited_fleet
+import limit_simulation
 from mothworks_gateway import client_accounts, send_slots, token_bucket
 
 #: Requested rate as a multiple of the limit.
@@ -16,7 +16,7 @@
 WARM_UP_S, RUN_S = 4.0, 12.0
 
 
-class PerVmLimit(limited_fleet.Fleet):
+class PerVmLimit(limit_simulation.Fleet):
     """Each VM enforces the whole limit on its own, without an owner."""
 
     def __init__(self, *args, **fields):
@@ -54,14 +54,14 @@
         return 1.0 / len(self.names)
 
 
-class NoQueue(limited_fleet.Fleet):
+class NoQueue(limit_simulation.Fleet):
     """The owner grants slots at once or refuses them, so that no request waits."""
 
     def acquire(self, name, request, ranked, max_wait_s):
         return super().acquire(name, request, ranked, 0.0)
 
 
-class LongQueue(limited_fleet.Fleet):
+class LongQueue(limit_simulation.Fleet):
     """The owner's queue is as long in a lasting overload as in a burst."""
 
     def __init__(self, monkeypatch, *args, **fields):
@@ -74,7 +74,7 @@
     "equal shares": EqualShares,
     "an owner, no queue": NoQueue,
     "an owner, a queue": LongQueue,
-    "an owner, a queue that overload shortens": limited_fleet.Fleet,
+    "an owner, a queue that overload shortens": limit_simulation.Fleet,
 }
 
 
--- a/packages/mothworks_gateway/tests/test_cap_ways.py
+++ b/packages/mothworks_gateway/tests/test_cap_strategies.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-import cap_ways
+import cap_strategies
 import test_credit
 
 
@@ -11,18 +11,20 @@
     # At 60 VMs an account requests a little more than half of its cap.
     caps = {"small": test_credit.SMALL, "large": test_credit.LARGE}
     refused = {}
-    for way, kind in cap_ways.WAYS.items():
+    for strategy, kind in cap_strategies.STRATEGIES.items():
         with pytest.MonkeyPatch.context() as patch:
             fleet = kind(patch, 60, {name: caps[name]}, seed=7)
             fleet.run(10.0, {name: 0.55 * caps[name]})
-            refused[way] = cap_ways.refused_share(fleet, name)
+            refused[strategy] = cap_strategies.refused_share(fleet, name)
             assert fleet.worst_window(name) <= 1.0
     assert refused["an owner lends"] == min(refused.values())
 
 
 def test_an_account_whose_callers_reach_one_vm_gets_its_cap():
     with pytest.MonkeyPatch.context() as patch:
-        fleet = cap_ways.WAYS["an owner lends"](patch, 60, {"large": test_credit.LARGE})
+        fleet = cap_strategies.STRATEGIES["an owner lends"](
+            patch, 60, {"large": test_credit.LARGE}
+        )
         fleet.run(5.0, {"large": 2 * test_credit.LARGE}, fleet.names[:1])
         used = sum(units for _, units in fleet.granted["large"])
     assert used >= 0.95 * 5.0 * test_credit.LARGE
--- a/packages/mothworks_gateway/tests/test_send_slots.py
+++ b/packages/mothworks_gateway/tests/test_send_slots.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-import limited_fleet
+import limit_simulation
 from mothworks_gateway import send_slots
 
 FLEETS = pytest.mark.parametrize("count", [1, 3, 8, 60, 300])
@@ -24,7 +24,7 @@
 @FLEETS
 @LIMITS
 def test_a_limit_is_kept_and_used(monkeypatch, count, per_s):
-    fleet = limited_fleet.Fleet(monkeypatch, count)
+    fleet = limit_simulation.Fleet(monkeypatch, count)
     (endpoint,) = fleet.endpoints
     endpoint.per_s = per_s
     fleet.run(4.0, 6 * per_s)
@@ -37,7 +37,7 @@
 # Guards against a part of the limit that is reserved for idle VMs.
 @FLEETS
 def test_callers_of_one_vm_get_the_whole_limit(monkeypatch, count):
-    fleet = limited_fleet.Fleet(monkeypatch, count)
+    fleet = limit_simulation.Fleet(monkeypatch, count)
     (endpoint,) = fleet.endpoints
     endpoint.per_s = 2.0
     fleet.run(4.0, 20.0)
@@ -49,25 +49,25 @@
 
 # Guards against requests that wait or are refused while another endpoint is free.
 def test_requests_prefer_endpoints_without_a_limit(monkeypatch):
-    fleet = limited_fleet.Fleet(monkeypatch, 8, endpoints=3)
+    fleet = limit_simulation.Fleet(monkeypatch, 8, endpoints=3)
     fleet.endpoints[0].per_s = 1.5
     fleet.run(8.0, 40.0)
     assert fleet.endpoints[0].worst_ratio() <= 1.0
     assert fleet.refusals == []
-    assert max(fleet.waits) <= limited_fleet.STEP_S
+    assert max(fleet.waits) <= limit_simulation.STEP_S
 
 
 # Guards against a caller that waits although no endpoint can run its request, or that
 # is given a retry delay after which there is still no slot.
 def test_requests_that_get_no_slot_are_refused_at_once(monkeypatch):
-    fleet = limited_fleet.Fleet(monkeypatch, 8)
+    fleet = limit_simulation.Fleet(monkeypatch, 8)
     (endpoint,) = fleet.endpoints
     endpoint.per_s = 1.0
     fleet.run(2.0, 10.0)
     fleet.refusals.clear()
     fleet.run(8.0, 10.0)
     assert len(fleet.refusals) >= 50
-    assert max(fleet.waits) <= limited_fleet.MAX_WAIT_S + limited_fleet.STEP_S
+    assert max(fleet.waits) <= limit_simulation.MAX_WAIT_S + limit_simulation.STEP_S
     for _, at_limit in fleet.refusals:
         assert at_limit.endpoint is endpoint.registered
         assert at_limit.per_s == 1.0
@@ -77,7 +77,7 @@
 
 @FLEETS
 def test_a_lifted_limit_no_longer_applies_after_a_second(monkeypatch, count):
-    fleet = limited_fleet.Fleet(monkeypatch, count)
+    fleet = limit_simulation.Fleet(monkeypatch, count)
     (endpoint,) = fleet.endpoints
     endpoint.per_s = 1.5
     fleet.run(6.0, 40.0)
@@ -87,13 +87,13 @@
     fleet.waits.clear()
     fleet.run(4.0, 40.0)
     assert fleet.refusals == []
-    assert max(fleet.waits) <= limited_fleet.STEP_S
+    assert max(fleet.waits) <= limit_simulation.STEP_S
 
 
 # Guards against slots that were granted under a higher limit than the current one.
 @FLEETS
 def test_a_lowered_limit_applies_at_once(monkeypatch, count):
-    fleet = limited_fleet.Fleet(monkeypatch, count)
+    fleet = limit_simulation.Fleet(monkeypatch, count)
     (endpoint,) = fleet.endpoints
     endpoint.per_s = 12.0
     fleet.run(6.0, 60.0)
@@ -109,7 +109,7 @@
 
 @FLEETS
 def test_a_raised_limit_is_used_at_once(monkeypatch, count):
-    fleet = limited_fleet.Fleet(monkeypatch, count)
+    fleet = limit_simulation.Fleet(monkeypatch, count)
     (endpoint,) = fleet.endpoints
     endpoint.per_s = 1.0
     fleet.run(6.0, 60.0)
@@ -125,7 +125,7 @@
 @pytest.mark.parametrize("seed", range(3))
 @LIMITS
 def test_an_owner_that_dies_is_replaced_at_once(monkeypatch, count, seed, per_s):
-    fleet = limited_fleet.Fleet(monkeypatch, count, seed=seed)
+    fleet = limit_simulation.Fleet(monkeypatch, count, seed=seed)
     (endpoint,) = fleet.endpoints
     endpoint.per_s = per_s
     fleet.run(5.0, 6 * per_s)
@@ -146,7 +146,7 @@
 # know.
 @pytest.mark.parametrize("count", [8, 60, 300])
 def test_vms_that_start_together_keep_the_limit(monkeypatch, count):
-    fleet = limited_fleet.Fleet(monkeypatch, count)
+    fleet = limit_simulation.Fleet(monkeypatch, count)
     (endpoint,) = fleet.endpoints
     endpoint.per_s = 1.5
     fleet.run(5.0, 40.0)
@@ -165,7 +165,7 @@
 def test_sides_of_a_partition_together_keep_the_limit(
     monkeypatch, count, share, seed, per_s
 ):
-    fleet = limited_fleet.Fleet(monkeypatch, count, seed=seed)
+    fleet = limit_simulation.Fleet(monkeypatch, count, seed=seed)
     (endpoint,) = fleet.endpoints
     endpoint.per_s = per_s
     fleet.run(5.0, 6 * per_s)
@@ -182,7 +182,7 @@
 # Guards against isolated VMs that each send the whole limit.
 @pytest.mark.parametrize("count", [3, 8, 60])
 def test_vms_that_are_all_isolated_keep_the_limit(monkeypatch, count):
-    fleet = limited_fleet.Fleet(monkeypatch, count)
+    fleet = limit_simulation.Fleet(monkeypatch, count)
     (endpoint,) = fleet.endpoints
     endpoint.per_s = 1.5
     fleet.run(5.0, 20.0)
@@ -198,7 +198,7 @@
 
 # Guards against isolated VMs that forget after a minute that there were others.
 def test_vms_that_are_isolated_for_minutes_keep_the_limit(monkeypatch):
-    fleet = limited_fleet.Fleet(monkeypatch, 8)
+    fleet = limit_simulation.Fleet(monkeypatch, 8)
     (endpoint,) = fleet.endpoints
     endpoint.per_s = 1.5
     fleet.run(5.0, 20.0)
@@ -211,7 +211,7 @@
 
 
 def test_urgent_requests_get_slots_that_others_leave_free(monkeypatch):
-    fleet = limited_fleet.Fleet(monkeypatch, 1)
+    fleet = limit_simulation.Fleet(monkeypatch, 1)
     (endpoint,) = fleet.endpoints
     endpoint.per_s = 2.0
     fleet.run(2.0, 10.0)
