--- a/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
@@ -48,7 +48,7 @@
         follower = feeding.Follower(
             "declarations",
             self.feeds.declarations,
-            self._apply_listing,
+            self._apply_snapshot,
             self._apply_changes,
         )
         self.kernel.get(feeding.FeedFollowers).add(follower)
@@ -74,8 +74,8 @@
                     outcome=f"version {self.version} stays in force",
                 )
 
-    def _apply_listing(self, listing: adapters.Snapshot) -> None:
-        self._apply_document(listing.document_by_name.get(self.feeds.declaration_name))
+    def _apply_snapshot(self, snapshot: adapters.Snapshot) -> None:
+        self._apply_document(snapshot.document_by_name.get(self.feeds.declaration_name))
 
     def _apply_changes(self, changes: adapters.Changes) -> None:
         for change in changes.changes:
--- a/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
@@ -33,7 +33,7 @@
         self.follower = feeding.Follower(
             "endpoints",
             self.feeds.endpoints,
-            self._apply_listing,
+            self._apply_snapshot,
             self._apply_platform_changes,
             self.batch_s,
         )
@@ -68,7 +68,7 @@
         :param document_by_name: the entries.
         """
         if cursor > self.registry.cursor:
-            self._apply_listing(adapters.Snapshot(cursor, document_by_name))
+            self._apply_snapshot(adapters.Snapshot(cursor, document_by_name))
 
     def apply_published(
         self, base_revision: int, changes: adapters.Changes, suspect_until: float
@@ -100,19 +100,19 @@
         """Return all entries, for a peer."""
         return {item.entry.name: item.document for item in self.registry.by_id.values()}
 
-    def _apply_listing(self, listing: adapters.Snapshot) -> None:
-        if listing.cursor < self.registry.cursor:
-            # Changes published by a peer are newer than this listing.
+    def _apply_snapshot(self, snapshot: adapters.Snapshot) -> None:
+        if snapshot.cursor < self.registry.cursor:
+            # Changes published by a peer are newer than this snapshot.
             return
-        self.registry.cursor = listing.cursor
-        if listing.document_by_name != {**self.documents(), **self.unreadable_by_name}:
-            self.changed_at = listing.cursor
+        self.registry.cursor = snapshot.cursor
+        if snapshot.document_by_name != {**self.documents(), **self.unreadable_by_name}:
+            self.changed_at = snapshot.cursor
         suspect_until = self.follower.suspect_until if self.loaded else 0.0
-        for name in self.registry.id_by_name.keys() - listing.document_by_name.keys():
+        for name in self.registry.id_by_name.keys() - snapshot.document_by_name.keys():
             self.registry.remove(name, suspect_until)
-        for name in self.unreadable_by_name.keys() - listing.document_by_name.keys():
+        for name in self.unreadable_by_name.keys() - snapshot.document_by_name.keys():
             del self.unreadable_by_name[name]
-        for name, document in listing.document_by_name.items():
+        for name, document in snapshot.document_by_name.items():
             self._put(name, document)
         self._notify_changed()
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
@@ -1,8 +1,8 @@
-"""Follows the platform's feeds: one full listing, then long polls for changes.
+"""Follows the platform's feeds: one full snapshot, then long polls for changes.
 
 A follower tolerates a platform that is down, slow, or unresponsive on an open
 connection. Where the platform no longer has the changes since the cursor, the follower
-reads a full listing again. A poll ends early once a peer is known to have a newer
+reads a full snapshot again. A poll ends early once a peer is known to have a newer
 revision, since an unresponsive connection reports no error by itself.
 """
 
@@ -44,7 +44,7 @@
 MIN_RETRY_DELAY_S = 0.1
 MAX_RETRY_DELAY_S = 0.5
 RETRY_BACKOFF_FACTOR = 1.6
-#: Time between the first listing and the first poll, seconds. Within it, a VM that
+#: Time between the first snapshot and the first poll, seconds. Within it, a VM that
 #: starts learns from statuses whether other VMs follow the feeds for it.
 FIRST_POLL_DELAY_S = 1.0
 #: Longest wait of a poll for changes that already exist, seconds.
@@ -76,7 +76,7 @@
 
     :param name: the feed's name in logs.
     :param feed: the feed.
-    :param on_listing: called with each full listing.
+    :param on_snapshot: called with each full snapshot.
     :param on_changes: called with changes.
     :param batch_s: pause before the next poll in which further changes accumulate,
         seconds; each poll is a billed call.
@@ -99,7 +99,7 @@
 
     name: str
     feed: adapters.Feed
-    on_listing: collections.abc.Callable[[adapters.Snapshot], None]
+    on_snapshot: collections.abc.Callable[[adapters.Snapshot], None]
     on_changes: collections.abc.Callable[[adapters.Changes], None]
     batch_s: float = 0.0
     max_poll_s: float = MAX_POLL_S
@@ -225,11 +225,11 @@
         self._interrupt()
 
     def refresh(self) -> bool:
-        """Read a full listing once, while other VMs follow the feed.
+        """Read a full snapshot once, while other VMs follow the feed.
 
         :returns: whether the platform answered.
         """
-        return self._fetch_listing().is_ok()
+        return self._fetch_snapshot().is_ok()
 
     def catch_up(self) -> bool:
         """Fetch the changes since the cursor once, while other VMs follow the feed.
@@ -272,7 +272,7 @@
 
     def _poll_once(self) -> result.Result:
         self.poll_started_at = time.monotonic()
-        # A listing may take several calls, each of which has its own timeout.
+        # A snapshot may take several calls, each of which has its own timeout.
         timeout_s = None
         if self._listed:
             wait_s = self._next_wait_s()
@@ -282,7 +282,7 @@
             )
             poll = gevent.spawn(self._fetch_changes, wait_s)
         else:
-            poll = gevent.spawn(self._fetch_listing)
+            poll = gevent.spawn(self._fetch_snapshot)
         self._poll = poll
         try:
             poll.join(timeout_s)
@@ -310,12 +310,12 @@
         if self._poll is not None:
             self._poll.kill(block=False)
 
-    def _fetch_listing(self) -> result.Result:
+    def _fetch_snapshot(self) -> result.Result:
         sent_at = boot_clock.now()
         response = self.feed.read()
         if response.is_ok():
             self._record_call_answered()
-            self.on_listing(response.ok_value)
+            self.on_snapshot(response.ok_value)
             self.cursor = max(self.cursor, response.ok_value.cursor)
             self.as_of = max(self.as_of, sent_at)
         return response
--- a/packages/mothworks_gateway/tests/test_declaration_updates.py
+++ b/packages/mothworks_gateway/tests/test_declaration_updates.py
@@ -59,8 +59,8 @@
         return node_declarations
 
     def receive_from_platform(self, name, document):
-        listing = adapters.Snapshot(1, {"main": document})
-        self.declarations_by_vm[name]._apply_listing(listing)
+        snapshot = adapters.Snapshot(1, {"main": document})
+        self.declarations_by_vm[name]._apply_snapshot(snapshot)
 
     def versions(self):
         return {
--- a/packages/mothworks_gateway/tests/test_freshness.py
+++ b/packages/mothworks_gateway/tests/test_freshness.py
@@ -103,7 +103,7 @@
             current=types.SimpleNamespace(accounts=object()),
         )
         self.follower = feeding.Follower(
-            "declarations", platform, self.apply_listing, lambda changes: None
+            "declarations", platform, self.apply_snapshot, lambda changes: None
         )
         near = [
             types.SimpleNamespace(name=vm, leaving=False) for vm in names if vm != name
@@ -131,12 +131,12 @@
         self.freshness = freshness.Freshness(kernel)
         link.vm_by_name[name] = self
 
-    def apply_listing(self, listing):
-        version = int(listing.document_by_name["main"])
+    def apply_snapshot(self, snapshot):
+        version = int(snapshot.document_by_name["main"])
         self.declarations.version = max(version, self.declarations.version)
 
     def poll(self):
-        self.follower._fetch_listing()
+        self.follower._fetch_snapshot()
 
 
 class Pair:
@@ -150,7 +150,7 @@
         self.watcher = Vm("watcher", self.platform, self.link, names, is_watcher=True)
         self.follower = Vm("follower", self.platform, self.link, names)
         self.watcher.poll()
-        self.follower.apply_listing(adapters.Snapshot(1, {"main": b"1"}))
+        self.follower.apply_snapshot(adapters.Snapshot(1, {"main": b"1"}))
 
     def check_follower(self):
         self.follower.freshness._check()
@@ -318,7 +318,7 @@
     def publish_version(self):
         """Give the follower the watcher's version without proof of its age."""
         version = self.pair.watcher.declarations.version
-        self.pair.follower.apply_listing(
+        self.pair.follower.apply_snapshot(
             adapters.Snapshot(version, {"main": b"%d" % version})
         )
 
--- a/packages/mothworks_gateway/tests/test_published_changes.py
+++ b/packages/mothworks_gateway/tests/test_published_changes.py
@@ -49,7 +49,7 @@
 @pytest.fixture
 def part():
     made = make_discovery()
-    made._apply_listing(adapters.Snapshot(10, {"i-1": b"5", "i-2": b"7"}))
+    made._apply_snapshot(adapters.Snapshot(10, {"i-1": b"5", "i-2": b"7"}))
     return made
 
 
@@ -110,7 +110,7 @@
         document = None if rng.random() < 0.3 else str(revision).encode()
         history.append((revision, name, document))
     part = make_discovery()
-    part._apply_listing(adapters.Snapshot(10, {"i-1": b"5", "i-2": b"7"}))
+    part._apply_snapshot(adapters.Snapshot(10, {"i-1": b"5", "i-2": b"7"}))
     pending = [_batches(history, rng) for _ in range(2)]
     while any(pending):
         base_revision, update = rng.choice([item for item in pending if item]).pop(0)
--- a/packages/mothworks_gateway/tests/test_silent_polls.py
+++ b/packages/mothworks_gateway/tests/test_silent_polls.py
@@ -139,8 +139,8 @@
         assert elapsed_s < feeding.MAX_GRACE_S + feeding.MAX_RETRY_DELAY_S + 0.1
 
 
-# Guards against polling from a revision for which no listing was ever read.
-def test_an_interrupted_first_listing_is_retried(follower, feed):
+# Guards against polling from a revision for which no snapshot was ever read.
+def test_an_interrupted_first_snapshot_is_retried(follower, feed):
     until(lambda: feed.calls == ["read"])
     follower.interrupt_if_behind(1, 0.0)
     until(lambda: len(feed.calls) > 1)
