--- a/packages/mothworks_gateway/tests/test_retry_budget.py
+++ b/packages/mothworks_gateway/tests/test_retry_budget.py
@@ -15,9 +15,9 @@
     )
 
 
-def spend_all(budget, service="s"):
+def spend_all(vm_budget, service="s"):
     count = 0
-    while budget.try_spend(service):
+    while vm_budget.try_spend(service):
         count += 1
     return count
 
@@ -34,20 +34,20 @@
 
 # Guards against each side of a network partition using the slack of all VMs.
 def test_sides_of_a_partition_together_stay_below_the_slack():
-    budget = make_budget(vms=8, live=4, retry_share=0, retry_slack=100)
-    assert 8 * spend_all(budget) <= 100
+    vm_budget = make_budget(vms=8, live=4, retry_share=0, retry_slack=100)
+    assert 8 * spend_all(vm_budget) <= 100
 
 
 def test_each_request_adds_its_share_to_the_budget():
-    budget = make_budget(retry_share=0.5, retry_slack=0)
+    vm_budget = make_budget(retry_share=0.5, retry_slack=0)
     for _ in range(20):
-        budget.add_request("s")
-    assert spend_all(budget) == 8
+        vm_budget.add_request("s")
+    assert spend_all(vm_budget) == 8
 
 
 def test_each_service_has_its_own_budget():
-    budget = make_budget(retry_share=0.0, retry_slack=10)
-    assert spend_all(budget, "a") == spend_all(budget, "b") == 8
+    vm_budget = make_budget(retry_share=0.0, retry_slack=10)
+    assert spend_all(vm_budget, "a") == spend_all(vm_budget, "b") == 8
 
 
 def test_without_an_allowance_there_are_no_retries():
