--- a/packages/mothworks_gateway/src/mothworks_gateway/job_execution.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/job_execution.py
@@ -49,7 +49,7 @@
         self.lease = node_kernel.get(lease.Lease)
         self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.demand = node_kernel.get(demand.Demand)
-        self.orders = node_kernel.get(order_sender.OrderSender)
+        self.order_sender = node_kernel.get(order_sender.OrderSender)
         self.state_by_id: dict[str, endpoint_state.EndpointState] = {}
         #: Endpoints whose inventory is to be requested, and the number of tasks that do
         #: so.
@@ -144,7 +144,7 @@
     def _request_inventory(self, state: endpoint_state.EndpointState) -> bool:
         """Request an endpoint's inventory; returns whether its state is now known."""
         if state.endpoint.available:
-            self.orders.refresh(state)
+            self.order_sender.refresh(state)
         if not state.known:
             state.inventory_retry_at = (
                 time.monotonic() + order_sender.INVENTORY_INTERVAL_S
@@ -204,7 +204,7 @@
                 return False
             if not self._unload(state, name):
                 return False
-        return state.free_mb() >= model.memory_mb and self.orders.order(
+        return state.free_mb() >= model.memory_mb and self.order_sender.order(
             state, True, job.model, ""
         )
 
@@ -229,7 +229,7 @@
         running = self.running_requests.of_model(state.endpoint.id, name)
         state.draining_model = name
         state.drained_at = time.monotonic() + endpoint_state.expected_unload_s(running)
-        self.orders.publish(state)
+        self.order_sender.publish(state)
         deadline = time.monotonic() + endpoint_state.MAX_DRAIN_S
         while self._still_draining(state, name) and time.monotonic() < deadline:
             job = state.next_adapter()
@@ -238,11 +238,11 @@
             else:
                 state.woken.clear()
                 state.woken.wait(DRAIN_POLL_S)
-        gone = self.orders.order(state, False, name, "")
+        gone = self.order_sender.order(state, False, name, "")
         state.draining_model = ""
         if not gone:
             # Inform the VMs that they may send requests for the model again.
-            self.orders.publish(state)
+            self.order_sender.publish(state)
         return gone
 
     def _still_draining(self, state: endpoint_state.EndpointState, name: str) -> bool:
@@ -263,9 +263,9 @@
             or state.free_mb() < model.adapter_mb
         ):
             victim = self._adapter_to_evict(state)
-            if victim is None or not self.orders.order(state, False, *victim):
+            if victim is None or not self.order_sender.order(state, False, *victim):
                 return False
-        return self.orders.order(state, True, job.model, job.adapter)
+        return self.order_sender.order(state, True, job.model, job.adapter)
 
     def has_adapter_slot(self, state: endpoint_state.EndpointState) -> bool:
         """Return whether one more adapter can be loaded on an endpoint now.
--- a/packages/mothworks_gateway/tests/test_job_execution.py
+++ b/packages/mothworks_gateway/tests/test_job_execution.py
@@ -53,7 +53,7 @@
     """A job executor that holds the lease, and its endpoint states."""
 
     def __init__(self, count):
-        self.orders = Orders()
+        self.order_sender = Orders()
         self.holds_lease = True
         lease_stub = types.SimpleNamespace(held=lambda: self.holds_lease)
         parts = {
@@ -61,7 +61,7 @@
             lease.Lease: lease_stub,
             running_requests.RunningRequests: scheduling_builders.RunningRequests(),
             demand.Demand: None,
-            order_sender.OrderSender: self.orders,
+            order_sender.OrderSender: self.order_sender,
             residency.Residency: types.SimpleNamespace(on_not_held=[]),
         }
         self.job_executor = job_execution.JobExecutor(gateway_builders.Kernel(parts))
@@ -98,8 +98,8 @@
 def test_a_new_lease_holder_limits_concurrent_inventory_requests(fleet):
     fleet.settle()
     assert all(state.known for state in fleet.states)
-    assert len(fleet.orders.inventory_requests) == ENDPOINTS
-    assert fleet.orders.max_running_requests <= job_execution.MAX_INVENTORY_TASKS
+    assert len(fleet.order_sender.inventory_requests) == ENDPOINTS
+    assert fleet.order_sender.max_running_requests <= job_execution.MAX_INVENTORY_TASKS
 
 
 # Guards against one task per endpoint, each waking twice a second without work.
@@ -111,12 +111,12 @@
 
 # Guards against endpoints that are down and delay those queued behind them.
 def test_a_failed_inventory_request_is_retried_later(fleet):
-    fleet.orders.silent = {"i-3"}
+    fleet.order_sender.silent = {"i-3"}
     fleet.settle()
     fleet.settle()
-    assert fleet.orders.inventory_requests.count("i-3") == 1
+    assert fleet.order_sender.inventory_requests.count("i-3") == 1
     fleet.job_executor.state_by_id["i-3"].inventory_retry_at = 0.0
-    fleet.orders.silent.clear()
+    fleet.order_sender.silent.clear()
     fleet.settle()
     assert fleet.job_executor.state_by_id["i-3"].known
 
@@ -126,7 +126,7 @@
     fleet.states[5].add(endpoint_state.Job("m", "a1"))
     fleet.states[5].add(endpoint_state.Job("m", "a2"))
     fleet.settle()
-    assert fleet.orders.sent_orders == [("i-5", "m", "a1"), ("i-5", "m", "a2")]
+    assert fleet.order_sender.sent_orders == [("i-5", "m", "a1"), ("i-5", "m", "a2")]
     assert not fleet.states[5].jobs
 
 
@@ -137,17 +137,17 @@
 ):
     fleet.settle()
     state = fleet.states[5]
-    original_order = fleet.orders.order
+    original_order = fleet.order_sender.order
 
     def order_with_unknown_result(*order):
         state.accepted = None
         return original_order(*order)
 
-    fleet.orders.order = order_with_unknown_result
+    fleet.order_sender.order = order_with_unknown_result
     state.add(endpoint_state.Job("m", "a1"))
     fleet.settle()
     assert state.known
-    assert fleet.orders.inventory_requests.count("i-5") == 2
+    assert fleet.order_sender.inventory_requests.count("i-5") == 2
 
 
 # Guards against a VM that keeps sending orders, or waiting, once another holds the
@@ -157,19 +157,19 @@
     fleet.states[0].add(endpoint_state.Job("m", "a1"))
     fleet.holds_lease = False
     fleet.settle()
-    assert fleet.orders.sent_orders == []
+    assert fleet.order_sender.sent_orders == []
     assert fleet.states[0].jobs
     fleet.holds_lease = True
     fleet.settle()
-    assert fleet.orders.sent_orders == [("i-0", "m", "a1")]
+    assert fleet.order_sender.sent_orders == [("i-0", "m", "a1")]
 
 
 # Guards against an endpoint that lacked a model and whose inventory is not requested.
 def test_an_inventory_follows_a_missing_model(fleet):
     fleet.settle()
-    fleet.orders.inventory_requests.clear()
+    fleet.order_sender.inventory_requests.clear()
     fleet.job_executor._on_not_held("i-7")
     with gevent.Timeout(10):
         while fleet.tasks:
             gevent.sleep(0.001)
-    assert fleet.orders.inventory_requests == ["i-7"]
+    assert fleet.order_sender.inventory_requests == ["i-7"]
