--- a/packages/mothworks_gateway/tests/cap_strategies.py
+++ b/packages/mothworks_gateway/tests/cap_strategies.py
@@ -79,7 +79,7 @@
 STRATEGIES = {
     "equal parts": EqualShares,
     "parts by demand": SharesByDemand,
-    "an owner lends": test_credit.Fleet,
+    "an owner grants": test_credit.Fleet,
 }
 
 
--- a/packages/mothworks_gateway/tests/test_cap_strategies.py
+++ b/packages/mothworks_gateway/tests/test_cap_strategies.py
@@ -17,12 +17,12 @@
             fleet.run(10.0, {name: 0.55 * caps[name]})
             refused[strategy] = cap_strategies.refused_share(fleet, name)
             assert fleet.worst_window(name) <= 1.0
-    assert refused["an owner lends"] == min(refused.values())
+    assert refused["an owner grants"] == min(refused.values())
 
 
 def test_an_account_whose_callers_reach_one_vm_gets_its_cap():
     with pytest.MonkeyPatch.context() as patch:
-        fleet = cap_strategies.STRATEGIES["an owner lends"](
+        fleet = cap_strategies.STRATEGIES["an owner grants"](
             patch, 60, {"large": test_credit.LARGE}
         )
         fleet.run(5.0, {"large": 2 * test_credit.LARGE}, fleet.names[:1])
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -75,7 +75,7 @@
 
 
 class Network(fleet_builders.Network):
-    """A wire between groups of VMs; VMs of different groups cannot reach each other."""
+    """A network of groups of VMs; VMs of different groups cannot reach each other."""
 
     def __init__(self):
         super().__init__()
