--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_state.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_state.py
@@ -79,7 +79,7 @@
 
     :param endpoint: the endpoint.
     :param accelerator: what it can hold.
-    :param accepted: number of orders that it has accepted; None while unknown.
+    :param accepted_orders: number of orders that it has accepted; None while unknown.
     :param adapters_by_model: what it holds after those orders.
     :param loading: the model that it is loading, or empty.
     :param ready_at: monotonic time at which that load is expected to be done.
@@ -99,7 +99,7 @@
 
     endpoint: registry.Endpoint
     accelerator: declaration_types.Accelerator
-    accepted: int | None = None
+    accepted_orders: int | None = None
     adapters_by_model: dict[str, set[str]] = attrs.field(factory=dict)
     loading: str = ""
     ready_at: float = 0.0
@@ -117,7 +117,7 @@
     @property
     def known(self) -> bool:
         """Return whether it is known what the endpoint holds."""
-        return self.accepted is not None
+        return self.accepted_orders is not None
 
     @property
     def available(self) -> bool:
@@ -222,9 +222,9 @@
         if inventory.executing_order:
             # The order that it is executing is unknown, and so is the memory that it
             # will use.
-            self.accepted = None
+            self.accepted_orders = None
             return
-        self.accepted = inventory.accepted_orders
+        self.accepted_orders = inventory.accepted_orders
         self.loading = ""
         self.adapters_by_model = {
             item.model: set(item.adapters) for item in inventory.holdings
@@ -246,17 +246,19 @@
         """
         match outcome:
             case adapters.OrderOutcome.ACCEPTED if order.load and not order.adapter:
-                self.accepted += 1
+                self.accepted_orders += 1
                 self.loading = order.model
             case adapters.OrderOutcome.ACCEPTED:
-                self.accepted += 1
+                self.accepted_orders += 1
                 self.finish(order)
             case adapters.OrderOutcome.DONE if not order.load:
                 self.finish(order)
                 # The response does not say whether the order was counted.
-                self.accepted = self.accepted + 1 if order.adapter else None
+                self.accepted_orders = (
+                    self.accepted_orders + 1 if order.adapter else None
+                )
             case adapters.OrderOutcome.DONE:
-                self.accepted = None
+                self.accepted_orders = None
 
     def finish(self, order: adapters.Order) -> None:
         """Record that an order has been executed.
@@ -324,7 +326,7 @@
         A crashed endpoint is still registered. Without the pause, orders that fail at
         once are decided again and again while callers wait.
         """
-        self.accepted = None
+        self.accepted_orders = None
         self.paused_until = time.monotonic() + PAUSE_S
 
     def holdings_after_jobs(self) -> dict[str, set[str]]:
--- a/packages/mothworks_gateway/src/mothworks_gateway/job_execution.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/job_execution.py
@@ -113,7 +113,7 @@
         """Request the inventory of an endpoint that lacked what it should hold."""
         state = self.state_by_id.get(endpoint_id)
         if state is not None:
-            state.accepted = None
+            state.accepted_orders = None
             state.woken.set()
             if not state.busy:
                 self._queue_inventory(state)
--- a/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
@@ -70,7 +70,7 @@
     late: list[UnansweredOrder],
     state: endpoint_state.EndpointState,
     holdings: dict[str, set[str]],
-    accepted: int,
+    accepted_orders: int,
 ) -> bool:
     """Return whether late orders fit in memory, in each sequence that may happen.
 
@@ -78,17 +78,17 @@
     :param state: the endpoint's state.
     :param holdings: what the endpoint holds; see
         :meth:`endpoint_state.EndpointState.in_memory`.
-    :param accepted: number of orders that it has accepted.
+    :param accepted_orders: number of orders that it has accepted.
     """
     for order in late:
-        if order.expected_orders != accepted or not order.changes(holdings):
+        if order.expected_orders != accepted_orders or not order.changes(holdings):
             continue
         if order.load and not state.fits(order.model, order.adapter, holdings):
             return False
         after = endpoint_state.holdings_after(
             holdings, order.load, order.model, order.adapter
         )
-        if not all_fit(late, state, after, accepted + 1):
+        if not all_fit(late, state, after, accepted_orders + 1):
             return False
     return True
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
@@ -104,7 +104,7 @@
         """
         inventory = self._inventory(state)
         if inventory is None:
-            state.accepted = None
+            state.accepted_orders = None
             return
         state.apply_inventory(inventory)
         if state.known and state.adapters_by_model != state.endpoint.adapters_by_model:
@@ -157,7 +157,12 @@
             if self._holds(state, model, adapter) == loads:
                 return True
             order = adapters.Order(
-                loads, model, adapter, state.accepted, self.name, self.lease.fence
+                loads,
+                model,
+                adapter,
+                state.accepted_orders,
+                self.name,
+                self.lease.fence,
             )
             match self.attempt(state, order):
                 case None:
@@ -176,7 +181,7 @@
                         MAX_CONFLICT_RETRY_S, retry_delay_s * CONFLICT_RETRY_FACTOR
                     )
                     if unanswered or time.monotonic() > inventory_at:
-                        state.accepted = None
+                        state.accepted_orders = None
                         unanswered = False
                 case adapters.OrderOutcome.UNKNOWN:
                     # The next copy names the same number of accepted orders, so at most
@@ -269,7 +274,7 @@
         if self._inventory(state) is None:
             # It may have restarted, and late orders may have brought it to the number
             # that this order names, with other models.
-            state.accepted = None
+            state.accepted_orders = None
             return False
         holdings = state.after(order)
         if not late_orders.all_fit(late, state, holdings, order.expected_orders + 1):
@@ -324,7 +329,7 @@
                 if state.known:
                     return
         # The result of the load was not observed.
-        state.accepted = None
+        state.accepted_orders = None
 
     def publish(
         self, state: endpoint_state.EndpointState, without: adapters.Order | None = None
--- a/packages/mothworks_gateway/tests/modelled_endpoint.py
+++ b/packages/mothworks_gateway/tests/modelled_endpoint.py
@@ -56,7 +56,7 @@
 
     def start(self, holding=()):
         """Start with some models loaded."""
-        self.accepted = 0
+        self.accepted_orders = 0
         self.busy = False
         self.adapters_by_model = {name: set() for name in holding}
 
@@ -72,7 +72,7 @@
         )
         return result.Ok(
             adapters.Inventory(
-                self.accepted, self.busy, holdings, started_ms=self.started_ms
+                self.accepted_orders, self.busy, holdings, started_ms=self.started_ms
             )
         )
 
@@ -88,7 +88,7 @@
 
     def receive(self, order):
         """Handle an order, now or late."""
-        if self.busy or order.expected_orders != self.accepted:
+        if self.busy or order.expected_orders != self.accepted_orders:
             return adapters.OrderOutcome.CONFLICT
         held_adapters = self.adapters_by_model.get(order.model)
         has = held_adapters is not None and (
@@ -98,7 +98,7 @@
             return adapters.OrderOutcome.DONE
         if order.adapter and held_adapters is None:
             return adapters.OrderOutcome.REFUSED
-        self.accepted += 1
+        self.accepted_orders += 1
         self._change(order, held_adapters)
         self.busy = not order.adapter
         if self.overfull():
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -130,7 +130,7 @@
     on_disk = frozenset(accelerator.model_by_name)
     endpoint.entry = attrs.evolve(endpoint.entry, on_disk=on_disk)
     state = endpoint_state.EndpointState(endpoint, accelerator)
-    state.accepted = 0
+    state.accepted_orders = 0
     state.adapters_by_model = {model: set() for model in models}
     return state
 
--- a/packages/mothworks_gateway/tests/test_job_execution.py
+++ b/packages/mothworks_gateway/tests/test_job_execution.py
@@ -41,7 +41,7 @@
         gevent.sleep(0.001)
         self.running_requests -= 1
         if state.endpoint.id not in self.silent:
-            state.accepted = 0
+            state.accepted_orders = 0
 
     def order(self, state, loads, model, adapter):
         gevent.sleep(0.001)
@@ -68,7 +68,7 @@
         accelerator = scheduling_builders.accelerator_for(("m",), 8)
         for number in range(count):
             state = scheduling_builders.state_of(f"i-{number}", accelerator, ("m",))
-            state.accepted = None
+            state.accepted_orders = None
             self.job_executor.state_by_id[state.endpoint.id] = state
 
     @property
@@ -140,7 +140,7 @@
     original_order = fleet.order_sender.order
 
     def order_with_unknown_result(*order):
-        state.accepted = None
+        state.accepted_orders = None
         return original_order(*order)
 
     fleet.order_sender.order = order_with_unknown_result
--- a/packages/mothworks_gateway/tests/test_late_orders.py
+++ b/packages/mothworks_gateway/tests/test_late_orders.py
@@ -87,7 +87,7 @@
         holds = held_adapters is not None and (not adapter or adapter in held_adapters)
         if state.known and holds != load:
             self.endpoint.faults = [fault]
-            order = adapters.Order(load, model, adapter, state.accepted, "vm", 1)
+            order = adapters.Order(load, model, adapter, state.accepted_orders, "vm", 1)
             self.holders[holder].attempt(state, order)
 
     @hypothesis.stateful.rule(holder=HOLDER, model=MODEL, fault=FAULT, ends=ENDS)
@@ -207,7 +207,9 @@
     state = state_of(endpoint, view)
 
     def order(state, model, load=True):
-        order_to_send = adapters.Order(load, model, "", state.accepted, "vm-1", 1)
+        order_to_send = adapters.Order(
+            load, model, "", state.accepted_orders, "vm-1", 1
+        )
         outcome = orders.attempt(state, order_to_send)
         endpoint.finish()
         if outcome is adapters.OrderOutcome.ACCEPTED:
