--- a/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
@@ -1,9 +1,9 @@
 """Interfaces that a platform adapter implements.
 
 An adapter only translates: between the platform's documents and the types of
-:mod:`declared` and :mod:`registry`, and between requests and the endpoints' protocol.
-It registers its classes under the plug-in kinds below. The setting ``adapter`` names
-both the module to import and the key to register under.
+:mod:`declaration_types` and :mod:`registry`, and between requests and the endpoints'
+    protocol. It registers its classes under the plug-in kinds below. The setting
+    ``adapter`` names both the module to import and the key to register under.
 """
 
 import enum
@@ -12,7 +12,12 @@
 import result
 
 from mothworks import calls, endpoints, transport
-from mothworks_gateway import asked, client_accounts, declared, registry
+from mothworks_gateway import (
+    caller_request,
+    client_accounts,
+    declaration_types,
+    registry,
+)
 
 #: Kinds of plug-ins, in addition to those of :mod:`mothworks.plugins`.
 FEEDS = "feeds"
@@ -21,7 +26,7 @@
 
 
 @attrs.frozen
-class FeedDown:
+class FeedUnavailable:
     """The platform did not respond.
 
     :param reason: what failed.
@@ -31,12 +36,12 @@
 
 
 @attrs.frozen
-class FeedExpired:
+class CursorExpired:
     """The platform no longer has the changes since a cursor."""
 
 
 @attrs.frozen
-class Listing:
+class Snapshot:
     """All objects of one kind at one revision.
 
     :param cursor: the platform's revision; it grows.
@@ -74,13 +79,13 @@
 class Feed:
     """Objects of one kind, to be listed or followed."""
 
-    def read(self) -> result.Result[Listing, FeedDown]:
+    def read(self) -> result.Result[Snapshot, FeedUnavailable]:
         """List all objects; never answered from a stale copy."""
         raise NotImplementedError
 
-    def wait(
+    def poll(
         self, cursor: int, wait_s: float
-    ) -> result.Result[Changes, FeedDown | FeedExpired]:
+    ) -> result.Result[Changes, FeedUnavailable | CursorExpired]:
         """Wait for changes with one long poll.
 
         :param cursor: the cursor of the last response.
@@ -97,7 +102,9 @@
     #: Name of the operator's document in the feed of declarations.
     declaration_name: str
 
-    def declaration(self, document: bytes) -> result.Result[declared.Declaration, str]:
+    def declaration(
+        self, document: bytes
+    ) -> result.Result[declaration_types.Declaration, str]:
         """Decode the operator's document.
 
         :param document: the document.
@@ -117,18 +124,18 @@
         raise NotImplementedError
 
 
-class Callers:
+class CallerProtocol:
     """The callers' protocol: decodes the requests of callers."""
 
-    def read(
+    def decode_request(
         self,
         call: calls.Call,
-        route: declared.Route,
+        route: declaration_types.Route,
         service: str,
         body: bytes,
         version: int,
         account: client_accounts.ClientAccount | None = None,
-    ) -> result.Result[asked.Asked, str]:
+    ) -> result.Result[caller_request.CallerRequest, str]:
         """Decode a request.
 
         :param call: the call.
@@ -156,7 +163,7 @@
         raise NotImplementedError
 
 
-class Verdict(enum.Enum):
+class ResponseKind(enum.Enum):
     """Classification of an endpoint's response by its head."""
 
     #: The request is running or has run, and this is its response.
@@ -166,11 +173,11 @@
     #: The endpoint did not run the request: it is full or leaving.
     BUSY = "busy"
     #: The endpoint did not run the request: it does not hold the model or adapter.
-    ABSENT = "absent"
+    NOT_HELD = "absent"
     #: The endpoint did not run the request: it is not the intended endpoint.
     MISDIRECTED = "misdirected"
     #: Not a response to this request; whether the request ran is unknown.
-    FOREIGN = "foreign"
+    UNRECOGNIZED = "foreign"
 
 
 @attrs.frozen
@@ -189,22 +196,22 @@
 class Inventory:
     """What an endpoint reports that it holds; some hundred milliseconds old.
 
-    :param accepted: number of orders that it has accepted since its start.
-    :param ordered: whether it is executing an order now.
+    :param accepted_orders: number of orders that it has accepted since its start.
+    :param executing_order: whether it is executing an order now.
     :param holdings: the models that it holds.
-    :param arriving: adapters that it is loading, as (model, adapter).
+    :param loading_adapters: adapters that it is loading, as (model, adapter).
     :param running: number of running requests.
     :param queued: number of requests queued on it.
-    :param born: its start time; see :class:`registry.Entry`.
+    :param started_ms: its start time; see :class:`registry.Entry`.
     """
 
-    accepted: int
-    ordered: bool
+    accepted_orders: int
+    executing_order: bool
     holdings: tuple[Holding, ...]
-    arriving: tuple[tuple[str, str], ...] = ()
+    loading_adapters: tuple[tuple[str, str], ...] = ()
     running: int = 0
     queued: int = 0
-    born: int = 0
+    started_ms: int = 0
 
 
 class OrderOutcome(enum.Enum):
@@ -235,7 +242,8 @@
     :param load: whether to load; otherwise unload.
     :param model: the model.
     :param adapter: an adapter of it; empty for the model itself.
-    :param accepted: number of orders that the endpoint must have accepted so far.
+    :param expected_orders: number of orders that the endpoint must have accepted so
+        far.
     :param holder: the VM that sends the order.
     :param fence: the fencing token of its lease.
     """
@@ -243,7 +251,7 @@
     load: bool
     model: str
     adapter: str
-    accepted: int
+    expected_orders: int
     holder: str
     fence: int
 
@@ -260,7 +268,7 @@
     def send(
         self,
         endpoint: registry.Endpoint,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         left_s: float,
         deadline: float,
         after_event: str = "",
@@ -276,7 +284,9 @@
         """
         raise NotImplementedError
 
-    def judge(self, request: asked.Asked, answer: transport.HttpAnswer) -> Verdict:
+    def classify_response(
+        self, request: caller_request.CallerRequest, answer: transport.HttpAnswer
+    ) -> ResponseKind:
         """Classify a response by its head.
 
         :param request: the request that was sent.
@@ -284,7 +294,9 @@
         """
         raise NotImplementedError
 
-    def limit(self, answer: transport.HttpAnswer) -> result.Result[float | None, str]:
+    def rate_limit(
+        self, answer: transport.HttpAnswer
+    ) -> result.Result[float | None, str]:
         """Return the rate limit that a response advertises, in requests per second.
 
         The limit covers the requests of all VMs together, for as long as the endpoint
@@ -302,12 +314,14 @@
         """
         raise NotImplementedError
 
-    def order(self, endpoint: registry.Endpoint, order: Order, valid) -> OrderOutcome:
+    def order(
+        self, endpoint: registry.Endpoint, order: Order, may_send
+    ) -> OrderOutcome:
         """Send one copy of an order.
 
         :param endpoint: the endpoint to send it to.
         :param order: the order.
-        :param valid: called right before the first byte is sent; the order is sent only
-            if it returns true.
+        :param may_send: called right before the first byte is sent; the order is sent
+            only if it returns true.
         """
         raise NotImplementedError
--- a/packages/mothworks_gateway/src/mothworks_gateway/admission.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/admission.py
@@ -12,11 +12,11 @@
 
 from mothworks import kernel, logs, outcomes
 from mothworks_gateway import (
-    asked,
+    caller_request,
     client_accounts,
     credit,
+    declaration_types,
     declarations,
-    declared,
     feeding,
     freshness,
 )
@@ -40,7 +40,7 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.declarations = node_kernel.get(declarations.Declarations)
-        self.feeding = node_kernel.get(feeding.Feeding)
+        self.feeding = node_kernel.get(feeding.FeedFollowers)
         self.freshness = node_kernel.get(freshness.Freshness)
         self.credits = node_kernel.get(credit.Credits)
         #: Set once the refresh in progress has ended; None while there is none.
@@ -57,10 +57,10 @@
         current = self.declarations.current
         if current is None or current.accounts is None:
             return True
-        return self.freshness.holds() or self.freshness.shared_by_all()
+        return self.freshness.is_proven() or self.freshness.is_fleet_wide()
 
     def identify(
-        self, route: declared.Route, key: str
+        self, route: declaration_types.Route, key: str
     ) -> result.Result[client_accounts.ClientAccount | None, outcomes.Refusal]:
         """Return the caller's account; None if the route needs no key.
 
@@ -70,7 +70,7 @@
         accounts = self.declarations.current.accounts
         if accounts is None or route.public:
             return result.Ok(None)
-        if not self.freshness.holds():
+        if not self.freshness.is_proven():
             message = "this VM can't verify whether keys are still valid"
             return result.Err(
                 outcomes.overloaded(message, UNVERIFIED_RETRY_S, "unproven")
@@ -81,7 +81,7 @@
         return self._identify_unknown(key)
 
     def admit(
-        self, request: asked.Asked
+        self, request: caller_request.CallerRequest
     ) -> result.Result[credit.Grant | None, outcomes.Refusal]:
         """Acquire the credit of a request; None if its account has no usage cap.
 
@@ -91,10 +91,10 @@
         if account is None or account.cap is None:
             return result.Ok(None)
         units = account.cap.cost(request.input_tokens + request.output_tokens)
-        match self.credits.admit(account, units):
+        match self.credits.acquire(account, units):
             case result.Ok(grant):
                 return result.Ok(grant)
-            case result.Err(credit.Over(wait_s)):
+            case result.Err(credit.OverCap(wait_s)):
                 refusal = outcomes.Refusal(
                     429,
                     "over_cap",
@@ -103,7 +103,7 @@
                 )
             case result.Err(credit.Unchecked()):
                 message = "no VM that owns this account's usage cap replies"
-                retry_s = credit.UNCHECKED_RETRY_S
+                retry_s = credit.UNCHECKED_RETRY_AFTER_S
                 refusal = outcomes.overloaded(message, retry_s, "unchecked")
         self._log_refused(request, units, refusal)
         return result.Err(refusal)
@@ -152,7 +152,10 @@
             self._refresh_done = None
 
     def _log_refused(
-        self, request: asked.Asked, units: float, refusal: outcomes.Refusal
+        self,
+        request: caller_request.CallerRequest,
+        units: float,
+        refusal: outcomes.Refusal,
     ) -> None:
         logs.event(
             log,
--- a/packages/mothworks_gateway/src/mothworks_gateway/gathering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/aggregation.py
@@ -1,4 +1,4 @@
-"""Gathering: a few collectors aggregate the heartbeats of all VMs.
+"""Aggregation: a few collectors aggregate the heartbeats of all VMs.
 
 Where the VMs are too many for each to send to all others, each sends its heartbeats to
 one collector (:mod:`collectors`). The collectors send the sums of what they received to
@@ -19,11 +19,11 @@
 from mothworks_gateway import (
     collectors,
     endpoint_limits,
-    evidence,
     heartbeat,
     lease,
-    load,
     ranking,
+    running_requests,
+    shared_health,
 )
 
 #: Time after an endpoint's last error for which totals include its answers, seconds.
@@ -67,7 +67,7 @@
         self.arrived: collections.Counter[tuple[str, str, str]] = collections.Counter()
         self.tokens: collections.Counter[tuple[str, str, str]] = collections.Counter()
         self.late: collections.Counter[tuple[str, str]] = collections.Counter()
-        self.answers = evidence.AnswerCounts()
+        self.answers = shared_health.AnswerCounts()
         self.spent: collections.Counter[tuple[str, str]] = collections.Counter()
         self.limits = endpoint_limits.NewestLimits()
 
@@ -123,14 +123,14 @@
             running=tuple((*key, count) for key, count in running.items()),
             arrived=arrived,
             late=late,
-            answers=self.answers.take(),
+            answers=self.answers.drain(),
             spent=spent,
-            limits=self.limits.take(now),
+            limits=self.limits.drain(now),
             is_aggregate=True,
         )
 
 
-class Gathering(kernel.Part):
+class Aggregation(kernel.Part):
     """Sends this VM's heartbeats to a collector, and aggregates those of others.
 
     :param node_kernel: the node's kernel.
@@ -142,7 +142,7 @@
         self.peers = node_kernel.get(peers.Peers)
         self.membership = node_kernel.get(membership.Membership)
         self.lease = node_kernel.get(lease.Lease)
-        self.load = node_kernel.get(load.Load)
+        self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.heartbeats = node_kernel.get(heartbeat.Heartbeats)
         self.heartbeats.transmit = self._transmit
         self.heartbeats.on_received.append(self._on_heartbeat)
@@ -153,9 +153,9 @@
         self.own_collector = collectors.OwnCollector(self.name)
         #: The holder's name and its last heartbeat that is not in any totals yet.
         self.holder_update: tuple[str, heartbeat.Heartbeat] | None = None
-        self.evidence = node_kernel.get(evidence.Evidence)
+        self.shared_health = node_kernel.get(shared_health.SharedHealth)
         #: Answers of endpoints to all VMs, for the next totals.
-        self.answers = evidence.AnswerCounts()
+        self.answers = shared_health.AnswerCounts()
         self.suspect_until_by_id: dict[str, float] = {}
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
         #: Limits that endpoints reported, for the next totals.
@@ -165,8 +165,8 @@
     def _transmit(self, own: heartbeat.Heartbeat) -> None:
         """Send this VM's heartbeat to all peers, or by way of collectors."""
         near = self.membership.near()
-        if collectors.are_few(near):
-            self.evidence.receive(own.answers)
+        if collectors.is_full_mesh(near):
+            self.shared_health.merge(own.answers)
             self.peers.send_all(own)
             return
         now = time.monotonic()
@@ -182,7 +182,7 @@
         self, own: heartbeat.Heartbeat, collector_vms: list[str], members: list[str]
     ) -> None:
         """Send the aggregate to collectors and holder, and the totals to members."""
-        self.evidence.receive(own.answers)
+        self.shared_health.merge(own.answers)
         now = time.monotonic()
         self.aggregate.add(self.name, own, now)
         self.answers.add(own.answers)
@@ -197,11 +197,11 @@
             self.holder_update = (self.name, own)
         update, self.holder_update = self.holder_update, None
         totals = Totals(
-            self.load.running_by_endpoint(),
+            self.running_requests.running_by_endpoint(),
             own.declaration_version,
             own.registry_changed_at,
             answers=self._suspect_answers(),
-            limits=self.newest_limits.take(time.monotonic()),
+            limits=self.newest_limits.drain(time.monotonic()),
         )
         if update is None:
             return totals
@@ -220,7 +220,7 @@
         decision.
         """
         now = time.monotonic()
-        rows = self.answers.take()
+        rows = self.answers.drain()
         for endpoint_id, _, errors in rows:
             if errors:
                 self.suspect_until_by_id[endpoint_id] = now + SUSPECT_RETENTION_S
@@ -243,13 +243,13 @@
 
     def _is_full_mesh(self) -> bool:
         """Return whether VMs are few enough for each to send to all others."""
-        return collectors.are_few(self.membership.near())
+        return collectors.is_full_mesh(self.membership.near())
 
     def _on_totals(self, vm: str, totals: Totals, _: peers.Answer) -> None:
         self.own_collector.on_totals(vm, time.monotonic())
-        self.load.take_totals(totals.running_by_endpoint)
-        self.evidence.receive(totals.answers)
-        self.limits.receive(totals.limits, vm)
+        self.running_requests.set_totals(totals.running_by_endpoint)
+        self.shared_health.merge(totals.answers)
+        self.limits.merge(totals.limits, vm)
         versions = (totals.declaration_version, totals.registry_changed_at)
         self.heartbeats.receive(
             vm, heartbeat.Heartbeat(*versions, fence=0, relayed=True)
--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -15,19 +15,19 @@
 from mothworks import calls, endpoints, kernel, logs, transport
 from mothworks_gateway import (
     adapters,
-    answering,
-    asked,
-    budget,
-    choice,
+    caller_request,
     endpoint_limits,
+    endpoint_selection,
     endpoints_client,
     health,
-    load,
-    poison,
-    reading,
+    poison_requests,
+    prefill_speed,
     registry,
     residency,
+    retry_budget,
+    running_requests,
     send_slots,
+    stream_relay,
 )
 
 log = logbook.Logger("attempts")
@@ -71,15 +71,15 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.protocol = node_kernel.get(endpoints_client.EndpointsClient).protocol
-        self.choice = node_kernel.get(choice.EndpointSelection)
-        self.registry = self.choice.registry
+        self.endpoint_selection = node_kernel.get(endpoint_selection.EndpointSelection)
+        self.registry = self.endpoint_selection.registry
         self.health = node_kernel.get(health.Health)
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
         self.slots = node_kernel.get(send_slots.SendSlots)
-        self.load = node_kernel.get(load.Load)
-        self.budget = node_kernel.get(budget.RetryBudget)
-        self.poison = node_kernel.get(poison.PoisonRequests)
-        self.reading = node_kernel.get(reading.Reading)
+        self.running_requests = node_kernel.get(running_requests.RunningRequests)
+        self.retry_budget = node_kernel.get(retry_budget.RetryBudget)
+        self.poison_requests = node_kernel.get(poison_requests.PoisonRequests)
+        self.prefill_speed = node_kernel.get(prefill_speed.PrefillSpeed)
         self.residency = node_kernel.get(residency.Residency)
         self.head_seconds = node_kernel.metrics.seconds(
             "head_seconds", "Time from a request's arrival to its answer's head."
@@ -87,7 +87,7 @@
 
     def send_once(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         progress: RequestProgress,
     ) -> calls.Reply | None:
@@ -101,7 +101,7 @@
         progress.tried.add(endpoint.id)
         progress.sends += 1
         started_at = time.monotonic()
-        self.load.begin(endpoint, request.target)
+        self.running_requests.request_started(endpoint, request.target)
         has_reply = False
         try:
             reply = self._send(request, endpoint, progress, started_at)
@@ -109,7 +109,7 @@
             return reply
         finally:
             if not has_reply:
-                self.load.end(endpoint, request.target)
+                self.running_requests.request_ended(endpoint, request.target)
             logs.event(
                 log,
                 "sent",
@@ -120,7 +120,7 @@
                 model=request.target.model,
                 adapter=request.target.adapter,
                 attempt=progress.sends,
-                running=self.load.of_endpoint(endpoint.id),
+                running=self.running_requests.of_endpoint(endpoint.id),
                 left_ms=round((request.deadline - started_at) * 1000),
                 took_ms=round((time.monotonic() - started_at) * 1000, 1),
                 outcome="answer begun" if has_reply else progress.reason,
@@ -128,7 +128,7 @@
 
     def _send(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         progress: RequestProgress,
         started_at: float,
@@ -144,27 +144,29 @@
                 return self._handle_send_failure(request, endpoint, progress, failure)
             case result.Ok(answer):
                 pass
-        verdict = self.protocol.judge(request, answer)
-        self.update_limit(request, endpoint, answer, verdict, started_at)
-        if verdict not in (adapters.Verdict.ANSWER, adapters.Verdict.FAILED):
+        kind = self.protocol.classify_response(request, answer)
+        self.update_limit(request, endpoint, answer, kind, started_at)
+        if kind not in (adapters.ResponseKind.ANSWER, adapters.ResponseKind.FAILED):
             answer.close()
-            self._handle_verdict(request, endpoint, progress, verdict)
+            self._handle_kind(request, endpoint, progress, kind)
             return None
-        failed = verdict is adapters.Verdict.FAILED
+        failed = kind is adapters.ResponseKind.FAILED
         if failed and self._may_hedge(request, progress):
             answer.close()
-            self.health.failed(endpoint, f"status {answer.status}", ERROR_WEIGHT)
+            self.health.record_failure(
+                endpoint, f"status {answer.status}", ERROR_WEIGHT
+            )
             progress.may_have_run = True
             progress.reason = f"status {answer.status}"
             return None
-        return self._read(request, endpoint, progress, answer, verdict, started_at)
+        return self._read(request, endpoint, progress, answer, kind, started_at)
 
     def update_limit(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         answer: transport.HttpAnswer,
-        verdict: adapters.Verdict,
+        kind: adapters.ResponseKind,
         sent_at: float,
     ) -> None:
         """Update an endpoint's rate limit from its answer.
@@ -172,30 +174,33 @@
         :param request: the request.
         :param endpoint: the endpoint.
         :param answer: the answer.
-        :param verdict: the meaning of the answer's head.
+        :param kind: the meaning of the answer's head.
         :param sent_at: monotonic time at which the request was sent.
         """
-        if verdict not in (adapters.Verdict.FOREIGN, adapters.Verdict.MISDIRECTED):
-            ran = verdict is adapters.Verdict.ANSWER
+        if kind not in (
+            adapters.ResponseKind.UNRECOGNIZED,
+            adapters.ResponseKind.MISDIRECTED,
+        ):
+            ran = kind is adapters.ResponseKind.ANSWER
             self.limits.observe(endpoint, answer, sent_at, request.id, ran)
 
     def _read(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         progress: RequestProgress,
         answer: transport.HttpAnswer,
-        verdict: adapters.Verdict,
+        kind: adapters.ResponseKind,
         started_at: float,
     ) -> calls.Reply | None:
         """Turn an answer into a reply; non-streaming ones are read whole first."""
-        if request.route.streaming and verdict is adapters.Verdict.ANSWER:
+        if request.route.streaming and kind is adapters.ResponseKind.ANSWER:
             took_s = time.monotonic() - started_at
-            self.health.succeeded(endpoint, took_s)
-            self.reading.note(request, took_s)
+            self.health.record_success(endpoint, took_s)
+            self.prefill_speed.add_sample(request, took_s)
             if took_s > request.route.objective_s:
-                self.load.note_late(request.target)
-            body = answering.StreamRelay(self, request, endpoint, answer)
+                self.running_requests.record_late(request.target)
+            body = stream_relay.StreamRelay(self, request, endpoint, answer)
             return self._reply(request, answer, body)
         whole_body = transport.whole(answer)
         if whole_body.is_err():
@@ -203,33 +208,37 @@
                 request, endpoint, progress, whole_body.err_value
             )
             return None
-        self.load.end(endpoint, request.target)
-        if verdict is adapters.Verdict.ANSWER:
-            self.health.succeeded(endpoint, time.monotonic() - started_at)
-            self.poison.clear(request)
+        self.running_requests.request_ended(endpoint, request.target)
+        if kind is adapters.ResponseKind.ANSWER:
+            self.health.record_success(endpoint, time.monotonic() - started_at)
+            self.poison_requests.clear(request)
         else:
-            self.health.failed(endpoint, f"status {answer.status}", ERROR_WEIGHT)
+            self.health.record_failure(
+                endpoint, f"status {answer.status}", ERROR_WEIGHT
+            )
         return self._reply(request, answer, [whole_body.ok_value])
 
     def _reply(
-        self, request: asked.Asked, answer: transport.HttpAnswer, body
+        self, request: caller_request.CallerRequest, answer: transport.HttpAnswer, body
     ) -> calls.Reply:
         labels = {"service": request.target.service}
-        self.head_seconds.observe(labels, time.monotonic() - request.arrived)
+        self.head_seconds.observe(labels, time.monotonic() - request.received_at)
         return calls.Reply(answer.status, answer.headers, body)
 
-    def _may_hedge(self, request: asked.Asked, progress: RequestProgress) -> bool:
+    def _may_hedge(
+        self, request: caller_request.CallerRequest, progress: RequestProgress
+    ) -> bool:
         """Return whether a slow attempt may be abandoned for another endpoint."""
         return (
             request.route.repeatable
             and not request.route.streaming
-            and len(progress.tried) < request.route.most_endpoints
+            and len(progress.tried) < request.route.max_endpoints
             and len(self.registry.of_service(request.target.service)) > 1
         )
 
     def _handle_send_failure(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         progress: RequestProgress,
         failure: endpoints.SendFailure,
@@ -238,38 +247,38 @@
         if not failure.sent:
             # Nothing was sent, so the endpoint does not count as tried.
             progress.tried.discard(endpoint.id)
-            self.health.failed(endpoint, failure.reason, consecutive_failures=2)
+            self.health.record_failure(endpoint, failure.reason, consecutive_failures=2)
             return
         self._handle_broken_answer(request, endpoint, progress, failure.reason)
 
     def _handle_broken_answer(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         progress: RequestProgress,
         reason: str,
     ) -> None:
         progress.may_have_run = True
         progress.reason = reason[:80]
-        self.health.failed(endpoint, reason)
+        self.health.record_failure(endpoint, reason)
         if "timed out" not in reason and "late" not in reason:
-            self.poison.record_crash(request, endpoint)
+            self.poison_requests.record_crash(request, endpoint)
 
-    def _handle_verdict(
+    def _handle_kind(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         progress: RequestProgress,
-        verdict: adapters.Verdict,
+        kind: adapters.ResponseKind,
     ) -> None:
-        progress.reason = verdict.value
-        match verdict:
-            case adapters.Verdict.ABSENT:
-                self.residency.missed(endpoint, request.target)
-            case adapters.Verdict.MISDIRECTED:
-                self.registry.dismiss(endpoint, "its address is another's")
-            case adapters.Verdict.FOREIGN:
+        progress.reason = kind.value
+        match kind:
+            case adapters.ResponseKind.NOT_HELD:
+                self.residency.report_not_held(endpoint, request.target)
+            case adapters.ResponseKind.MISDIRECTED:
+                self.registry.exclude(endpoint, "another endpoint has its address")
+            case adapters.ResponseKind.UNRECOGNIZED:
                 progress.may_have_run = True
-                self.health.failed(endpoint, "not an answer to the request")
-            case adapters.Verdict.BUSY:
+                self.health.record_failure(endpoint, "not an answer to the request")
+            case adapters.ResponseKind.BUSY:
                 gevent.sleep(BUSY_PAUSE_S)
--- a/packages/mothworks_gateway/src/mothworks_gateway/credit.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/credit.py
@@ -18,12 +18,12 @@
 
 from mothworks import kernel, messages, peers
 from mothworks_gateway import (
-    bucket,
     client_accounts,
     declarations,
     freshness,
     shared_budgets,
-    windows,
+    sliding_windows,
+    token_bucket,
 )
 
 #: Oldest declaration on which an owner grants, seconds: more than the usual age of one
@@ -36,7 +36,7 @@
 #: Shares of the tolerated excess: what an owner grants beyond the available credit, so
 #: that bursts of requests run, and what the reserves use. The rest covers changes of
 #: ownership.
-GRACE_SHARE = 0.15
+OVERDRAFT_SHARE = 0.15
 RESERVE_SHARE = 0.3
 #: Fill level, as a share of the burst, above which an account is far from its cap.
 CALM_SHARE = 0.5
@@ -46,7 +46,7 @@
 CALM_S = 0.6
 #: Retry hint to a caller whose account's cap can't be checked here, seconds: the retry
 #: reaches another VM.
-UNCHECKED_RETRY_S = 0.2
+UNCHECKED_RETRY_AFTER_S = 0.2
 
 
 @messages.message(129)
@@ -106,7 +106,7 @@
 
 
 @attrs.frozen
-class Over:
+class OverCap:
     """Refused: the request is over its account's usage cap.
 
     :param wait_s: seconds until its credit is available.
@@ -120,7 +120,7 @@
     """Refused: no owner answers, and the reserve is exhausted."""
 
 
-Refused = Over | Unchecked
+Refused = OverCap | Unchecked
 
 
 class Credits(kernel.Part):
@@ -137,8 +137,8 @@
         self.freshness = node_kernel.get(freshness.Freshness)
         self.budgets = node_kernel.get(shared_budgets.SharedBudgets)
         self.budgets.on_spent.append(self._on_spent)
-        self.bucket_by_account: dict[str, bucket.Bucket] = {}
-        self.budgets.on_begin.append(self.bucket_by_account.clear)
+        self.bucket_by_account: dict[str, token_bucket.TokenBucket] = {}
+        self.budgets.on_reset.append(self.bucket_by_account.clear)
         self.granted_by_account = self._make_windows()
         self.reserve_used_by_account = self._make_windows()
         #: Random draws, 0 to 1, for requests that cost more than the reserve.
@@ -151,7 +151,7 @@
             "credit_seconds", "Time until a request's credit was granted or refused."
         )
 
-    def admit(
+    def acquire(
         self, account: client_accounts.ClientAccount, units: float
     ) -> result.Result[Grant, Refused]:
         """Acquire the credit for one request.
@@ -165,7 +165,7 @@
         finally:
             self.latency.observe({}, time.monotonic() - started_at)
 
-    def give_back(self, grant: Grant) -> None:
+    def refund(self, grant: Grant) -> None:
         """Refund the credit of a request that did not run and never will.
 
         :param grant: the grant to refund.
@@ -179,13 +179,13 @@
     def _acquire(
         self, account: client_accounts.ClientAccount, units: float
     ) -> result.Result[Grant, Refused]:
-        for owner in self.budgets.lenders(f"cap {account.name}"):
+        for owner in self.budgets.responsive_owners(f"cap {account.name}"):
             reply = self._call_owner(owner, CreditRequest(account.name, units))
             if reply is None or not reply.may_grant:
                 continue
             self._record_calm(account.name, reply.calm)
             if reply.wait_s:
-                return result.Err(Over(reply.wait_s))
+                return result.Err(OverCap(reply.wait_s))
             return result.Ok(self._record_grant(Grant(account.name, units, owner)))
         # One request may cost more than the reserve of a VM with few callers. A random
         # draw lets all VMs together use the sum of their reserves. It is kept until a
@@ -205,7 +205,7 @@
     def _call_owner(self, owner: str, request: CreditRequest) -> CreditReply | None:
         if owner == self.name:
             return self._grant(request)
-        match self.budgets.ask(owner, request, f"the cap of {request.account}"):
+        match self.budgets.call_owner(owner, request, f"the cap of {request.account}"):
             case CreditReply() as reply:
                 return reply
         return None
@@ -229,7 +229,7 @@
         than that share.
         """
         window_s = self.kernel.settings.bounds.cap_window_s
-        allowed = account.cap.most_in(window_s)
+        allowed = account.cap.max_units(window_s)
         share = RESERVE_SHARE * self._tolerated_excess(account.cap) / allowed
         if account.name in self.calm_accounts:
             share = max(share, CALM_S / window_s) if share else 0.0
@@ -239,47 +239,45 @@
     def _tolerated_excess(self, cap: client_accounts.UsageCap) -> float:
         """Return the units by which the usage in one window may exceed a cap."""
         bounds = self.kernel.settings.bounds
-        return bounds.cap_over * cap.most_in(bounds.cap_window_s) + bounds.cap_slack
+        return bounds.cap_over * cap.max_units(bounds.cap_window_s) + bounds.cap_slack
 
     def _grant(self, request: CreditRequest) -> CreditReply:
-        account_bucket = self._bucket(request.account)
-        if account_bucket is None or not self._may_grant():
+        bucket = self._bucket(request.account)
+        if bucket is None or not self._may_grant():
             return CreditReply(False)
-        wait_s = account_bucket.take(request.units, time.monotonic())
-        return CreditReply(
-            True, wait_s, account_bucket.level > CALM_SHARE * account_bucket.cap.burst
-        )
+        wait_s = bucket.acquire(request.units, time.monotonic())
+        return CreditReply(True, wait_s, bucket.level > CALM_SHARE * bucket.cap.burst)
 
     def _may_grant(self) -> bool:
-        is_minority = self.budgets.part() < MIN_SHARE
-        if is_minority or not self.budgets.may_lend():
+        is_minority = self.budgets.share() < MIN_SHARE
+        if is_minority or not self.budgets.may_grant():
             return False
         is_fresh = self.freshness.age_s() <= MAX_DECLARATION_AGE_S
-        return is_fresh or self.freshness.shared_by_all()
+        return is_fresh or self.freshness.is_fleet_wide()
 
-    def _bucket(self, account: str) -> bucket.Bucket | None:
+    def _bucket(self, account: str) -> token_bucket.TokenBucket | None:
         """Return an account's bucket; None where it has no cap here."""
         current = self.declarations.current
         accounts = current and current.accounts
         declared = accounts and accounts.by_name.get(account)
         if not declared or declared.cap is None:
             return None
-        cap = declared.cap.part(self.budgets.part())
-        account_bucket = self.bucket_by_account.get(account)
-        if account_bucket is not None and account_bucket.cap == cap:
-            return account_bucket
-        grace = GRACE_SHARE * self._tolerated_excess(cap)
-        if account_bucket is None:
-            account_bucket = bucket.Bucket(cap, self.budgets.synced_since, grace)
-            self.bucket_by_account[account] = account_bucket
+        cap = declared.cap.scaled(self.budgets.share())
+        bucket = self.bucket_by_account.get(account)
+        if bucket is not None and bucket.cap == cap:
+            return bucket
+        overdraft = OVERDRAFT_SHARE * self._tolerated_excess(cap)
+        if bucket is None:
+            bucket = token_bucket.TokenBucket(cap, self.budgets.synced_since, overdraft)
+            self.bucket_by_account[account] = bucket
         else:
-            account_bucket.change(cap, time.monotonic(), grace)
-        return account_bucket
+            bucket.set_cap(cap, time.monotonic(), overdraft)
+        return bucket
 
     def _debit(self, account: str, units: float) -> None:
-        account_bucket = self._bucket(account)
-        if account_bucket is not None:
-            account_bucket.note(units, time.monotonic())
+        bucket = self._bucket(account)
+        if bucket is not None:
+            bucket.debit(units, time.monotonic())
 
     def _on_request(self, _: str, request: CreditRequest, answer: peers.Answer) -> None:
         answer(self._grant(request))
@@ -291,6 +289,8 @@
         # A budget of another kind matches no account and is ignored.
         self._debit(budget, units)
 
-    def _make_windows(self) -> collections.defaultdict[str, windows.Amounts]:
+    def _make_windows(
+        self,
+    ) -> collections.defaultdict[str, sliding_windows.WindowedSum]:
         window_s = self.kernel.settings.bounds.cap_window_s
-        return collections.defaultdict(lambda: windows.Amounts(window_s))
+        return collections.defaultdict(lambda: sliding_windows.WindowedSum(window_s))
--- a/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
@@ -12,7 +12,7 @@
 import result
 
 from mothworks import kernel, logs
-from mothworks_gateway import adapters, declared, feeding
+from mothworks_gateway import adapters, declaration_types, feeding
 
 log = logbook.Logger("declarations")
 
@@ -25,8 +25,8 @@
 
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
-        self.feeds = node_kernel.get(feeding.Feeding).feeds
-        self.current: declared.Declaration | None = None
+        self.feeds = node_kernel.get(feeding.FeedFollowers).feeds
+        self.current: declaration_types.Declaration | None = None
         self.loaded = gevent.event.Event()
         self.updated_at = 0.0
         #: Whether the last document received could be decoded. If not, the declaration
@@ -48,13 +48,13 @@
         follower = feeding.Follower(
             "declarations",
             self.feeds.declarations,
-            self._apply_listing,
+            self._apply_snapshot,
             self._apply_changes,
         )
-        self.kernel.get(feeding.Feeding).add(follower)
+        self.kernel.get(feeding.FeedFollowers).add(follower)
         self.tasks.spawn(follower.run)
 
-    def offer(self, document: bytes, source: str) -> None:
+    def apply_if_newer(self, document: bytes, source: str) -> None:
         """Apply a declaration if it is newer than the one in force.
 
         :param document: the operator's document.
@@ -74,8 +74,8 @@
                     outcome=f"version {self.version} stays in force",
                 )
 
-    def _apply_listing(self, listing: adapters.Listing) -> None:
-        self._apply_document(listing.document_by_name.get(self.feeds.declaration_name))
+    def _apply_snapshot(self, snapshot: adapters.Snapshot) -> None:
+        self._apply_document(snapshot.document_by_name.get(self.feeds.declaration_name))
 
     def _apply_changes(self, changes: adapters.Changes) -> None:
         for change in changes.changes:
@@ -88,12 +88,12 @@
         if document is None:
             return
         previous_version = self.version
-        self.offer(document, "platform")
+        self.apply_if_newer(document, "platform")
         if self.version > previous_version:
             for notify in self.on_platform_document:
                 notify(document)
 
-    def _apply(self, declaration: declared.Declaration, source: str) -> None:
+    def _apply(self, declaration: declaration_types.Declaration, source: str) -> None:
         previous_version = self.version
         if declaration.version <= previous_version:
             # An older version may arrive late from a peer. Applying it would revert
--- a/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/discovery.py
@@ -28,12 +28,12 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.registry = registry.Registry()
-        followers = node_kernel.get(feeding.Feeding)
+        followers = node_kernel.get(feeding.FeedFollowers)
         self.feeds = followers.feeds
         self.follower = feeding.Follower(
             "endpoints",
             self.feeds.endpoints,
-            self._apply_listing,
+            self._apply_snapshot,
             self._apply_platform_changes,
             self.batch_s,
         )
@@ -59,14 +59,16 @@
         self.tasks.spawn(self.follower.run)
         self.tasks.every(EXPIRE_CHECK_S, self.registry.expire)
 
-    def take_peer(self, cursor: int, document_by_name: dict[str, bytes]) -> None:
+    def apply_peer_snapshot(
+        self, cursor: int, document_by_name: dict[str, bytes]
+    ) -> None:
         """Apply a peer's registry if it is newer than this VM's.
 
         :param cursor: the platform's revision up to which it is complete.
         :param document_by_name: the entries.
         """
         if cursor > self.registry.cursor:
-            self._apply_listing(adapters.Listing(cursor, document_by_name))
+            self._apply_snapshot(adapters.Snapshot(cursor, document_by_name))
 
     def apply_published(
         self, base_revision: int, changes: adapters.Changes, suspect_until: float
@@ -98,19 +100,19 @@
         """Return all entries, for a peer."""
         return {item.entry.name: item.document for item in self.registry.by_id.values()}
 
-    def _apply_listing(self, listing: adapters.Listing) -> None:
-        if listing.cursor < self.registry.cursor:
-            # Changes published by a peer are newer than this listing.
+    def _apply_snapshot(self, snapshot: adapters.Snapshot) -> None:
+        if snapshot.cursor < self.registry.cursor:
+            # Changes published by a peer are newer than this snapshot.
             return
-        self.registry.cursor = listing.cursor
-        if listing.document_by_name != {**self.documents(), **self.unreadable_by_name}:
-            self.changed_at = listing.cursor
+        self.registry.cursor = snapshot.cursor
+        if snapshot.document_by_name != {**self.documents(), **self.unreadable_by_name}:
+            self.changed_at = snapshot.cursor
         suspect_until = self.follower.suspect_until if self.loaded else 0.0
-        for name in self.registry.id_by_name.keys() - listing.document_by_name.keys():
+        for name in self.registry.id_by_name.keys() - snapshot.document_by_name.keys():
             self.registry.remove(name, suspect_until)
-        for name in self.unreadable_by_name.keys() - listing.document_by_name.keys():
+        for name in self.unreadable_by_name.keys() - snapshot.document_by_name.keys():
             del self.unreadable_by_name[name]
-        for name, document in listing.document_by_name.items():
+        for name, document in snapshot.document_by_name.items():
             self._put(name, document)
         self._notify_changed()
 
@@ -172,4 +174,4 @@
     def _notify_changed(self) -> None:
         self.loaded = True
         self.updated_at = time.monotonic()
-        self.registry.changed()
+        self.registry.notify_changed()
--- a/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
@@ -1,8 +1,8 @@
-"""Follows the platform's feeds: one full listing, then long polls for changes.
+"""Follows the platform's feeds: one full snapshot, then long polls for changes.
 
 A follower tolerates a platform that is down, slow, or unresponsive on an open
 connection. Where the platform no longer has the changes since the cursor, the follower
-reads a full listing again. A poll ends early once a peer is known to have a newer
+reads a full snapshot again. A poll ends early once a peer is known to have a newer
 revision, since an unresponsive connection reports no error by itself.
 """
 
@@ -18,7 +18,7 @@
 import result
 
 from mothworks import kernel, logs, plugins
-from mothworks_gateway import adapters, suspension
+from mothworks_gateway import adapters, boot_clock
 
 log = logbook.Logger("feeding")
 
@@ -44,7 +44,7 @@
 MIN_RETRY_DELAY_S = 0.1
 MAX_RETRY_DELAY_S = 0.5
 RETRY_BACKOFF_FACTOR = 1.6
-#: Time between the first listing and the first poll, seconds. Within it, a VM that
+#: Time between the first snapshot and the first poll, seconds. Within it, a VM that
 #: starts learns from statuses whether other VMs follow the feeds for it.
 FIRST_POLL_DELAY_S = 1.0
 #: Longest wait of a poll for changes that already exist, seconds.
@@ -76,7 +76,7 @@
 
     :param name: the feed's name in logs.
     :param feed: the feed.
-    :param on_listing: called with each full listing.
+    :param on_snapshot: called with each full snapshot.
     :param on_changes: called with changes.
     :param batch_s: pause before the next poll in which further changes accumulate,
         seconds; each poll is a billed call.
@@ -85,27 +85,27 @@
     :param on_health: called when the platform stops answering, and with its first
         answer after that or after this VM started to follow the feed.
     :param cursor: the newest revision received.
-    :param lost_at: monotonic time at which the platform stopped answering; None while
-        it answers.
+    :param outage_since: monotonic time at which the platform stopped answering; None
+        while it answers.
     :param outage_ended_at: monotonic time at which the last outage ended.
     :param answered_at: monotonic time at which the platform last answered a call.
     :param answer_due_at: monotonic time by which the next answer must arrive.
     :param latency_s: recent latency of the platform's answers, seconds.
     :param as_of: the data received is complete as of this time, on the clock of
-        :func:`suspension.now`: just before the last answered call was sent, since it
+        :func:`boot_clock.now`: just before the last answered call was sent, since it
         is not known when within the call the platform read its state.
     :param poll_started_at: monotonic time at which the last call started.
     """
 
     name: str
     feed: adapters.Feed
-    on_listing: collections.abc.Callable[[adapters.Listing], None]
+    on_snapshot: collections.abc.Callable[[adapters.Snapshot], None]
     on_changes: collections.abc.Callable[[adapters.Changes], None]
     batch_s: float = 0.0
     max_poll_s: float = MAX_POLL_S
     on_health: collections.abc.Callable[[], None] = _ignore
     cursor: int = 0
-    lost_at: float | None = None
+    outage_since: float | None = None
     outage_ended_at: float = -SUSPECT_REMOVAL_S
     answered_at: float = attrs.field(factory=lambda: time.monotonic())
     answer_due_at: float = -math.inf
@@ -136,11 +136,11 @@
                     self._wake.wait(delay_s)
                 case result.Err(Interrupted()):
                     pass
-                case result.Err(adapters.FeedExpired()):
+                case result.Err(adapters.CursorExpired()):
                     logs.event(log, "history gone", feed=self.name, cursor=self.cursor)
                     self._listed = False
                     self._record_answer()
-                case result.Err(adapters.FeedDown(reason)):
+                case result.Err(adapters.FeedUnavailable(reason)):
                     self._record_failure(reason)
                     gevent.sleep(random.uniform(0.5, 1.0) * retry_delay_s)
                     retry_delay_s = min(
@@ -164,7 +164,7 @@
         An answer counts only until the next one is due, since a platform that becomes
         unresponsive on an open connection never fails the call.
         """
-        return self.lost_at is None and time.monotonic() < self.answer_due_at
+        return self.outage_since is None and time.monotonic() < self.answer_due_at
 
     @property
     def grace_s(self) -> float:
@@ -172,7 +172,7 @@
 
         During an outage it is the longest, since the platform may only be slow.
         """
-        if self.lost_at is not None:
+        if self.outage_since is not None:
             return MAX_GRACE_S
         return min(MAX_GRACE_S, max(MIN_GRACE_S, GRACE_LATENCY_FACTOR * self.latency_s))
 
@@ -191,7 +191,7 @@
         """Return the seconds since the platform last answered a call."""
         return time.monotonic() - self.answered_at
 
-    def follow(self, follows: bool) -> None:
+    def set_followed(self, follows: bool) -> None:
         """Start or stop following the feed on this VM.
 
         :param follows: whether this VM itself follows the feed.
@@ -225,11 +225,11 @@
         self._interrupt()
 
     def refresh(self) -> bool:
-        """Read a full listing once, while other VMs follow the feed.
+        """Read a full snapshot once, while other VMs follow the feed.
 
         :returns: whether the platform answered.
         """
-        return self._fetch_listing().is_ok()
+        return self._fetch_snapshot().is_ok()
 
     def catch_up(self) -> bool:
         """Fetch the changes since the cursor once, while other VMs follow the feed.
@@ -237,11 +237,11 @@
         :returns: whether the platform answered.
         """
         response = self._fetch_changes(CATCH_UP_WAIT_S)
-        if isinstance(response.err(), adapters.FeedExpired):
+        if isinstance(response.err(), adapters.CursorExpired):
             return self.refresh()
         return response.is_ok()
 
-    def batch_for(self, seconds: float) -> None:
+    def set_batch_time(self, seconds: float) -> None:
         """Set how long changes accumulate; a shorter time ends the current pause.
 
         :param seconds: see :attr:`batch_s`.
@@ -266,13 +266,13 @@
     @property
     def suspect_until(self) -> float:
         """Return the monotonic time until which an outage may hide entries."""
-        if self.lost_at is not None:
+        if self.outage_since is not None:
             return time.monotonic() + SUSPECT_REMOVAL_S
         return self.outage_ended_at + SUSPECT_REMOVAL_S
 
     def _poll_once(self) -> result.Result:
         self.poll_started_at = time.monotonic()
-        # A listing may take several calls, each of which has its own timeout.
+        # A snapshot may take several calls, each of which has its own timeout.
         timeout_s = None
         if self._listed:
             wait_s = self._next_wait_s()
@@ -282,7 +282,7 @@
             )
             poll = gevent.spawn(self._fetch_changes, wait_s)
         else:
-            poll = gevent.spawn(self._fetch_listing)
+            poll = gevent.spawn(self._fetch_snapshot)
         self._poll = poll
         try:
             poll.join(timeout_s)
@@ -291,7 +291,7 @@
             self._poll = None
             poll.kill(block=False)
         if timed_out:
-            return result.Err(adapters.FeedDown("no answer in time"))
+            return result.Err(adapters.FeedUnavailable("no answer in time"))
         if poll.exception is not None:
             raise poll.exception
         if isinstance(poll.value, gevent.GreenletExit):
@@ -302,7 +302,7 @@
         """Return how long the next poll may wait for changes, seconds."""
         catch_up_now, self._catch_up_next = self._catch_up_next, False
         # Changes written during an outage exist as soon as the platform answers.
-        in_outage = self.lost_at is not None
+        in_outage = self.outage_since is not None
         return CATCH_UP_WAIT_S if catch_up_now or in_outage else self.wait_s
 
     def _interrupt(self) -> None:
@@ -310,21 +310,21 @@
         if self._poll is not None:
             self._poll.kill(block=False)
 
-    def _fetch_listing(self) -> result.Result:
-        sent_at = suspension.now()
+    def _fetch_snapshot(self) -> result.Result:
+        sent_at = boot_clock.now()
         response = self.feed.read()
         if response.is_ok():
             self._record_call_answered()
-            self.on_listing(response.ok_value)
+            self.on_snapshot(response.ok_value)
             self.cursor = max(self.cursor, response.ok_value.cursor)
             self.as_of = max(self.as_of, sent_at)
         return response
 
     def _fetch_changes(self, wait_s: float) -> result.Result:
-        sent_at = suspension.now()
-        response = self.feed.wait(self.cursor, wait_s)
-        if response.is_ok() or isinstance(response.err(), adapters.FeedExpired):
-            self._record_latency(suspension.now() - sent_at - wait_s)
+        sent_at = boot_clock.now()
+        response = self.feed.poll(self.cursor, wait_s)
+        if response.is_ok() or isinstance(response.err(), adapters.CursorExpired):
+            self._record_latency(boot_clock.now() - sent_at - wait_s)
             self._record_call_answered()
         if response.is_ok():
             self.on_changes(response.ok_value)
@@ -347,8 +347,8 @@
         self.answer_due_at = now + delay_s + self.wait_s + self.grace_s
 
     def _record_failure(self, reason: str) -> None:
-        if self.lost_at is None:
-            self.lost_at = time.monotonic()
+        if self.outage_since is None:
+            self.outage_since = time.monotonic()
             logs.event(
                 log,
                 "dependency lost",
@@ -370,7 +370,7 @@
             self.on_health()
 
     def _end_outage(self, outcome: str) -> None:
-        if self.lost_at is None:
+        if self.outage_since is None:
             return
         self.outage_ended_at = time.monotonic()
         logs.event(
@@ -378,14 +378,14 @@
             "dependency regained",
             dependency="platform",
             feed=self.name,
-            away_s=round(self.outage_ended_at - self.lost_at, 3),
+            away_s=round(self.outage_ended_at - self.outage_since, 3),
             cursor=self.cursor,
             outcome=outcome,
         )
-        self.lost_at = None
+        self.outage_since = None
 
 
-class Feeding(kernel.Part):
+class FeedFollowers(kernel.Part):
     """Registers the platform's feeds and their followers.
 
     :param node_kernel: the node's kernel.
--- a/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
@@ -20,7 +20,7 @@
 log = logbook.Logger("heartbeat")
 
 #: Seconds between heartbeats.
-HEARTBEAT_S = 0.25
+INTERVAL_S = 0.25
 #: Age from which a heartbeat is no longer used, seconds.
 STALE_S = 2.0
 #: Time that the platform has to deliver what a peer already knows, seconds.
@@ -52,8 +52,9 @@
     :param lease_version: stored version of its last lease renewal, or empty.
     :param running: number of running requests, by endpoint, model and adapter.
     :param arrived: requests that arrived since the last heartbeat, by service,
-        model and adapter; see :meth:`load.Load.arrive` for their weight. The
-        last figure is the number of prompt tokens that other requests do not share.
+        model and adapter; see :meth:`running_requests.RunningRequests.count_arrival`
+        for their weight. The last figure is the number of prompt tokens that other
+        requests do not share.
     :param late: number of answers since the last heartbeat that were too slow, by
         service and model.
     :param is_aggregate: whether it is the aggregate of several VMs.
@@ -130,10 +131,10 @@
         self.membership = node_kernel.get(membership.Membership)
         self.declarations = node_kernel.get(declarations.Declarations)
         self.discovery = node_kernel.get(discovery.Discovery)
-        self.feeding = node_kernel.get(feeding.Feeding)
+        self.feeding = node_kernel.get(feeding.FeedFollowers)
         self.received_by_vm: dict[str, Received] = {}
         #: Functions that return fields of the next heartbeat, each as a dict.
-        self.on_heartbeat: list = []
+        self.field_providers: list = []
         #: Functions to call with a VM's name and its heartbeat, this VM's included.
         self.on_received: list = []
         #: Transmits a heartbeat of this VM to peers.
@@ -144,7 +145,7 @@
 
     def start(self) -> None:
         """Start to send heartbeats, and fetch what is missing from peers."""
-        self.tasks.every(HEARTBEAT_S, self.send)
+        self.tasks.every(INTERVAL_S, self.send)
         self.tasks.spawn(self._fetch_at_start)
 
     def fresh(self) -> dict[str, Heartbeat]:
@@ -159,7 +160,7 @@
     def send(self) -> None:
         """Compose and send one heartbeat now."""
         fields = {}
-        for provide in self.on_heartbeat:
+        for provide in self.field_providers:
             fields.update(provide())
         heartbeat = Heartbeat(
             self.declarations.version,
@@ -204,12 +205,12 @@
                 )
             # The cursor also advances with unrelated writes, so the peer's last change
             # is compared.
-            is_lost = follower_by_name["endpoints"].lost_at is not None
+            is_lost = follower_by_name["endpoints"].outage_since is not None
             is_stuck = heartbeat.registry_changed_at > self.discovery.registry.cursor
             if heartbeat.declaration_version > self.declarations.version or (
                 is_lost and is_stuck
             ):
-                self.ask(vm)
+                self.fetch_state(vm)
             elif is_stuck:
                 follower_by_name["endpoints"].interrupt_if_behind(
                     heartbeat.registry_changed_at, POLL_STUCK_S
@@ -227,9 +228,9 @@
             gevent.sleep(STARTUP_FETCH_INTERVAL_S)
             near = self.membership.near()
             if near:
-                self.ask(random.choice(near).name)
+                self.fetch_state(random.choice(near).name)
 
-    def ask(self, vm: str) -> None:
+    def fetch_state(self, vm: str) -> None:
         """Fetch and apply a peer's declaration and registry where they are newer.
 
         :param vm: the peer.
@@ -240,9 +241,9 @@
         match self.peers.call(vm, request, STATE_TIMEOUT_S):
             case result.Ok(State(declaration, cursor, document_by_name)):
                 if declaration:
-                    self.declarations.offer(declaration, f"peer {vm}")
+                    self.declarations.apply_if_newer(declaration, f"peer {vm}")
                 if document_by_name:
-                    self.discovery.take_peer(cursor, document_by_name)
+                    self.discovery.apply_peer_snapshot(cursor, document_by_name)
 
     def _serve_state(self, vm: str, request: StateRequest, answer) -> None:
         current = self.declarations.current
--- a/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
@@ -1,7 +1,7 @@
 """Late orders: orders without a response, which an endpoint may still execute.
 
 An endpoint executes a late order only while it has accepted as many orders as the order
-names. Within one incarnation that makes late orders harmless (see :mod:`site_orders`).
+names. Within one incarnation that makes late orders harmless (see :mod:`order_sender`).
 But an endpoint that restarts under its name counts from zero again, so an old order may
 match the count once more, and another old order that names the next count may follow
 it. So each VM remembers the orders without a response, and the lease holder sends no
@@ -13,7 +13,7 @@
 import attrs
 
 from mothworks import kernel, messages, peers
-from mothworks_gateway import adapters, registry, sites
+from mothworks_gateway import adapters, endpoint_state, registry
 
 #: Time for which an order without a response may still be executed, seconds: five times
 #: the longest delay that operators of endpoints report (12 s).
@@ -26,15 +26,15 @@
     """An order that got no response; sent to all VMs.
 
     :param endpoint: the endpoint's name, which its incarnations share.
-    :param accepted: number of orders that the endpoint must have accepted to execute
-        it.
+    :param expected_orders: number of orders that the endpoint must have accepted to
+        execute it.
     :param load: whether it loads; otherwise it unloads.
     :param model: the model.
     :param adapter: its adapter, or empty.
     """
 
     endpoint: str
-    accepted: int
+    expected_orders: int
     load: bool
     model: str
     adapter: str
@@ -58,30 +58,37 @@
     :param order: the order.
     """
     return UnansweredOrder(
-        endpoint.entry.name, order.accepted, order.load, order.model, order.adapter
+        endpoint.entry.name,
+        order.expected_orders,
+        order.load,
+        order.model,
+        order.adapter,
     )
 
 
 def all_fit(
     late: list[UnansweredOrder],
-    state: sites.EndpointState,
+    state: endpoint_state.EndpointState,
     holdings: dict[str, set[str]],
-    accepted: int,
+    accepted_orders: int,
 ) -> bool:
     """Return whether late orders fit in memory, in each sequence that may happen.
 
     :param late: the late orders.
     :param state: the endpoint's state.
-    :param holdings: what the endpoint holds; see :meth:`sites.EndpointState.in_memory`.
-    :param accepted: number of orders that it has accepted.
+    :param holdings: what the endpoint holds; see
+        :meth:`endpoint_state.EndpointState.in_memory`.
+    :param accepted_orders: number of orders that it has accepted.
     """
     for order in late:
-        if order.accepted != accepted or not order.changes(holdings):
+        if order.expected_orders != accepted_orders or not order.changes(holdings):
             continue
         if order.load and not state.fits(order.model, order.adapter, holdings):
             return False
-        after = sites.holdings_after(holdings, order.load, order.model, order.adapter)
-        if not all_fit(late, state, after, accepted + 1):
+        after = endpoint_state.holdings_after(
+            holdings, order.load, order.model, order.adapter
+        )
+        if not all_fit(late, state, after, accepted_orders + 1):
             return False
     return True
 
@@ -110,7 +117,7 @@
         :param endpoint: the endpoint that it was sent to.
         :param order: the order.
         """
-        if endpoint.entry.born:
+        if endpoint.entry.started_ms:
             unanswered = from_order(endpoint, order)
             self._remember(unanswered)
             self.peers.send_all(unanswered)
--- a/packages/mothworks_gateway/src/mothworks_gateway/lease_record.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease_record.py
@@ -43,13 +43,13 @@
 
 
 @attrs.frozen
-class KnownRenewal:
+class ObservedRenewal:
     """A renewal of another VM, as this VM first observed it.
 
     :param fence: the fencing token of the lease.
     :param version: the stored object's version after it.
     :param at: time at which this VM first observed it, seconds; see
-        :func:`suspension.now`.
+        :func:`boot_clock.now`.
     """
 
     fence: int
--- a/packages/mothworks_gateway/src/mothworks_gateway/owners.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/owners.py
@@ -42,7 +42,7 @@
     def candidates(self) -> list[str]:
         """Return the VMs that can own resources; at least one."""
         vms = self.ranking.vms
-        return vms if collectors.are_few(vms[1:]) else collectors.select(vms)
+        return vms if collectors.is_full_mesh(vms[1:]) else collectors.select(vms)
 
     def ranked(self, key: str) -> list[str]:
         """Return the candidates for a resource, its owner first.
@@ -66,7 +66,7 @@
         """
         return time.monotonic() < self._backoff_until_by_vm.get(owner, 0.0)
 
-    def ask(
+    def call(
         self, owner: str, message: typing.Any, reply_s: float, thing: str
     ) -> typing.Any:
         """Call an owner and return its reply; None where it is unresponsive.
--- a/packages/mothworks_gateway/src/mothworks_gateway/offers.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/placement_candidates.py
@@ -10,14 +10,14 @@
 
 from mothworks import kernel
 from mothworks_gateway import (
-    asked,
-    declared,
+    caller_request,
+    declaration_types,
     demand,
     endpoint_limits,
-    load,
-    ordering,
-    reading,
-    sites,
+    endpoint_state,
+    job_execution,
+    prefill_speed,
+    running_requests,
 )
 
 #: Cost of each second that a request waits, in requests.
@@ -76,7 +76,7 @@
     :param forced: whether running requests use a model to evict.
     """
 
-    state: sites.EndpointState
+    state: endpoint_state.EndpointState
     evictions: tuple[str, ...]
     eviction_cost: float
     ready_in_s: float
@@ -113,38 +113,42 @@
 
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
-        self.ordering = node_kernel.get(ordering.Ordering)
-        self.load = node_kernel.get(load.Load)
+        self.job_executor = node_kernel.get(job_execution.JobExecutor)
+        self.running_requests = node_kernel.get(running_requests.RunningRequests)
         self.demand = node_kernel.get(demand.Demand)
-        self.reading = node_kernel.get(reading.Reading)
+        self.prefill_speed = node_kernel.get(prefill_speed.PrefillSpeed)
         self.limits = node_kernel.get(endpoint_limits.EndpointLimits)
-        self.holders_by_target: dict[asked.Target, list[sites.EndpointState]] = {}
+        self.holders_by_target: dict[
+            caller_request.Target, list[endpoint_state.EndpointState]
+        ] = {}
         #: Endpoints that hold, load or will load a model, by service and model.
-        self.involved_by_service: dict[str, dict[str, list[sites.EndpointState]]] = {}
+        self.involved_by_service: dict[
+            str, dict[str, list[endpoint_state.EndpointState]]
+        ] = {}
         self.unmet_models_by_service: dict[str, set[str]] = {}
 
-    def endpoints_needed(self, target: asked.Target) -> float:
+    def endpoints_needed(self, target: caller_request.Target) -> float:
         """Return the number of endpoints that a model's prompts keep busy.
 
         :param target: the model.
         """
-        per_s = self.reading.tokens_per_s(target.service) * PREFILL_SHARE
+        per_s = self.prefill_speed.tokens_per_s(target.service) * PREFILL_SHARE
         return self.demand.prompt_tokens_per_s(target) / per_s
 
-    def capacity(self, states: list[sites.EndpointState]) -> float:
+    def capacity(self, states: list[endpoint_state.EndpointState]) -> float:
         """Return the capacity of some endpoints, in endpoints without a rate limit.
 
         :param states: the endpoints.
         """
         return sum(map(self._capacity, states))
 
-    def _capacity(self, state: sites.EndpointState) -> float:
+    def _capacity(self, state: endpoint_state.EndpointState) -> float:
         per_s = self.limits.per_s(state.endpoint.id)
         if per_s is None:
             return 1.0
-        return min(1.0, per_s * REQUEST_DURATION_S / state.accelerator.batch)
+        return min(1.0, per_s * REQUEST_DURATION_S / state.accelerator.batch_slots)
 
-    def replica_value(self, target: asked.Target, replicas: float) -> float:
+    def replica_value(self, target: caller_request.Target, replicas: float) -> float:
         """Return how many requests a model's last replica serves in time.
 
         :param target: the model.
@@ -154,7 +158,9 @@
         share = min(1.0, replicas / needed) - min(1.0, (replicas - 1) / needed)
         return self.demand.rate(target) * share * HORIZON_S
 
-    def holders(self, target: asked.Target) -> list[sites.EndpointState]:
+    def holders(
+        self, target: caller_request.Target
+    ) -> list[endpoint_state.EndpointState]:
         """Return the open endpoints that hold, or will hold, a model or adapter.
 
         The result is cached until :meth:`clear_caches`: computing the eviction costs of
@@ -170,7 +176,7 @@
             cached = [
                 state
                 for state in self._involved(target)
-                if state.open and state.will_hold(target.model, target.adapter)
+                if state.available and state.will_hold(target.model, target.adapter)
             ]
             self.holders_by_target[target] = cached
         return cached
@@ -181,38 +187,44 @@
         self.involved_by_service.clear()
         self.unmet_models_by_service.clear()
 
-    def _involved(self, target: asked.Target) -> list[sites.EndpointState]:
+    def _involved(
+        self, target: caller_request.Target
+    ) -> list[endpoint_state.EndpointState]:
         """Return the endpoints that hold a model, load it, or will load it."""
         by_model = self.involved_by_service.get(target.service)
         if by_model is None:
             by_model = self.involved_by_service[target.service] = {}
-            for state in self.ordering.of_service(target.service):
+            for state in self.job_executor.of_service(target.service):
                 queued = {job.model for job in state.jobs}
                 for model in {*state.adapters_by_model, state.loading, *queued}:
                     by_model.setdefault(model, []).append(state)
         return by_model.get(target.model, [])
 
-    def running(self, model: str, states: list[sites.EndpointState]) -> int:
+    def running(self, model: str, states: list[endpoint_state.EndpointState]) -> int:
         """Return the number of requests for a model that run on some endpoints.
 
         :param model: the model.
         :param states: the endpoints.
         """
-        return sum(self.load.of_model(state.endpoint.id, model) for state in states)
+        return sum(
+            self.running_requests.of_model(state.endpoint.id, model) for state in states
+        )
 
-    def unavailability_cost(self, target: asked.Target, model: declared.Model) -> float:
+    def unavailability_cost(
+        self, target: caller_request.Target, model: declaration_types.Model
+    ) -> float:
         """Return the cost of a model that no endpoint holds, in requests.
 
         :param target: the model.
         :param model: its declaration.
         """
-        states = self.ordering.of_service(target.service)
+        states = self.job_executor.of_service(target.service)
         seconds = min((state.load_s(model) for state in states), default=0.0)
         rate = max(MIN_RATE_PER_S, self.demand.rate(target))
         return rate * (UNAVAILABLE_S + seconds)
 
     def candidates(
-        self, service: str, model: declared.Model, evictable: Evictable
+        self, service: str, model: declaration_types.Model, evictable: Evictable
     ) -> list[Candidate]:
         """Return the endpoints of a service that could load a model now.
 
@@ -232,7 +244,7 @@
                     candidates.append(candidate)
         return candidates
 
-    def _loadable(self, service: str) -> list[sites.EndpointState]:
+    def _loadable(self, service: str) -> list[endpoint_state.EndpointState]:
         """Return a service's open endpoints, without those that advertise a limit.
 
         A limited endpoint serves fewer requests than the models that it already holds
@@ -240,7 +252,7 @@
         better than none.
         """
         open_states = [
-            state for state in self.ordering.of_service(service) if state.open
+            state for state in self.job_executor.of_service(service) if state.available
         ]
         unlimited = [
             state
@@ -260,7 +272,9 @@
             }
         return cached
 
-    def _may_queue(self, state: sites.EndpointState, model: declared.Model) -> bool:
+    def _may_queue(
+        self, state: endpoint_state.EndpointState, model: declaration_types.Model
+    ) -> bool:
         """Return whether one more model may be queued on an endpoint.
 
         An endpoint that loads another model but has a local copy of this one is ready
@@ -273,8 +287,8 @@
 
     def _candidate(
         self,
-        state: sites.EndpointState,
-        model: declared.Model,
+        state: endpoint_state.EndpointState,
+        model: declaration_types.Model,
         options: list[_Eviction],
     ) -> Candidate | None:
         free_mb = state.accelerator.memory_mb
@@ -285,40 +299,48 @@
         eviction_cost = sum(eviction.cost for eviction in evictions)
         names = tuple(eviction.model for eviction in evictions)
         running = sum(self.running(name, [state]) for name in names)
-        share = self.load.of_endpoint(state.endpoint.id) / state.accelerator.batch
+        share = (
+            self.running_requests.of_endpoint(state.endpoint.id)
+            / state.accelerator.batch_slots
+        )
         ready_in_s = (
             state.load_s(model)
             + FULL_BATCH_DELAY_S * share
-            + sites.expected_unload_s(running)
+            + endpoint_state.expected_unload_s(running)
         )
         ready_in_s += max(state.ready_s_by_model().values(), default=0.0)
         return Candidate(state, names, eviction_cost, ready_in_s, running > 0)
 
-    def eviction_cost(self, state: sites.EndpointState, name: str) -> float:
+    def eviction_cost(self, state: endpoint_state.EndpointState, name: str) -> float:
         """Return the cost of evicting a model from an endpoint, in requests.
 
         :param state: the endpoint's state.
         :param name: a model that it holds.
         """
-        target = asked.Target(state.endpoint.entry.service, name)
+        target = caller_request.Target(state.endpoint.entry.service, name)
         others = [item for item in self.holders(target) if item is not state]
         demand_observed = self.demand.total() > OBSERVED_DEMAND_PER_S
         min_rate = MIN_RATE_PER_S * (1 if demand_observed else (1 + len(others)) ** 2)
         rate = max(min_rate, self.demand.rate(target))
         model = state.accelerator.model_by_name.get(name)
-        seconds = UNAVAILABLE_S + (model.host_s if model else 0.0)
+        seconds = UNAVAILABLE_S + (model.host_load_s if model else 0.0)
         if not others:
             return rate * seconds
         value = self.replica_value(target, len(others) + 1)
         if value > 0:
             return max(value, rate * seconds * SPARE_REPLICA_COST_SHARE)
         running = self.running(name, [state, *others])
-        if running <= TAKEOVER_BATCH_SHARE * state.accelerator.batch * len(others):
+        if running <= TAKEOVER_BATCH_SHARE * state.accelerator.batch_slots * len(
+            others
+        ):
             return rate * seconds * SPARE_REPLICA_COST_SHARE
         return rate * seconds
 
     def _evictable_models(
-        self, state: sites.EndpointState, unmet_models: set[str], evictable: Evictable
+        self,
+        state: endpoint_state.EndpointState,
+        unmet_models: set[str],
+        evictable: Evictable,
     ) -> list[_Eviction]:
         """Return what an endpoint may evict, the cheapest first."""
         names = [
@@ -332,20 +354,20 @@
         return sorted(options, key=lambda option: option.cost)
 
     def _may_evict(
-        self, state: sites.EndpointState, name: str, evictable: Evictable
+        self, state: endpoint_state.EndpointState, name: str, evictable: Evictable
     ) -> bool:
         match evictable:
             case Evictable.ANY:
                 return True
             case Evictable.UNUSED:
                 return not self.running(name, [state])
-        target = asked.Target(state.endpoint.entry.service, name)
+        target = caller_request.Target(state.endpoint.entry.service, name)
         others = [item for item in self.holders(target) if item is not state]
         return len(others) >= MIN_OTHER_HOLDERS and not self.running(name, [state])
 
 
 def _select_evictions(
-    state: sites.EndpointState, options: list[_Eviction], needed_mb: float
+    state: endpoint_state.EndpointState, options: list[_Eviction], needed_mb: float
 ) -> list[_Eviction] | None:
     """Return what to evict to free some memory; None if it does not suffice.
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/turns.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/prefill_pacing.py
@@ -17,23 +17,29 @@
 import logbook
 
 from mothworks import kernel, logs, messages, peers
-from mothworks_gateway import asked, declared, owners, reading, registry
+from mothworks_gateway import (
+    caller_request,
+    declaration_types,
+    owners,
+    prefill_speed,
+    registry,
+)
 
 log = logbook.Logger("turns")
 
 #: Prompt tokens per second that are sent to an endpoint whose prefill speed is unknown.
-READ_TOKENS_PER_S = 28_000.0
+DEFAULT_PREFILL_TOKENS_PER_S = 28_000.0
 #: Share of an endpoint's prefill speed that is scheduled; the rest is left for decoding
 #: the running streams.
 PREFILL_SHARE = 0.75
 #: Prefill speed that is assumed for an endpoint before it has been measured.
-DEFAULT_SPEED_TOKENS_PER_S = READ_TOKENS_PER_S / PREFILL_SHARE
+DEFAULT_SPEED_TOKENS_PER_S = DEFAULT_PREFILL_TOKENS_PER_S / PREFILL_SHARE
 #: Longest time for which an owner schedules ahead, seconds: beyond it, the endpoint is
 #: overloaded, and waiting would not help its streams.
 MAX_AHEAD_S = 0.5
 #: Upper bound of the prompt length that is scheduled: callers declare the length, and a
 #: schedule reaches no further ahead.
-MAX_TOKENS = int(READ_TOKENS_PER_S * MAX_AHEAD_S)
+MAX_TOKENS = int(DEFAULT_PREFILL_TOKENS_PER_S * MAX_AHEAD_S)
 #: Lower bound of the pace that a peer may request, prompt tokens per second.
 MIN_TOKENS_PER_S = 1_000.0
 #: Longest wait for a prefill slot, as a share of the request's objective: the prompt
@@ -63,7 +69,7 @@
     endpoint: str
     tokens: int
     urgency: int
-    tokens_per_s: float = READ_TOKENS_PER_S
+    tokens_per_s: float = DEFAULT_PREFILL_TOKENS_PER_S
 
 
 @messages.message(118)
@@ -90,14 +96,14 @@
     def __init__(self):
         #: Monotonic time at which the prompts of each rank and of all more urgent ranks
         #: are processed.
-        self.free_at_by_urgency = [0.0] * (declared.LEAST_URGENT + 1)
+        self.free_at_by_urgency = [0.0] * (declaration_types.LOWEST_URGENCY + 1)
 
     def reserve(
         self,
         tokens: int,
         urgency: int,
         now: float,
-        tokens_per_s: float = READ_TOKENS_PER_S,
+        tokens_per_s: float = DEFAULT_PREFILL_TOKENS_PER_S,
     ) -> float:
         """Reserve a prefill slot, and return the seconds until it starts.
 
@@ -116,7 +122,7 @@
         return start_at - now
 
 
-class Turns(kernel.Part):
+class PrefillPacing(kernel.Part):
     """Grants prefill slots at endpoints that this VM owns, and requests all others.
 
     :param node_kernel: the node's kernel.
@@ -127,7 +133,7 @@
         self.name = node_kernel.settings.name
         self.peers = node_kernel.get(peers.Peers)
         self.owners = node_kernel.get(owners.Owners)
-        self.reading = node_kernel.get(reading.Reading)
+        self.prefill_speed = node_kernel.get(prefill_speed.PrefillSpeed)
         self.schedule_by_endpoint: dict[str, PrefillSchedule] = {}
         self.owners.on_change.append(self.schedule_by_endpoint.clear)
         self.peers.handle(PrefillSlotRequest, self._serve)
@@ -139,7 +145,9 @@
         """Start to open missing connections to owners periodically."""
         self.tasks.every(CONNECT_INTERVAL_S, self._connect_to_owners)
 
-    def wait(self, request: asked.Asked, endpoint: registry.Endpoint) -> None:
+    def wait(
+        self, request: caller_request.CallerRequest, endpoint: registry.Endpoint
+    ) -> None:
         """Wait for a request's prefill slot at an endpoint.
 
         :param request: the request; one without a prompt does not wait.
@@ -147,8 +155,8 @@
         """
         if not request.input_tokens:
             return
-        tokens = min(request.own_tokens, MAX_TOKENS)
-        speed = self.reading.tokens_per_s(
+        tokens = min(request.unshared_tokens, MAX_TOKENS)
+        speed = self.prefill_speed.tokens_per_s(
             request.target.service, DEFAULT_SPEED_TOKENS_PER_S
         )
         pace = PREFILL_SHARE * speed
@@ -178,7 +186,7 @@
 
     def _request_slot(self, owner: str, slot_request: PrefillSlotRequest) -> float:
         """Return the seconds until a prefill slot; 0 if the owner does not reply."""
-        match self.owners.ask(
+        match self.owners.call(
             owner,
             slot_request,
             REPLY_TIMEOUT_S,
@@ -197,7 +205,7 @@
         schedule = self.schedule_by_endpoint.setdefault(
             slot_request.endpoint, PrefillSchedule()
         )
-        urgency = min(max(slot_request.urgency, 0), declared.LEAST_URGENT)
+        urgency = min(max(slot_request.urgency, 0), declaration_types.LOWEST_URGENCY)
         pace = max(slot_request.tokens_per_s, MIN_TOKENS_PER_S)
         return schedule.reserve(slot_request.tokens, urgency, time.monotonic(), pace)
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/reading.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/prefill_speed.py
@@ -1,4 +1,4 @@
-"""Reading: estimates the prefill speed of a service's endpoints, tokens per second.
+"""Prefill speed: estimates how fast endpoints prefill, tokens per second.
 
 The speed is learned from responses, since it differs several times between deployments
 and is not declared. The time to the first token grows with the prompt's length; its
@@ -14,7 +14,7 @@
 import logbook
 
 from mothworks import kernel, logs
-from mothworks_gateway import asked
+from mothworks_gateway import caller_request
 
 log = logbook.Logger("reading")
 
@@ -49,7 +49,7 @@
     seconds: float
 
 
-class Reading(kernel.Part):
+class PrefillSpeed(kernel.Part):
     """Estimates the speed at which endpoints prefill prompts.
 
     :param node_kernel: the node's kernel.
@@ -73,17 +73,17 @@
         """
         return self.speed_by_service.get(service, default)
 
-    def note(self, request: asked.Asked, seconds: float) -> None:
+    def add_sample(self, request: caller_request.CallerRequest, seconds: float) -> None:
         """Add a sample from a response that began.
 
         :param request: the request.
         :param seconds: time from sending it until then.
         """
-        if request.own_tokens <= 0:
+        if request.unshared_tokens <= 0:
             return
         service = request.target.service
         samples = self.samples_by_service[service]
-        samples.append(_Sample(request.own_tokens, seconds))
+        samples.append(_Sample(request.unshared_tokens, seconds))
         self.new_samples_by_service[service] += 1
         enough = len(samples) >= MIN_SAMPLES
         if enough and self.new_samples_by_service[service] >= SAMPLES_PER_ESTIMATE:
--- a/packages/mothworks_gateway/src/mothworks_gateway/registry.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/registry.py
@@ -28,14 +28,14 @@
     :param service: the service that it belongs to.
     :param address: IP number and port.
     :param data_centre: where it runs.
-    :param places: requests that it runs concurrently.
-    :param leaving: whether it is shutting down and must get no new requests.
-    :param left_s: time until it shuts down, seconds; None if unknown.
+    :param batch_slots: requests that it runs concurrently.
+    :param draining: whether it is shutting down and must get no new requests.
+    :param remaining_s: time until it shuts down, seconds; None if unknown.
     :param adapters_by_model: its loaded models and their adapters; None for a plain
         service.
     :param in_host_memory: models whose weights are in its host memory.
     :param on_disk: models whose weights are on its disk.
-    :param born: when it started, Unix time in milliseconds; 0 if unknown. It
+    :param started_ms: when it started, Unix time in milliseconds; 0 if unknown. It
         distinguishes the endpoint's incarnations.
     """
 
@@ -43,18 +43,18 @@
     service: str
     address: tuple[str, int]
     data_centre: str = ""
-    places: int = 1
-    leaving: bool = False
-    left_s: float | None = None
+    batch_slots: int = 1
+    draining: bool = False
+    remaining_s: float | None = None
     adapters_by_model: dict[str, frozenset[str]] | None = None
     in_host_memory: frozenset[str] = frozenset()
     on_disk: frozenset[str] = frozenset()
-    born: int = 0
+    started_ms: int = 0
 
     @property
     def id(self) -> str:
         """Return the unique id of this incarnation."""
-        return f"{self.name}@{self.born}" if self.born else self.name
+        return f"{self.name}@{self.started_ms}" if self.started_ms else self.name
 
 
 @attrs.define(eq=False)
@@ -64,7 +64,7 @@
     :param entry: the newest entry.
     :param document: the platform's document of the entry, for peers.
     :param adapters_by_model: the models and adapters assumed to be loaded now.
-    :param dismissed: why this VM sends it no new requests; empty if it does.
+    :param exclusion_reason: why this VM sends it no new requests; empty if it does.
     :param lapsed_until: monotonic time until which it stays in use although its entry
         is missing; None while the entry exists.
     """
@@ -72,7 +72,7 @@
     entry: Entry
     document: bytes = attrs.field(default=b"", repr=False)
     adapters_by_model: dict[str, frozenset[str]] = attrs.field(factory=dict)
-    dismissed: str = ""
+    exclusion_reason: str = ""
     lapsed_until: float | None = None
 
     @property
@@ -81,9 +81,9 @@
         return self.entry.id
 
     @property
-    def open(self) -> bool:
+    def available(self) -> bool:
         """Return whether it accepts new requests."""
-        return not (self.entry.leaving or self.dismissed)
+        return not (self.entry.draining or self.exclusion_reason)
 
     def holds(self, model: str, adapter: str) -> bool:
         """Return whether a model and its adapter are loaded.
@@ -117,7 +117,7 @@
         return [
             item
             for item in self.by_id.values()
-            if item.open and item.entry.service == service
+            if item.available and item.entry.service == service
         ]
 
     def put(self, entry: Entry, document: bytes) -> None:
@@ -126,12 +126,12 @@
         :param entry: the endpoint's entry.
         :param document: the platform's document of the entry.
         """
-        endpoint = self.named(entry.name)
-        if endpoint is not None and entry.born < endpoint.entry.born:
+        endpoint = self.find_by_name(entry.name)
+        if endpoint is not None and entry.started_ms < endpoint.entry.started_ms:
             # Written before the endpoint restarted, and arrived late.
             self._log(entry, "older incarnation, left out")
             return
-        if endpoint is not None and entry.born > endpoint.entry.born:
+        if endpoint is not None and entry.started_ms > endpoint.entry.started_ms:
             self._remove(endpoint, "started again")
             endpoint = None
         if endpoint is None:
@@ -142,10 +142,10 @@
         endpoint.document = document
         endpoint.lapsed_until = None
         self._update_models(endpoint, previous, entry)
-        if previous.leaving != entry.leaving:
-            self._log(entry, "leaves" if entry.leaving else "stays")
+        if previous.draining != entry.draining:
+            self._log(entry, "leaves" if entry.draining else "stays")
 
-    def named(self, name: str) -> Endpoint | None:
+    def find_by_name(self, name: str) -> Endpoint | None:
         """Return the newest incarnation of an endpoint; None if it is unknown.
 
         :param name: its name on the platform.
@@ -165,7 +165,7 @@
             although its entry is missing; it stays in use until then.
         :param reason: why it may be running, for the log.
         """
-        endpoint = self.named(name)
+        endpoint = self.find_by_name(name)
         if endpoint is None:
             return
         if time.monotonic() < suspect_until:
@@ -175,19 +175,24 @@
             return
         self._remove(endpoint, "removed")
 
-    def restarted(self, endpoint: Endpoint, born: int) -> None:
+    def record_restart(self, endpoint: Endpoint, started_ms: int) -> None:
         """Record a restart that an endpoint reported to this VM.
 
         Its new entry may arrive seconds later, or not at all while the platform is
         down. Until then, no model is assumed to be loaded.
 
         :param endpoint: the previous incarnation.
-        :param born: when the new one started; see :class:`Entry`.
+        :param started_ms: when the new one started; see :class:`Entry`.
         """
-        if self.named(endpoint.entry.name) is endpoint and born > endpoint.entry.born:
-            new_entry = attrs.evolve(endpoint.entry, born=born, adapters_by_model={})
+        if (
+            self.find_by_name(endpoint.entry.name) is endpoint
+            and started_ms > endpoint.entry.started_ms
+        ):
+            new_entry = attrs.evolve(
+                endpoint.entry, started_ms=started_ms, adapters_by_model={}
+            )
             self.put(new_entry, endpoint.document)
-            self.changed()
+            self.notify_changed()
 
     def expire(self) -> None:
         """Remove endpoints whose lapsed entries did not return in time."""
@@ -195,20 +200,20 @@
         for item in list(self.by_id.values()):
             if item.lapsed_until is not None and now > item.lapsed_until:
                 self._remove(item, "removed")
-                self.changed()
+                self.notify_changed()
 
-    def dismiss(self, endpoint: Endpoint, reason: str) -> None:
+    def exclude(self, endpoint: Endpoint, reason: str) -> None:
         """Exclude an endpoint from new requests because of its own behaviour.
 
         :param endpoint: the endpoint.
         :param reason: the observed behaviour.
         """
-        if not endpoint.dismissed:
-            endpoint.dismissed = reason
+        if not endpoint.exclusion_reason:
+            endpoint.exclusion_reason = reason
             self._log(endpoint.entry, f"dismissed: {reason}")
-            self.changed()
+            self.notify_changed()
 
-    def changed(self) -> None:
+    def notify_changed(self) -> None:
         """Call the :attr:`on_change` callbacks."""
         for notify in self.on_change:
             notify()
--- a/packages/mothworks_gateway/src/mothworks_gateway/budget.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/retry_budget.py
@@ -10,7 +10,7 @@
 import collections
 
 from mothworks import kernel
-from mothworks_gateway import fleet_size, windows
+from mothworks_gateway import fleet_size, sliding_windows
 
 #: Share of the allowance that is used; the rest covers moments in which VMs disagree
 #: on how many VMs there are.
@@ -44,13 +44,15 @@
         retries = self.retries_by_service[service]
         requests = self.requests_by_service[service].count()
         bounds = self.kernel.settings.bounds
-        slack_per_vm = bounds.retry_slack / self.fleet.most
+        slack_per_vm = bounds.retry_slack / self.fleet.peak
         allowed = ALLOWANCE_SHARE * (bounds.retry_share * requests + slack_per_vm)
         if retries.count() + 1 > allowed:
             return False
         retries.add()
         return True
 
-    def _new_window_by_service(self) -> collections.defaultdict[str, windows.Window]:
+    def _new_window_by_service(
+        self,
+    ) -> collections.defaultdict[str, sliding_windows.WindowedCount]:
         seconds = self.kernel.settings.bounds.retry_window_s
-        return collections.defaultdict(lambda: windows.Window(seconds))
+        return collections.defaultdict(lambda: sliding_windows.WindowedCount(seconds))
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -17,18 +17,18 @@
 
 from mothworks import kernel, logs
 from mothworks_gateway import (
-    asked,
+    caller_request,
+    declaration_types,
     declarations,
-    declared,
     demand,
     discovery,
+    endpoint_state,
+    job_execution,
     lease,
-    load,
-    offers,
-    ordering,
+    order_sender,
+    placement_candidates,
     residency,
-    site_orders,
-    sites,
+    running_requests,
 )
 
 log = logbook.Logger("scheduler")
@@ -114,18 +114,18 @@
         self.lease = node_kernel.get(lease.Lease)
         self.declarations = node_kernel.get(declarations.Declarations)
         self.discovery = node_kernel.get(discovery.Discovery)
-        self.load = node_kernel.get(load.Load)
-        self.ordering = node_kernel.get(ordering.Ordering)
-        self.site_orders = node_kernel.get(site_orders.SiteOrders)
+        self.running_requests = node_kernel.get(running_requests.RunningRequests)
+        self.job_executor = node_kernel.get(job_execution.JobExecutor)
+        self.order_sender = node_kernel.get(order_sender.OrderSender)
         self.demand = node_kernel.get(demand.Demand)
-        self.placement = node_kernel.get(offers.Placement)
-        self.spread_at_by_target: dict[asked.Target, float] = {}
+        self.placement = node_kernel.get(placement_candidates.Placement)
+        self.spread_at_by_target: dict[caller_request.Target, float] = {}
         self.last_cover_at = 0.0
         self.woken = gevent.event.Event()
         node_kernel.get(residency.Residency).on_waiting.append(
             lambda *_: self.woken.set()
         )
-        self.lease.on_gained.append(self._on_lease_acquired)
+        self.lease.on_acquired.append(self._on_lease_acquired)
 
     def start(self) -> None:
         """Start the scheduling loop; it schedules while this VM holds the lease."""
@@ -138,18 +138,18 @@
             holds_lease = self.lease.held()
             # The lease holder batches changes only briefly: it informs the other VMs.
             batch_s = HOLDER_BATCH_S if holds_lease else self.discovery.batch_s
-            self.discovery.follower.batch_for(batch_s)
+            self.discovery.follower.set_batch_time(batch_s)
             if holds_lease and self.declarations.current is not None:
                 started_at = time.monotonic()
                 self._schedule(self.declarations.current)
                 gevent.sleep(PAUSE_FACTOR * (time.monotonic() - started_at))
 
     def _on_lease_acquired(self) -> None:
-        self.ordering.reset()
+        self.job_executor.reset()
         self.woken.set()
 
-    def _schedule(self, declaration: declared.Declaration) -> None:
-        self.ordering.update_endpoints(declaration)
+    def _schedule(self, declaration: declaration_types.Declaration) -> None:
+        self.job_executor.update_endpoints(declaration)
         self.placement.clear_caches()
         unmet_demands = self.demand.unmet()
         cover_due = time.monotonic() - self.last_cover_at > COVER_INTERVAL_S
@@ -167,10 +167,10 @@
                     self._cover(service.name, service.accelerator)
                 if not unmet_demands and self.demand.total() < COPY_MAX_RATE_PER_S:
                     self._copy(service.name, service.accelerator)
-        self.ordering.start_work()
+        self.job_executor.start_work()
 
     def _load_for_waiting(
-        self, unmet: demand.UnmetDemand, accelerator: declared.Accelerator
+        self, unmet: demand.UnmetDemand, accelerator: declaration_types.Accelerator
     ) -> None:
         """Load a model or adapter that callers wait for."""
         holders = self.placement.holders(unmet.target.base)
@@ -179,7 +179,7 @@
             return
         # Callers that were refused with a time to retry after are not in the count.
         callers = max(unmet.count, self.demand.rate(unmet.target.base) * RETRY_WINDOW_S)
-        if len(holders) > callers // (REPLICA_BATCH_SHARE * accelerator.batch):
+        if len(holders) > callers // (REPLICA_BATCH_SHARE * accelerator.batch_slots):
             return
         model = accelerator.model_by_name[unmet.target.model]
         late_s = max(0.0, -unmet.left_s)
@@ -187,11 +187,11 @@
             WAITING_COST_LIMIT + WAITING_COST_LIMIT_PER_S * late_s
         )
         target, count = unmet.target.base, unmet.count
-        any_model = offers.Evictable.ANY
+        any_model = placement_candidates.Evictable.ANY
         self._place_model(target, model, CALLERS_WAITING, cost_limit, count, any_model)
 
     def _place_adapter(
-        self, unmet: demand.UnmetDemand, states: list[sites.EndpointState]
+        self, unmet: demand.UnmetDemand, states: list[endpoint_state.EndpointState]
     ) -> None:
         if self.placement.holders(unmet.target):
             return
@@ -199,16 +199,21 @@
             state
             for state in states
             if unmet.target.model in state.adapters_by_model
-            and self.ordering.has_adapter_slot(state)
+            and self.job_executor.has_adapter_slot(state)
         ]
         if with_slot:
             state = min(with_slot, key=self._pressure)
-            self._queue_job(state, sites.Job(unmet.target.model, unmet.target.adapter))
+            self._queue_job(
+                state, endpoint_state.Job(unmet.target.model, unmet.target.adapter)
+            )
             self._log_decision(unmet.target, state, CALLERS_WAITING)
 
-    def _pressure(self, state: sites.EndpointState) -> float:
-        batch_share = self.load.of_endpoint(state.endpoint.id) / state.accelerator.batch
-        adapter_share = state.adapter_count() / max(1, state.accelerator.adapter_places)
+    def _pressure(self, state: endpoint_state.EndpointState) -> float:
+        batch_share = (
+            self.running_requests.of_endpoint(state.endpoint.id)
+            / state.accelerator.batch_slots
+        )
+        adapter_share = state.adapter_count() / max(1, state.accelerator.adapter_slots)
         # An adapter waits for seconds behind a model that is loaded or unloaded.
         loading = LOADING_PRESSURE if state.occupied else 0.0
         return (
@@ -220,20 +225,22 @@
 
     def _place_model(
         self,
-        target: asked.Target,
-        model: declared.Model,
+        target: caller_request.Target,
+        model: declaration_types.Model,
         reason: str,
         cost_limit: float,
         callers: int,
-        evictable: offers.Evictable = offers.Evictable.UNUSED,
-    ) -> offers.Candidate | None:
+        evictable: placement_candidates.Evictable = (
+            placement_candidates.Evictable.UNUSED
+        ),
+    ) -> placement_candidates.Candidate | None:
         """Queue a load on the cheapest endpoint whose evictions cost little enough."""
         share = COPY_STORE_SHARE if reason in (NOT_HELD, COPY) else 1.0
         candidates = [
             candidate
             for candidate in self.placement.candidates(target.service, model, evictable)
             if candidate.eviction_cost <= cost_limit
-            and self.site_orders.may_load(candidate.state, model, share)
+            and self.order_sender.may_load(candidate.state, model, share)
             # Loading from an existing copy is the cheapest, but adds no copy.
             and not (reason == COPY and model.name in candidate.state.local_models())
         ]
@@ -243,19 +250,21 @@
             default=None,
         )
         if best is not None:
-            job = sites.Job(model.name, "", best.evictions, best.forced)
+            job = endpoint_state.Job(model.name, "", best.evictions, best.forced)
             self._queue_job(best.state, job)
             self._log_decision(target, best.state, reason, best)
         return best
 
-    def _queue_job(self, state: sites.EndpointState, job: sites.Job) -> None:
+    def _queue_job(
+        self, state: endpoint_state.EndpointState, job: endpoint_state.Job
+    ) -> None:
         state.add(job)
         self.placement.clear_caches()
 
-    def _spread(self, service: str, accelerator: declared.Accelerator) -> None:
+    def _spread(self, service: str, accelerator: declaration_types.Accelerator) -> None:
         """Add an endpoint for each model whose endpoints are slow or nearly full."""
         for model in accelerator.model_by_name.values():
-            target = asked.Target(service, model.name)
+            target = caller_request.Target(service, model.name)
             if self.demand.rate(target) < SPREAD_MIN_RATE_PER_S:
                 continue
             self._spread_by_demand(target, model)
@@ -265,7 +274,9 @@
                 cost_limit = SPREAD_COST_LIMIT + SPREAD_COST_LIMIT_PER_LATE * late_per_s
                 self._place_model(target, model, SLOW, cost_limit, 1)
 
-    def _spread_by_demand(self, target: asked.Target, model: declared.Model) -> None:
+    def _spread_by_demand(
+        self, target: caller_request.Target, model: declaration_types.Model
+    ) -> None:
         """Load a model on as many endpoints as its prompts need, all at once.
 
         When demand moves to a model, its prompts exceed what one endpoint can prefill
@@ -281,14 +292,14 @@
                 DEMAND,
                 value / MIN_VALUE_FACTOR,
                 round(value),
-                offers.Evictable.ANY,
+                placement_candidates.Evictable.ANY,
             )
             if candidate is None:
                 return
             replicas += 1
 
     def _needs_more(
-        self, target: asked.Target, accelerator: declared.Accelerator
+        self, target: caller_request.Target, accelerator: declaration_types.Accelerator
     ) -> bool:
         """Return whether a model has too few endpoints for its callers."""
         since_last_s = time.monotonic() - self.spread_at_by_target.get(target, 0.0)
@@ -296,63 +307,63 @@
         if since_last_s < SPREAD_INTERVAL_S or not holders:
             return False
         running = self.placement.running(target.model, holders)
-        slots = accelerator.batch * self.placement.capacity(holders)
+        slots = accelerator.batch_slots * self.placement.capacity(holders)
         if any(target.model not in state.adapters_by_model for state in holders):
             # Another endpoint is loading the model, which takes up to four seconds.
             return running > SPREAD_LOADING_BATCH_SHARE * slots
         full = running > SPREAD_BATCH_SHARE * slots
         return full or self.demand.late.rate(target) > SPREAD_LATE_PER_S
 
-    def _cover(self, service: str, accelerator: declared.Accelerator) -> None:
+    def _cover(self, service: str, accelerator: declaration_types.Accelerator) -> None:
         """Load models that no endpoint holds where they replace only spare replicas.
 
         Otherwise their callers would wait for a load, which takes up to four seconds.
         """
         cost_by_model = {}
         for model in accelerator.model_by_name.values():
-            target = asked.Target(service, model.name)
+            target = caller_request.Target(service, model.name)
             if not self.placement.holders(target):
                 cost_by_model[model.name] = self.placement.unavailability_cost(
                     target, model
                 )
         for name in sorted(cost_by_model, key=cost_by_model.get, reverse=True):
             model = accelerator.model_by_name[name]
-            target = asked.Target(service, name)
-            spare_only = offers.Evictable.SPARE
+            target = caller_request.Target(service, name)
+            spare_only = placement_candidates.Evictable.SPARE
             self._place_model(
                 target, model, NOT_HELD, cost_by_model[name], 0, spare_only
             )
 
-    def _copy(self, service: str, accelerator: declared.Accelerator) -> None:
+    def _copy(self, service: str, accelerator: declaration_types.Accelerator) -> None:
         """Load each model with too few copies once on another endpoint.
 
         The models that it replaces are reloaded afterwards, which is fast because they
         stay in the endpoint's host memory.
         """
         copies_by_model: collections.Counter[str] = collections.Counter()
-        for state in self.ordering.of_service(service):
+        for state in self.job_executor.of_service(service):
             if not state.known:
                 return
             copies_by_model.update(state.local_models())
         models = accelerator.model_by_name.values()
         for model in sorted(models, key=lambda item: copies_by_model[item.name]):
-            faster_from_disk = model.disk_s < model.store_s
+            faster_from_disk = model.disk_load_s < model.store_load_s
             if faster_from_disk and copies_by_model[model.name] < MIN_COPIES:
-                target = asked.Target(service, model.name)
+                target = caller_request.Target(service, model.name)
                 candidate = self._place_model(target, model, COPY, COPY_COST_LIMIT, 0)
                 if candidate is not None:
                     candidate.state.copied.add(model.name)
                     for name in candidate.evictions:
                         self._queue_job(
-                            candidate.state, sites.Job(name, "", (model.name,))
+                            candidate.state, endpoint_state.Job(name, "", (model.name,))
                         )
 
     def _log_decision(
         self,
-        target: asked.Target,
-        state: sites.EndpointState,
+        target: caller_request.Target,
+        state: endpoint_state.EndpointState,
         reason: str,
-        candidate: offers.Candidate | None = None,
+        candidate: placement_candidates.Candidate | None = None,
     ) -> None:
         logs.event(
             log,
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -18,15 +18,15 @@
 
 from mothworks import kernel, logs, messages, peers
 from mothworks_gateway import (
-    asked,
-    bucket,
+    caller_request,
     client_accounts,
-    declared,
+    declaration_types,
     endpoint_limits,
     heartbeat,
     registry,
     shared_budgets,
-    windows,
+    sliding_windows,
+    token_bucket,
 )
 
 log = logbook.Logger("send_slots")
@@ -179,14 +179,16 @@
         self.limits.on_change.append(self._on_limit_change)
         self.budgets = node_kernel.get(shared_budgets.SharedBudgets)
         self.budgets.on_spent.append(self._on_spent)
-        self.bucket_by_id: dict[str, bucket.Bucket] = {}
-        self.budgets.on_begin.append(self.bucket_by_id.clear)
+        self.bucket_by_id: dict[str, token_bucket.TokenBucket] = {}
+        self.budgets.on_reset.append(self.bucket_by_id.clear)
         self.refusals_by_id = collections.defaultdict(RefusalStreak)
         #: Endpoints whose bucket was set to a random level and granted no slot since.
         self.randomised_ids: set[str] = set()
         #: Monotonic time until which, by its owner's reply, an endpoint is full.
         self.full_until_by_id: dict[str, float] = {}
-        self.sent_by_id = collections.defaultdict(lambda: windows.Window(RATE_WINDOW_S))
+        self.sent_by_id = collections.defaultdict(
+            lambda: sliding_windows.WindowedCount(RATE_WINDOW_S)
+        )
         self.peers.handle(SendSlotRequest, self._serve)
         metrics = node_kernel.metrics
         self.limit_gauge = metrics.gauge(
@@ -204,7 +206,7 @@
 
     def acquire(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         ranked: list[registry.Endpoint],
         max_wait_s: float,
     ) -> result.Result[SendSlot, AtLimit]:
@@ -256,7 +258,10 @@
         return time.monotonic() < self.full_until_by_id.get(endpoint.id, 0.0)
 
     def _request_slot(
-        self, request: asked.Asked, endpoint: registry.Endpoint, ahead_s: float
+        self,
+        request: caller_request.CallerRequest,
+        endpoint: registry.Endpoint,
+        ahead_s: float,
     ) -> result.Result[SendSlot, AtLimit]:
         """Request a slot at one endpoint from the owner of its limit."""
         limit = self.limits.limit_by_id.get(endpoint.id)
@@ -266,7 +271,7 @@
         row = endpoint_limits.row_from_limit(endpoint.id, limit, now)
         slot_request = SendSlotRequest(row, ahead_s, request.urgency)
         age_s = now - limit.sent_at
-        for owner in self.budgets.lenders(owner_key(endpoint.id)):
+        for owner in self.budgets.responsive_owners(owner_key(endpoint.id)):
             reply = self._request_from(owner, slot_request)
             if reply is None or not reply.is_owner:
                 continue
@@ -289,7 +294,7 @@
 
     def _log_granted(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         per_s: float,
         owner: str,
@@ -310,7 +315,7 @@
     ) -> SendSlotReply | None:
         if owner == self.name:
             return self._grant(slot_request)
-        match self.budgets.ask(
+        match self.budgets.call_owner(
             owner, slot_request, f"the limit of {slot_request.endpoint_id}"
         ):
             case SendSlotReply() as reply:
@@ -320,7 +325,7 @@
     def _serve(
         self, vm: str, slot_request: SendSlotRequest, reply: peers.Answer
     ) -> None:
-        self.limits.receive([slot_request.row], vm)
+        self.limits.merge([slot_request.row], vm)
         reply(self._grant(slot_request))
 
     def _grant(self, slot_request: SendSlotRequest) -> SendSlotReply:
@@ -328,20 +333,20 @@
         if self.limits.per_s(endpoint_id) is None:
             # The limit was lifted, which the requesting VM does not know yet.
             return SendSlotReply(True, True)
-        if not self.budgets.may_lend():
+        if not self.budgets.may_grant():
             return SendSlotReply(False)
         now = time.monotonic()
-        limit_bucket = self._bucket_of(endpoint_id)
-        if limit_bucket.cap.burst < BURST:
-            self._randomise_level(endpoint_id, limit_bucket)
-        rank = min(max(slot_request.urgency, 0), declared.LEAST_URGENT)
+        bucket = self._bucket_of(endpoint_id)
+        if bucket.cap.burst < BURST:
+            self._randomise_level(endpoint_id, bucket)
+        rank = min(max(slot_request.urgency, 0), declaration_types.LOWEST_URGENCY)
         refusal_streak = self.refusals_by_id[endpoint_id]
         max_ahead_s = (
             OVERLOAD_MAX_AHEAD_S if refusal_streak.is_sustained(now) else MAX_AHEAD_S
         )
         ahead_s = min(slot_request.ahead_s, max_ahead_s / (1 + rank))
-        wait_s = limit_bucket.wait_s(1, now)
-        retry_after_s = limit_bucket.take(1, now, ahead_s)
+        wait_s = bucket.wait_s(1, now)
+        retry_after_s = bucket.acquire(1, now, ahead_s)
         if retry_after_s:
             if slot_request.ahead_s:
                 refusal_streak.add(now)
@@ -349,32 +354,34 @@
         self.randomised_ids.discard(endpoint_id)
         return SendSlotReply(True, True, wait_s)
 
-    def _randomise_level(self, endpoint_id: str, limit_bucket: bucket.Bucket) -> None:
+    def _randomise_level(
+        self, endpoint_id: str, bucket: token_bucket.TokenBucket
+    ) -> None:
         """Randomise the level of a full bucket on a small side of a network partition.
 
         Several hundred VMs that are all cut off from each other would otherwise send
         their first requests at the same moment.
         """
         now = time.monotonic()
-        full = not limit_bucket.wait_s(1, now)
+        full = not bucket.wait_s(1, now)
         if full and endpoint_id not in self.randomised_ids:
             self.randomised_ids.add(endpoint_id)
-            limit_bucket.note(random.random(), now)
+            bucket.debit(random.random(), now)
 
-    def _bucket_of(self, endpoint_id: str) -> bucket.Bucket:
+    def _bucket_of(self, endpoint_id: str) -> token_bucket.TokenBucket:
         """Return the token bucket of an endpoint that reports a limit."""
         now = time.monotonic()
         per_s = max(MIN_RATE_PER_S, self.limits.per_s(endpoint_id))
-        cap = client_accounts.UsageCap(per_s, BURST).part(self.budgets.part())
-        limit_bucket = self.bucket_by_id.get(endpoint_id)
-        if limit_bucket is None:
+        cap = client_accounts.UsageCap(per_s, BURST).scaled(self.budgets.share())
+        bucket = self.bucket_by_id.get(endpoint_id)
+        if bucket is None:
             empty_since = max(now - cap.burst / cap.per_s, self.budgets.synced_since)
-            limit_bucket = self.bucket_by_id[endpoint_id] = bucket.Bucket(
+            bucket = self.bucket_by_id[endpoint_id] = token_bucket.TokenBucket(
                 cap, empty_since
             )
-        elif limit_bucket.cap != cap:
-            limit_bucket.change(cap, now)
-        return limit_bucket
+        elif bucket.cap != cap:
+            bucket.set_cap(cap, now)
+        return bucket
 
     def _on_limit_change(self, endpoint_id: str) -> None:
         """Apply a changed limit at once."""
@@ -383,17 +390,17 @@
         if per_s is None:
             self.bucket_by_id.pop(endpoint_id, None)
             return
-        limit_bucket = self.bucket_by_id.get(endpoint_id)
-        if limit_bucket is not None and per_s < limit_bucket.cap.per_s:
+        bucket = self.bucket_by_id.get(endpoint_id)
+        if bucket is not None and per_s < bucket.cap.per_s:
             # Slots granted ahead under the higher limit are void and are requested
             # again, so the credit that they used is returned.
-            limit_bucket.note(min(0.0, limit_bucket.level), time.monotonic())
+            bucket.debit(min(0.0, bucket.level), time.monotonic())
 
     def _on_spent(self, budget: str, _: str, units: float) -> None:
         """Debit what other owners granted, in case this VM becomes the owner."""
         endpoint_id = budget.removeprefix(BUDGET_PREFIX)
         if endpoint_id != budget and self.limits.per_s(endpoint_id) is not None:
-            self._bucket_of(endpoint_id).note(units, time.monotonic())
+            self._bucket_of(endpoint_id).debit(units, time.monotonic())
 
     def _report(self) -> None:
         """Update the metrics, and drop the state of endpoints without a limit."""
--- a/packages/mothworks_gateway/src/mothworks_gateway/answering.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/stream_relay.py
@@ -7,7 +7,7 @@
 import result
 
 from mothworks import connections, logs, transport
-from mothworks_gateway import adapters, asked, events, registry
+from mothworks_gateway import adapters, caller_request, registry, server_sent_events
 
 log = logbook.Logger("answering")
 
@@ -30,7 +30,7 @@
     def __init__(
         self,
         attempts,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         endpoint: registry.Endpoint,
         answer: transport.HttpAnswer,
     ):
@@ -44,7 +44,9 @@
         self.closed = False
         self.relayed_bytes = 0
         self.longest_gap_s = 0.0
-        self.cutter = events.Cutter() if request.route.resumable else None
+        self.event_splitter = (
+            server_sent_events.EventSplitter() if request.route.resumable else None
+        )
 
     def __iter__(self) -> collections.abc.Iterator[bytes]:
         """Yield the stream's bytes; raises BrokenAnswer if it ends early."""
@@ -53,7 +55,7 @@
                 try:
                     yield from self._chunks()
                     self.outcome = "complete"
-                    self.attempts.poison.clear(self.request)
+                    self.attempts.poison_requests.clear(self.request)
                     return
                 except transport.FAILURES as error:
                     reason = str(error)
@@ -77,7 +79,7 @@
             endpoint=self.endpoint.id,
             bytes=self.relayed_bytes,
             longest_gap_ms=round(self.longest_gap_s * 1000),
-            took_ms=round((time.monotonic() - self.request.arrived) * 1000),
+            took_ms=round((time.monotonic() - self.request.received_at) * 1000),
             outcome=self.outcome,
         )
 
@@ -87,44 +89,46 @@
             now = time.monotonic()
             self.longest_gap_s = max(self.longest_gap_s, now - last_chunk_at)
             last_chunk_at = now
-            if self.cutter is not None:
-                data = self.cutter.feed(data)
+            if self.event_splitter is not None:
+                data = self.event_splitter.feed(data)
             if data:
                 self.relayed_bytes += len(data)
                 yield data
-        if self.cutter is not None and self.cutter.rest:
+        if self.event_splitter is not None and self.event_splitter.buffer:
             raise ConnectionResetError("the stream ended inside an event")
 
     def _release(self) -> None:
         if self.open:
             self.open = False
             self.answer.close()
-            self.attempts.load.end(self.endpoint, self.request.target)
-            gap_s = self.request.route.gap_s
-            if gap_s and self.longest_gap_s > gap_s:
-                self.attempts.load.note_late(self.request.target)
+            self.attempts.running_requests.request_ended(
+                self.endpoint, self.request.target
+            )
+            max_gap_s = self.request.route.max_gap_s
+            if max_gap_s and self.longest_gap_s > max_gap_s:
+                self.attempts.running_requests.record_late(self.request.target)
 
     def _record_break(self, reason: str) -> None:
-        self.outcome = f"broken off: {reason}"[:100]
+        self.outcome = f"broke: {reason}"[:100]
         if time.monotonic() >= self.request.deadline - MIN_RESUME_S:
             return
-        self.attempts.health.failed(self.endpoint, reason)
-        if self.endpoint.open:
-            self.attempts.poison.record_crash(self.request, self.endpoint)
+        self.attempts.health.record_failure(self.endpoint, reason)
+        if self.endpoint.available:
+            self.attempts.poison_requests.record_crash(self.request, self.endpoint)
 
     def _resume(self) -> bool:
         """Resume the stream at another endpoint; returns whether that succeeded."""
         route = self.request.route
-        if self.cutter is None or len(self.tried_ids) >= route.most_endpoints:
+        if self.event_splitter is None or len(self.tried_ids) >= route.max_endpoints:
             return False
-        if self.relayed_bytes and not self.cutter.last_id:
+        if self.relayed_bytes and not self.event_splitter.last_id:
             return False
         left_s = self.request.deadline - time.monotonic()
-        if left_s < MIN_RESUME_S or not self.attempts.budget.try_spend(
+        if left_s < MIN_RESUME_S or not self.attempts.retry_budget.try_spend(
             self.request.target.service
         ):
             return False
-        ready = self.attempts.choice.candidates(self.request).ready
+        ready = self.attempts.endpoint_selection.candidates(self.request).ready
         untried = [item for item in ready if item.id not in self.tried_ids]
         if not untried:
             return False
@@ -137,19 +141,19 @@
     def _resume_at(self, endpoint: registry.Endpoint, left_s: float) -> bool:
         protocol = self.attempts.protocol
         self.tried_ids.add(endpoint.id)
-        self.cutter.rest = b""
-        last_id = self.cutter.last_id
+        self.event_splitter.buffer = b""
+        last_id = self.event_splitter.last_id
         deadline = self.request.deadline
         sent_at = time.monotonic()
         sent = protocol.send(endpoint, self.request, left_s, deadline, last_id)
         resumed = False
         match sent:
             case result.Ok(answer):
-                verdict = protocol.judge(self.request, answer)
+                kind = protocol.classify_response(self.request, answer)
                 self.attempts.update_limit(
-                    self.request, endpoint, answer, verdict, sent_at
+                    self.request, endpoint, answer, kind, sent_at
                 )
-                resumed = verdict is adapters.Verdict.ANSWER
+                resumed = kind is adapters.ResponseKind.ANSWER
                 if not resumed:
                     answer.close()
         logs.event(
@@ -165,5 +169,7 @@
             self.answer = answer
             self.endpoint = endpoint
             self.open = True
-            self.attempts.load.begin(endpoint, self.request.target)
+            self.attempts.running_requests.request_started(
+                endpoint, self.request.target
+            )
         return resumed
--- a/packages/mothworks_gateway/tests/modelled_endpoint.py
+++ b/packages/mothworks_gateway/tests/modelled_endpoint.py
@@ -13,13 +13,13 @@
 from mothworks import peers
 from mothworks_gateway import (
     adapters,
-    declared,
+    declaration_types,
     discovery,
     endpoints_client,
     late_orders,
     lease,
+    order_sender,
     residency,
-    site_orders,
 )
 
 MEMORY_MB = 83.0
@@ -30,10 +30,12 @@
 def accelerator(memory_mb=MEMORY_MB, **size_by_model):
     """Return the declaration of what such an endpoint can hold."""
     models = {
-        name: declared.Model(name, size, 8, ADAPTER_MB, 0.05, 0.03, 0.02)
+        name: declaration_types.Model(name, size, 8, ADAPTER_MB, 0.05, 0.03, 0.02)
         for name, size in size_by_model.items()
     }
-    return declared.Accelerator(memory_mb, ADAPTER_SLOTS, 96, 100_000, 5.0, models)
+    return declaration_types.Accelerator(
+        memory_mb, ADAPTER_SLOTS, 96, 100_000, 5.0, models
+    )
 
 
 class ModelledEndpoint:
@@ -45,7 +47,7 @@
     def __init__(self, declared_as):
         self.declared_as = declared_as
         self.crashes = 0
-        self.born = 0
+        self.started_ms = 0
         #: Faults of the next orders' responses; None for a normal response.
         self.faults = []
         #: Orders without a response, which may be executed later.
@@ -54,13 +56,13 @@
 
     def start(self, holding=()):
         """Start with some models loaded."""
-        self.accepted = 0
+        self.accepted_orders = 0
         self.busy = False
         self.adapters_by_model = {name: set() for name in holding}
 
     def restart(self):
         """Restart empty under the same name."""
-        self.born += 1
+        self.started_ms += 1
         self.start()
 
     def inventory(self, _):
@@ -69,11 +71,13 @@
             for name, held_adapters in self.adapters_by_model.items()
         )
         return result.Ok(
-            adapters.Inventory(self.accepted, self.busy, holdings, born=self.born)
+            adapters.Inventory(
+                self.accepted_orders, self.busy, holdings, started_ms=self.started_ms
+            )
         )
 
-    def order(self, _, order, valid):
-        if not valid():
+    def order(self, _, order, may_send):
+        if not may_send():
             return adapters.OrderOutcome.UNSENT
         fault = self.faults.pop(0) if self.faults else None
         if fault == "unanswered":
@@ -84,7 +88,7 @@
 
     def receive(self, order):
         """Handle an order, now or late."""
-        if self.busy or order.accepted != self.accepted:
+        if self.busy or order.expected_orders != self.accepted_orders:
             return adapters.OrderOutcome.CONFLICT
         held_adapters = self.adapters_by_model.get(order.model)
         has = held_adapters is not None and (
@@ -94,7 +98,7 @@
             return adapters.OrderOutcome.DONE
         if order.adapter and held_adapters is None:
             return adapters.OrderOutcome.REFUSED
-        self.accepted += 1
+        self.accepted_orders += 1
         self._change(order, held_adapters)
         self.busy = not order.adapter
         if self.overfull():
@@ -141,7 +145,7 @@
     def held(self):
         return not self.lapsed
 
-    def refused(self, _):
+    def fence_rejected(self, _):
         self.lapsed = True
 
 
@@ -167,7 +171,7 @@
 
 
 def make_site_orders(endpoint, view, vms, held_lease=None):
-    """Return the site orders of a lease holder, connected to an endpoint."""
+    """Return the order sender of a lease holder, connected to an endpoint."""
     parts = {
         discovery.Discovery: types.SimpleNamespace(registry=view),
         endpoints_client.EndpointsClient: types.SimpleNamespace(protocol=endpoint),
@@ -177,4 +181,4 @@
     }
     kernel = gateway_builders.Kernel(parts)
     parts[late_orders.LateOrders] = late_orders.LateOrders(kernel)
-    return site_orders.SiteOrders(kernel)
+    return order_sender.OrderSender(kernel)
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -6,22 +6,22 @@
 
 import gateway_builders
 from mothworks_gateway import (
-    asked,
+    caller_request,
+    declaration_types,
     declarations,
-    declared,
     demand,
     discovery,
     endpoint_limits,
+    endpoint_state,
     heartbeat,
+    job_execution,
     lease,
-    load,
-    offers,
-    ordering,
-    reading,
+    order_sender,
+    placement_candidates,
+    prefill_speed,
     residency,
+    running_requests,
     scheduler,
-    site_orders,
-    sites,
 )
 
 SERVICE = "s"
@@ -32,14 +32,14 @@
 
     def __init__(self, monkeypatch):
         self.now = 100.0
-        for module in (demand, scheduler, sites):
+        for module in (demand, scheduler, endpoint_state):
             monkeypatch.setattr(module, "time", self)
 
     def monotonic(self):
         return self.now
 
 
-class Load:
+class RunningRequests:
     """Stub of the running requests: none but those that a test sets."""
 
     def __init__(self):
@@ -67,25 +67,25 @@
     def __init__(self, clock, accelerator, holding):
         self.clock = clock
         self.accelerator = accelerator
-        self.load = Load()
+        self.running_requests = RunningRequests()
         #: Rate limits that endpoints advertise, requests per second.
         self.limit_by_id = {}
-        self.ordering = types.SimpleNamespace(
-            of_service=lambda _: list(self.sites),
+        self.job_executor = types.SimpleNamespace(
+            of_service=lambda _: list(self.states),
             update_endpoints=lambda _: None,
             start_work=lambda: None,
         )
-        self.sites = [
+        self.states = [
             state_of(f"i-{number}", accelerator, models)
             for number, models in enumerate(holding)
         ]
         parts = {
-            load.Load: self.load,
-            ordering.Ordering: self.ordering,
-            site_orders.SiteOrders: types.SimpleNamespace(may_load=lambda *_: True),
+            running_requests.RunningRequests: self.running_requests,
+            job_execution.JobExecutor: self.job_executor,
+            order_sender.OrderSender: types.SimpleNamespace(may_load=lambda *_: True),
             residency.Residency: types.SimpleNamespace(on_waiting=[]),
             heartbeat.Heartbeats: types.SimpleNamespace(on_received=[]),
-            lease.Lease: types.SimpleNamespace(on_gained=[], fence=1),
+            lease.Lease: types.SimpleNamespace(on_acquired=[], fence=1),
             declarations.Declarations: None,
             discovery.Discovery: None,
             endpoint_limits.EndpointLimits: types.SimpleNamespace(
@@ -93,18 +93,22 @@
             ),
         }
         kernel = gateway_builders.Kernel(parts)
-        parts[reading.Reading] = self.reading = reading.Reading(kernel)
+        parts[prefill_speed.PrefillSpeed] = self.prefill_speed = (
+            prefill_speed.PrefillSpeed(kernel)
+        )
         parts[demand.Demand] = self.demand = demand.Demand(kernel)
-        parts[offers.Placement] = self.placement = offers.Placement(kernel)
+        parts[placement_candidates.Placement] = self.placement = (
+            placement_candidates.Placement(kernel)
+        )
         self.scheduler = scheduler.Scheduler(kernel)
-        service = declared.Service(SERVICE, accelerator=accelerator)
-        self.declaration = declared.Declaration(1, (), {SERVICE: service})
+        service = declaration_types.Service(SERVICE, accelerator=accelerator)
+        self.declaration = declaration_types.Declaration(1, (), {SERVICE: service})
 
-    def ask(self, model, per_s, tokens, seconds):
+    def send_requests(self, model, per_s, tokens, seconds):
         """Send requests at a steady rate, with a scheduling pass per heartbeat."""
-        for _ in range(round(seconds / heartbeat.HEARTBEAT_S)):
-            self.clock.now += heartbeat.HEARTBEAT_S
-            count = per_s * heartbeat.HEARTBEAT_S
+        for _ in range(round(seconds / heartbeat.INTERVAL_S)):
+            self.clock.now += heartbeat.INTERVAL_S
+            count = per_s * heartbeat.INTERVAL_S
             arrived = ((SERVICE, model, "", count, round(count * tokens)),)
             message = heartbeat.Heartbeat(1, 1, 0, arrived=arrived)
             self.demand._on_heartbeat("vm-1", message)
@@ -117,7 +121,7 @@
 
 def target(model):
     """Return the target of requests for a model."""
-    return asked.Target(SERVICE, model)
+    return caller_request.Target(SERVICE, model)
 
 
 def state_of(name, accelerator, models):
@@ -125,19 +129,20 @@
     endpoint = gateway_builders.endpoint(name, SERVICE, models=models)
     on_disk = frozenset(accelerator.model_by_name)
     endpoint.entry = attrs.evolve(endpoint.entry, on_disk=on_disk)
-    state = sites.EndpointState(endpoint, accelerator)
-    state.accepted = 0
+    state = endpoint_state.EndpointState(endpoint, accelerator)
+    state.accepted_orders = 0
     state.adapters_by_model = {model: set() for model in models}
     return state
 
 
-def accelerator_for(names, batch):
+def accelerator_for(names, batch_slots):
     """Return endpoints with memory for two large models that may hold given models.
 
     :param names: the models' names.
-    :param batch: batch slots of an endpoint.
+    :param batch_slots: batch slots of an endpoint.
     """
     models = {
-        name: declared.Model(name, 34_300.0, 0, 0.0, 4.0, 1.0, 0.8) for name in names
+        name: declaration_types.Model(name, 34_300.0, 0, 0.0, 4.0, 1.0, 0.8)
+        for name in names
     }
-    return declared.Accelerator(83_000.0, 8, batch, 133_000, 2.2, models)
+    return declaration_types.Accelerator(83_000.0, 8, batch_slots, 133_000, 2.2, models)
--- a/packages/mothworks_gateway/tests/test_adapters_in_demand.py
+++ b/packages/mothworks_gateway/tests/test_adapters_in_demand.py
@@ -14,32 +14,32 @@
 import gateway_builders
 import scheduling_builders
 from mothworks_gateway import (
-    declared,
+    declaration_types,
     demand,
     discovery,
+    job_execution,
     lease,
-    load,
-    ordering,
+    order_sender,
     registry,
     residency,
-    site_orders,
+    running_requests,
 )
 
 ADAPTER_SLOTS = 8
-ACCELERATOR = declared.Accelerator(
+ACCELERATOR = declaration_types.Accelerator(
     83_000.0,
     ADAPTER_SLOTS,
     96,
     133_000,
     2.2,
-    {"m": declared.Model("m", 34_300.0, 25, 40.0)},
+    {"m": declaration_types.Model("m", 34_300.0, 25, 40.0)},
 )
 
 
 @pytest.fixture
 def clock(monkeypatch):
     clock_stub = scheduling_builders.Clock(monkeypatch)
-    monkeypatch.setattr(ordering, "time", clock_stub)
+    monkeypatch.setattr(job_execution, "time", clock_stub)
     return clock_stub
 
 
@@ -53,7 +53,7 @@
         return self.rate_by_adapter.get(target.adapter, 0.0)
 
 
-class Load(scheduling_builders.Load):
+class RunningRequests(scheduling_builders.RunningRequests):
     """Stub of the running requests, by adapter."""
 
     def __init__(self):
@@ -69,12 +69,12 @@
     parts = {
         discovery.Discovery: types.SimpleNamespace(registry=registry.Registry()),
         lease.Lease: None,
-        load.Load: Load(),
+        running_requests.RunningRequests: RunningRequests(),
         demand.Demand: Demand(),
-        site_orders.SiteOrders: None,
+        order_sender.OrderSender: None,
         residency.Residency: types.SimpleNamespace(on_not_held=[]),
     }
-    return ordering.Ordering(gateway_builders.Kernel(parts))
+    return job_execution.JobExecutor(gateway_builders.Kernel(parts))
 
 
 def full_state(loaded_at):
@@ -107,5 +107,7 @@
 
 def test_an_adapter_in_use_is_never_evicted(part, clock):
     state = full_state(loaded_at=clock.now - 5.0)
-    part.load.used = {f"a{number}" for number in range(ADAPTER_SLOTS) if number != 2}
+    part.running_requests.used = {
+        f"a{number}" for number in range(ADAPTER_SLOTS) if number != 2
+    }
     assert part._adapter_to_evict(state) == ("m", "a2")
--- a/packages/mothworks_gateway/tests/test_broadcast.py
+++ b/packages/mothworks_gateway/tests/test_broadcast.py
@@ -9,7 +9,7 @@
 import pytest
 
 import fleet_builders
-from mothworks_gateway import broadcast, poison
+from mothworks_gateway import broadcast, poison_requests
 
 VMS = 195
 
@@ -18,26 +18,28 @@
     """Some VMs, and the messages that each of them received."""
 
     def __init__(self, count):
-        self.names = fleet_builders.names_of(count)
-        self.wire = fleet_builders.Wire()
+        self.names = fleet_builders.vm_names(count)
+        self.network = fleet_builders.Network()
         self.received_by_vm = collections.defaultdict(list)
         self.part_by_vm = {name: self.make_broadcast(name) for name in self.names}
 
     def make_broadcast(self, name):
-        kernel = fleet_builders.kernel_of(name, self.names, self.wire)
+        kernel = fleet_builders.make_kernel(name, self.names, self.network)
         part = broadcast.Broadcast(kernel)
 
         def receive(vm, update, _):
             self.received_by_vm[name].append((vm, update.fingerprint))
 
-        part.peers.handle(poison.Broke, receive)
+        part.peers.handle(poison_requests.CrashReport, receive)
         return part
 
     def publish(self, name, *texts):
         part = self.part_by_vm[name]
         for text in texts[:-1]:
-            part.batch.append(broadcast.messages.pack(poison.Broke(text, "i-1")))
-        part.publish_now(poison.Broke(texts[-1], "i-1"))
+            part.batch.append(
+                broadcast.messages.pack(poison_requests.CrashReport(text, "i-1"))
+            )
+        part.publish_now(poison_requests.CrashReport(texts[-1], "i-1"))
 
 
 @pytest.mark.parametrize("count", [1, 2, 17, 18, VMS])
@@ -53,8 +55,8 @@
     # VM has. The square root of 194 is about 14.
     fleet = Fleet(VMS)
     fleet.publish("vm-0", "text")
-    assert sum(fleet.wire.sent_by_vm.values()) == VMS - 1
-    assert max(fleet.wire.sent_by_vm.values()) <= 14
+    assert sum(fleet.network.sent_by_vm.values()) == VMS - 1
+    assert max(fleet.network.sent_by_vm.values()) <= 14
 
 
 def test_groups_differ_by_sender():
@@ -75,10 +77,10 @@
     fleet = Fleet(VMS)
     part = fleet.part_by_vm["vm-0"]
     part.peers.linked = lambda vm: True
-    fleet.wire.down.add(part._groups()[0][0])
+    fleet.network.down.add(part._groups()[0][0])
     for number in range(40):
         fleet.publish("vm-0", f"text {number}")
-    live_vms = set(fleet.names[1:]) - fleet.wire.down
+    live_vms = set(fleet.names[1:]) - fleet.network.down
     assert min(len(fleet.received_by_vm[name]) for name in live_vms) >= 30
 
 
@@ -86,7 +88,7 @@
     fleet = Fleet(18)
     part = fleet.part_by_vm["vm-0"]
     fleet.publish("vm-0", "before")
-    part.membership.near().append(fleet_builders.member("vm-new"))
+    part.membership.near().append(fleet_builders.make_member("vm-new"))
     fleet.part_by_vm["vm-new"] = fleet.make_broadcast("vm-new")
     for notify in part.membership.on_change:
         notify()
@@ -109,8 +111,8 @@
         clock[0] = number / 70
         while scheduled_flushes and scheduled_flushes[0][0] <= clock[0]:
             scheduled_flushes.pop(0)[1]()
-        part.publish(poison.Broke(str(number), "i-1"))
+        part.publish(poison_requests.CrashReport(str(number), "i-1"))
     while scheduled_flushes:
         scheduled_flushes.pop(0)[1]()
     assert len(fleet.received_by_vm["vm-77"]) == 70
-    assert fleet.wire.sent_by_vm["vm-0"] <= 25 * 14
+    assert fleet.network.sent_by_vm["vm-0"] <= 25 * 14
--- a/packages/mothworks_gateway/tests/test_ordering.py
+++ b/packages/mothworks_gateway/tests/test_job_execution.py
@@ -1,4 +1,4 @@
-"""Ordering: what the lease holder's tasks cost with thousands of endpoints."""
+"""Job execution: what the lease holder's tasks cost with thousands of endpoints."""
 
 import types
 
@@ -10,20 +10,20 @@
 from mothworks_gateway import (
     demand,
     discovery,
+    endpoint_state,
+    job_execution,
     lease,
-    load,
-    ordering,
+    order_sender,
     registry,
     residency,
-    site_orders,
-    sites,
+    running_requests,
 )
 
 ENDPOINTS = 1000
 
 
 class Orders:
-    """Stub of the site orders: endpoints respond at once, or not at all."""
+    """Stub of the order sender: endpoints respond at once, or not at all."""
 
     def __init__(self):
         self.running_requests = 0
@@ -41,7 +41,7 @@
         gevent.sleep(0.001)
         self.running_requests -= 1
         if state.endpoint.id not in self.silent:
-            state.accepted = 0
+            state.accepted_orders = 0
 
     def order(self, state, loads, model, adapter):
         gevent.sleep(0.001)
@@ -50,38 +50,38 @@
 
 
 class Fleet:
-    """An ordering part that holds the lease, and its endpoint states."""
+    """A job executor that holds the lease, and its endpoint states."""
 
     def __init__(self, count):
-        self.orders = Orders()
+        self.order_sender = Orders()
         self.holds_lease = True
         lease_stub = types.SimpleNamespace(held=lambda: self.holds_lease)
         parts = {
             discovery.Discovery: types.SimpleNamespace(registry=registry.Registry()),
             lease.Lease: lease_stub,
-            load.Load: scheduling_builders.Load(),
+            running_requests.RunningRequests: scheduling_builders.RunningRequests(),
             demand.Demand: None,
-            site_orders.SiteOrders: self.orders,
+            order_sender.OrderSender: self.order_sender,
             residency.Residency: types.SimpleNamespace(on_not_held=[]),
         }
-        self.ordering = ordering.Ordering(gateway_builders.Kernel(parts))
+        self.job_executor = job_execution.JobExecutor(gateway_builders.Kernel(parts))
         accelerator = scheduling_builders.accelerator_for(("m",), 8)
         for number in range(count):
             state = scheduling_builders.state_of(f"i-{number}", accelerator, ("m",))
-            state.accepted = None
-            self.ordering.site_by_id[state.endpoint.id] = state
+            state.accepted_orders = None
+            self.job_executor.state_by_id[state.endpoint.id] = state
 
     @property
-    def sites(self):
-        return list(self.ordering.site_by_id.values())
+    def states(self):
+        return list(self.job_executor.state_by_id.values())
 
     @property
     def tasks(self):
-        return len(self.ordering.tasks.group)
+        return len(self.job_executor.tasks.group)
 
     def settle(self):
         with gevent.Timeout(10):
-            self.ordering.start_work()
+            self.job_executor.start_work()
             while self.tasks:
                 gevent.sleep(0.001)
 
@@ -90,44 +90,44 @@
 def fleet():
     new_fleet = Fleet(ENDPOINTS)
     yield new_fleet
-    new_fleet.ordering.tasks.stop()
+    new_fleet.job_executor.tasks.stop()
 
 
 # Guards against a new lease holder that requests thousands of inventories at once and
 # uses the memory of a whole VM for it.
 def test_a_new_lease_holder_limits_concurrent_inventory_requests(fleet):
     fleet.settle()
-    assert all(state.known for state in fleet.sites)
-    assert len(fleet.orders.inventory_requests) == ENDPOINTS
-    assert fleet.orders.max_running_requests <= ordering.MAX_INVENTORY_TASKS
+    assert all(state.known for state in fleet.states)
+    assert len(fleet.order_sender.inventory_requests) == ENDPOINTS
+    assert fleet.order_sender.max_running_requests <= job_execution.MAX_INVENTORY_TASKS
 
 
 # Guards against one task per endpoint, each waking twice a second without work.
 def test_endpoints_without_jobs_need_no_tasks(fleet):
     fleet.settle()
-    fleet.ordering.start_work()
+    fleet.job_executor.start_work()
     assert fleet.tasks == 0
 
 
 # Guards against endpoints that are down and delay those queued behind them.
 def test_a_failed_inventory_request_is_retried_later(fleet):
-    fleet.orders.silent = {"i-3"}
+    fleet.order_sender.silent = {"i-3"}
     fleet.settle()
     fleet.settle()
-    assert fleet.orders.inventory_requests.count("i-3") == 1
-    fleet.ordering.site_by_id["i-3"].inventory_retry_at = 0.0
-    fleet.orders.silent.clear()
+    assert fleet.order_sender.inventory_requests.count("i-3") == 1
+    fleet.job_executor.state_by_id["i-3"].inventory_retry_at = 0.0
+    fleet.order_sender.silent.clear()
     fleet.settle()
-    assert fleet.ordering.site_by_id["i-3"].known
+    assert fleet.job_executor.state_by_id["i-3"].known
 
 
 # Guards against jobs that wait for the next scheduling pass.
 def test_jobs_of_an_endpoint_start_once_its_state_is_known(fleet):
-    fleet.sites[5].add(sites.Job("m", "a1"))
-    fleet.sites[5].add(sites.Job("m", "a2"))
+    fleet.states[5].add(endpoint_state.Job("m", "a1"))
+    fleet.states[5].add(endpoint_state.Job("m", "a2"))
     fleet.settle()
-    assert fleet.orders.sent_orders == [("i-5", "m", "a1"), ("i-5", "m", "a2")]
-    assert not fleet.sites[5].jobs
+    assert fleet.order_sender.sent_orders == [("i-5", "m", "a1"), ("i-5", "m", "a2")]
+    assert not fleet.states[5].jobs
 
 
 # Guards against an endpoint that stays idle until the next scheduling pass, after an
@@ -136,40 +136,40 @@
     fleet,
 ):
     fleet.settle()
-    state = fleet.sites[5]
-    original_order = fleet.orders.order
+    state = fleet.states[5]
+    original_order = fleet.order_sender.order
 
     def order_with_unknown_result(*order):
-        state.accepted = None
+        state.accepted_orders = None
         return original_order(*order)
 
-    fleet.orders.order = order_with_unknown_result
-    state.add(sites.Job("m", "a1"))
+    fleet.order_sender.order = order_with_unknown_result
+    state.add(endpoint_state.Job("m", "a1"))
     fleet.settle()
     assert state.known
-    assert fleet.orders.inventory_requests.count("i-5") == 2
+    assert fleet.order_sender.inventory_requests.count("i-5") == 2
 
 
 # Guards against a VM that keeps sending orders, or waiting, once another holds the
 # lease.
 def test_a_former_lease_holder_starts_nothing(fleet):
     fleet.settle()
-    fleet.sites[0].add(sites.Job("m", "a1"))
+    fleet.states[0].add(endpoint_state.Job("m", "a1"))
     fleet.holds_lease = False
     fleet.settle()
-    assert fleet.orders.sent_orders == []
-    assert fleet.sites[0].jobs
+    assert fleet.order_sender.sent_orders == []
+    assert fleet.states[0].jobs
     fleet.holds_lease = True
     fleet.settle()
-    assert fleet.orders.sent_orders == [("i-0", "m", "a1")]
+    assert fleet.order_sender.sent_orders == [("i-0", "m", "a1")]
 
 
 # Guards against an endpoint that lacked a model and whose inventory is not requested.
 def test_an_inventory_follows_a_missing_model(fleet):
     fleet.settle()
-    fleet.orders.inventory_requests.clear()
-    fleet.ordering._on_not_held("i-7")
+    fleet.order_sender.inventory_requests.clear()
+    fleet.job_executor._on_not_held("i-7")
     with gevent.Timeout(10):
         while fleet.tasks:
             gevent.sleep(0.001)
-    assert fleet.orders.inventory_requests == ["i-7"]
+    assert fleet.order_sender.inventory_requests == ["i-7"]
--- a/packages/mothworks_gateway/tests/test_late_orders.py
+++ b/packages/mothworks_gateway/tests/test_late_orders.py
@@ -10,7 +10,7 @@
 
 import gateway_builders
 import modelled_endpoint
-from mothworks_gateway import adapters, registry, sites
+from mothworks_gateway import adapters, endpoint_state, registry
 
 SIZES = {"a": 50.0, "b": 50.0, "d": 16.1}
 NAME = "i-1"
@@ -22,11 +22,13 @@
         for name, adapters_held in endpoint.adapters_by_model.items()
     }
     registered = gateway_builders.endpoint(NAME).entry
-    return attrs.evolve(registered, born=endpoint.born, adapters_by_model=held)
+    return attrs.evolve(
+        registered, started_ms=endpoint.started_ms, adapters_by_model=held
+    )
 
 
 def started():
-    """Return an endpoint that reports its start time, a registry, and site orders."""
+    """Return an endpoint with a start time, a registry and an order sender."""
     endpoint = modelled_endpoint.ModelledEndpoint(
         modelled_endpoint.accelerator(**SIZES)
     )
@@ -41,7 +43,7 @@
 
 def state_of(endpoint, view):
     """Return a state of the incarnation that the registry knows."""
-    return sites.EndpointState(view.named(NAME), endpoint.declared_as)
+    return endpoint_state.EndpointState(view.find_by_name(NAME), endpoint.declared_as)
 
 
 HOLDER = st.sampled_from([0, 0, 0, 1])
@@ -69,10 +71,10 @@
         self.state_by_holder = {0: None, 1: None}
 
     def state_for(self, holder):
-        endpoint = self.view.named(NAME)
+        endpoint = self.view.find_by_name(NAME)
         state = self.state_by_holder[holder]
         if state is None or state.endpoint is not endpoint:
-            state = sites.EndpointState(endpoint, self.endpoint.declared_as)
+            state = endpoint_state.EndpointState(endpoint, self.endpoint.declared_as)
             self.state_by_holder[holder] = state
         return state
 
@@ -85,7 +87,7 @@
         holds = held_adapters is not None and (not adapter or adapter in held_adapters)
         if state.known and holds != load:
             self.endpoint.faults = [fault]
-            order = adapters.Order(load, model, adapter, state.accepted, "vm", 1)
+            order = adapters.Order(load, model, adapter, state.accepted_orders, "vm", 1)
             self.holders[holder].attempt(state, order)
 
     @hypothesis.stateful.rule(holder=HOLDER, model=MODEL, fault=FAULT, ends=ENDS)
@@ -205,7 +207,9 @@
     state = state_of(endpoint, view)
 
     def order(state, model, load=True):
-        order_to_send = adapters.Order(load, model, "", state.accepted, "vm-1", 1)
+        order_to_send = adapters.Order(
+            load, model, "", state.accepted_orders, "vm-1", 1
+        )
         outcome = orders.attempt(state, order_to_send)
         endpoint.finish()
         if outcome is adapters.OrderOutcome.ACCEPTED:
@@ -244,4 +248,4 @@
     endpoint.finish()
     orders.attempt(state, adapters.Order(True, "a", "", 1, "vm-1", 1))
     assert not endpoint.crashes
-    assert view.named(NAME).entry.born == endpoint.born
+    assert view.find_by_name(NAME).entry.started_ms == endpoint.started_ms
--- a/packages/mothworks_gateway/tests/test_site_orders.py
+++ b/packages/mothworks_gateway/tests/test_order_sender.py
@@ -1,11 +1,11 @@
-"""Site orders: an endpoint is never made to hold more than fits in its memory."""
+"""Order sender: an endpoint is never made to hold more than fits in its memory."""
 
 import gevent
 import pytest
 
 import gateway_builders
 import modelled_endpoint
-from mothworks_gateway import registry, sites
+from mothworks_gateway import endpoint_state, registry
 
 SIZES = {"small": 16.1, "slight": 16.1, "spare": 16.1, "busy": 34.3, "wanted": 34.3}
 
@@ -30,7 +30,7 @@
 def state_of(endpoint, *holding):
     endpoint.start(holding)
     registered = gateway_builders.endpoint("i-1", models=holding)
-    return sites.EndpointState(registered, endpoint.declared_as)
+    return endpoint_state.EndpointState(registered, endpoint.declared_as)
 
 
 def test_a_load_that_outlasts_the_lease_still_counts_as_memory(
@@ -60,7 +60,7 @@
     # Only its inventory reports the start time. It was mistaken for another incarnation
     # and believed to be empty, and later registry entries were rejected as older.
     state = state_of(endpoint, "small")
-    endpoint.born = 7
+    endpoint.started_ms = 7
     orders.refresh(state)
     assert state.adapters_by_model == {"small": set()}
     assert state.endpoint.id == "i-1"
--- a/packages/mothworks_gateway/tests/test_published_changes.py
+++ b/packages/mothworks_gateway/tests/test_published_changes.py
@@ -29,7 +29,9 @@
 
 def make_discovery():
     followers = types.SimpleNamespace(feeds=Feeds(), add=lambda follower: None)
-    return discovery.Discovery(gateway_builders.Kernel({feeding.Feeding: followers}))
+    return discovery.Discovery(
+        gateway_builders.Kernel({feeding.FeedFollowers: followers})
+    )
 
 
 def changes(cursor, *pairs):
@@ -39,7 +41,7 @@
 def state(part):
     """Return the revision that wrote each known entry, by name."""
     return {
-        name: part.registry.named(name).entry.service
+        name: part.registry.find_by_name(name).entry.service
         for name in part.registry.id_by_name
     }
 
@@ -47,7 +49,7 @@
 @pytest.fixture
 def part():
     made = make_discovery()
-    made._apply_listing(adapters.Listing(10, {"i-1": b"5", "i-2": b"7"}))
+    made._apply_snapshot(adapters.Snapshot(10, {"i-1": b"5", "i-2": b"7"}))
     return made
 
 
@@ -108,7 +110,7 @@
         document = None if rng.random() < 0.3 else str(revision).encode()
         history.append((revision, name, document))
     part = make_discovery()
-    part._apply_listing(adapters.Listing(10, {"i-1": b"5", "i-2": b"7"}))
+    part._apply_snapshot(adapters.Snapshot(10, {"i-1": b"5", "i-2": b"7"}))
     pending = [_batches(history, rng) for _ in range(2)]
     while any(pending):
         base_revision, update = rng.choice([item for item in pending if item]).pop(0)
@@ -149,9 +151,9 @@
         self.revisions = itertools.count(2)
 
     def read(self):
-        return result.Ok(adapters.Listing(1, {}))
+        return result.Ok(adapters.Snapshot(1, {}))
 
-    def wait(self, cursor, wait_s):
+    def poll(self, cursor, wait_s):
         self.waits += 1
         feeding.gevent.sleep(0.001)
         return result.Ok(adapters.Changes(next(self.revisions), ()))
@@ -164,13 +166,13 @@
     task = feeding.gevent.spawn(follower.run)
     try:
         _until(lambda: feed.waits > 3)
-        follower.follow(False)
+        follower.set_followed(False)
         _until(lambda: not follower.is_polling)
         waits = feed.waits
         feeding.gevent.sleep(0.05)
         assert feed.waits <= waits + 1
         assert follower.catch_up()
-        follower.follow(True)
+        follower.set_followed(True)
         _until(lambda: feed.waits > waits + 5)
     finally:
         task.kill()
--- a/packages/mothworks_gateway/tests/test_residency.py
+++ b/packages/mothworks_gateway/tests/test_residency.py
@@ -14,8 +14,8 @@
 import gateway_builders
 from mothworks import peers
 from mothworks_gateway import (
-    asked,
     broadcast,
+    caller_request,
     discovery,
     heartbeat,
     lease,
@@ -28,8 +28,8 @@
 
 def spawn_waiter(part, model, checks, service="s", adapter=""):
     """Start a caller that waits until an endpoint holds a model."""
-    target = asked.Target(service, model, adapter)
-    request = gateway_builders.request(target=target, arrived=0.0)
+    target = caller_request.Target(service, model, adapter)
+    request = gateway_builders.request(target=target, received_at=0.0)
 
     def wait():
         while True:
@@ -50,9 +50,9 @@
 def part():
     view = registry.Registry()
     view.by_id = {name: gateway_builders.endpoint(name) for name in ENDPOINTS}
-    wire = fleet_builders.Wire()
+    network = fleet_builders.Network()
     parts = {
-        peers.Peers: fleet_builders.Peers("vm-1", wire),
+        peers.Peers: fleet_builders.Peers("vm-1", network),
         broadcast.Broadcast: None,
         discovery.Discovery: types.SimpleNamespace(registry=view),
         lease.Lease: types.SimpleNamespace(holder=lambda: ""),
@@ -114,7 +114,7 @@
     caller = spawn_waiter(part, "m-1", checks)
     gevent.sleep(0)
     checks.clear()
-    part.registry.changed()
+    part.registry.notify_changed()
     gevent.sleep(0)
     assert checks == ["m-1"]
     caller.kill()
--- a/packages/mothworks_gateway/tests/test_load.py
+++ b/packages/mothworks_gateway/tests/test_running_requests.py
@@ -1,9 +1,9 @@
-"""Load: this VM's requests count at once, those of peers with their next heartbeat."""
+"""Running requests: own ones count at once, those of peers with their heartbeat."""
 
 import pytest
 
 import gateway_builders
-from mothworks_gateway import asked, heartbeat, load
+from mothworks_gateway import caller_request, heartbeat, running_requests
 
 
 class Heartbeats(gateway_builders.Heartbeats):
@@ -24,15 +24,21 @@
 
 @pytest.fixture
 def part():
-    part = load.Load(gateway_builders.Kernel({heartbeat.Heartbeats: Heartbeats()}))
+    part = running_requests.RunningRequests(
+        gateway_builders.Kernel({heartbeat.Heartbeats: Heartbeats()})
+    )
     rows = (("i-1", "m", "", 2), ("i-1", "m", "a", 3), ("i-2", "m", "a", 5))
     part.heartbeats.receive("vm-2", *rows)
     return part
 
 
 def test_counts_cover_own_requests_and_peers(part):
-    part.begin(gateway_builders.endpoint("i-1"), asked.Target("s", "m", "a"))
-    part.begin(gateway_builders.endpoint("i-1"), asked.Target("s", "n"))
+    part.request_started(
+        gateway_builders.endpoint("i-1"), caller_request.Target("s", "m", "a")
+    )
+    part.request_started(
+        gateway_builders.endpoint("i-1"), caller_request.Target("s", "n")
+    )
     assert part.of_endpoint("i-1") == 7
     assert part.of_model("i-1", "m") == 6
     assert part.of_model("i-1", "n") == 1
@@ -42,22 +48,25 @@
 
 
 def test_own_requests_that_ended_are_not_counted(part):
-    endpoint, target = gateway_builders.endpoint("i-9"), asked.Target("s", "m", "a")
-    part.begin(endpoint, target)
-    part.begin(endpoint, target)
-    part.end(endpoint, target)
+    endpoint, target = (
+        gateway_builders.endpoint("i-9"),
+        caller_request.Target("s", "m", "a"),
+    )
+    part.request_started(endpoint, target)
+    part.request_started(endpoint, target)
+    part.request_ended(endpoint, target)
     assert part.of_adapter("i-9", "m", "a") == 1
-    part.end(endpoint, target)
+    part.request_ended(endpoint, target)
     assert part.of_endpoint("i-9") == part.of_model("i-9", "m") == 0
-    (heartbeat_fields,) = part.heartbeats.on_heartbeat
+    (heartbeat_fields,) = part.heartbeats.field_providers
     assert heartbeat_fields()["running"] == ()
 
 
 def test_a_heartbeat_lists_this_vms_running_requests(part):
     endpoint = gateway_builders.endpoint("i-1")
     for adapter in ("", "a", "a"):
-        part.begin(endpoint, asked.Target("s", "m", adapter))
-    (heartbeat_fields,) = part.heartbeats.on_heartbeat
+        part.request_started(endpoint, caller_request.Target("s", "m", adapter))
+    (heartbeat_fields,) = part.heartbeats.field_providers
     assert set(heartbeat_fields()["running"]) == {
         ("i-1", "m", "", 1),
         ("i-1", "m", "a", 2),
@@ -65,7 +74,9 @@
 
 
 def test_this_vms_own_heartbeat_is_not_counted_twice(part):
-    part.begin(gateway_builders.endpoint("i-1"), asked.Target("s", "n"))
+    part.request_started(
+        gateway_builders.endpoint("i-1"), caller_request.Target("s", "n")
+    )
     part.heartbeats.receive(part.kernel.settings.name, ("i-1", "n", "", 1))
     assert part.of_model("i-1", "n") == 1
 
@@ -87,7 +98,10 @@
 def test_a_request_counts_while_it_waits_for_a_prefill_slot(part):
     # Otherwise its adapter appeared unused, was evicted for another one, and had to be
     # reloaded before the request could be sent.
-    endpoint, target = gateway_builders.endpoint("i-9"), asked.Target("s", "m", "a")
-    with part.counted(endpoint, target):
+    endpoint, target = (
+        gateway_builders.endpoint("i-9"),
+        caller_request.Target("s", "m", "a"),
+    )
+    with part.count_as_running(endpoint, target):
         assert part.of_adapter("i-9", "m", "a") == 1
     assert part.of_adapter("i-9", "m", "a") == 0
--- a/packages/mothworks_gateway/tests/test_silent_polls.py
+++ b/packages/mothworks_gateway/tests/test_silent_polls.py
@@ -34,9 +34,9 @@
     def read(self):
         self.calls.append("read")
         self.answers.wait()
-        return result.Ok(adapters.Listing(5, {}))
+        return result.Ok(adapters.Snapshot(5, {}))
 
-    def wait(self, cursor, wait_s):
+    def poll(self, cursor, wait_s):
         self.calls.append(("wait", cursor))
         self.answers.wait()
         gevent.sleep(0.01)
@@ -55,9 +55,9 @@
         self.cancelled = 0
 
     def read(self):
-        return result.Ok(adapters.Listing(5, {}))
+        return result.Ok(adapters.Snapshot(5, {}))
 
-    def wait(self, cursor, wait_s):
+    def poll(self, cursor, wait_s):
         try:
             gevent.sleep(wait_s + self.answer_s)
         except gevent.GreenletExit:
@@ -93,11 +93,11 @@
     until(lambda: len(feed.calls) > 2)
     feed.answers.clear()
     gevent.sleep(0.05)
-    follower.lost_at = feeding.time.monotonic()
+    follower.outage_since = feeding.time.monotonic()
     calls = len(feed.calls)
     follower.interrupt_if_behind(follower.cursor + 1, 0.0)
     until(lambda: len(feed.calls) > calls)
-    assert follower.lost_at is not None
+    assert follower.outage_since is not None
 
 
 # Guards against polls of a slow platform that are cancelled before the answers arrive.
@@ -130,7 +130,7 @@
     feed.answers.set()
     until(lambda: len(feed.calls) > 2)
     feed.answers.clear()
-    until(lambda: follower.lost_at is not None)
+    until(lambda: follower.outage_since is not None)
     for _ in range(2):
         calls = len(feed.calls)
         started_at = feeding.time.monotonic()
@@ -139,8 +139,8 @@
         assert elapsed_s < feeding.MAX_GRACE_S + feeding.MAX_RETRY_DELAY_S + 0.1
 
 
-# Guards against polling from a revision for which no listing was ever read.
-def test_an_interrupted_first_listing_is_retried(follower, feed):
+# Guards against polling from a revision for which no snapshot was ever read.
+def test_an_interrupted_first_snapshot_is_retried(follower, feed):
     until(lambda: feed.calls == ["read"])
     follower.interrupt_if_behind(1, 0.0)
     until(lambda: len(feed.calls) > 1)
@@ -166,7 +166,7 @@
         self.part = watching.Watching(kernel)
 
     def _parts(self, kernel):
-        followers = feeding.Feeding(kernel)
+        followers = feeding.FeedFollowers(kernel)
         for name, feed in self.feed_by_name.items():
             followers.add(feeding.Follower(name, feed, lambda _: None, lambda _: None))
         node_membership = types.SimpleNamespace(near=lambda: [], on_change=[])
@@ -180,13 +180,13 @@
             follower=followers.follower_by_name["endpoints"],
         )
         return {
-            feeding.Feeding: followers,
+            feeding.FeedFollowers: followers,
             membership.Membership: node_membership,
             peers.Peers: node_peers,
             broadcast.Broadcast: types.SimpleNamespace(publish=self.published.append),
             lease.Lease: types.SimpleNamespace(held=lambda: True),
             heartbeat.Heartbeats: None,
-            relayed_objects.RelayedObjects: types.SimpleNamespace(on_return=[]),
+            relayed_objects.RelayedObjects: types.SimpleNamespace(on_recovered=[]),
             declarations.Declarations: node_declarations,
             discovery.Discovery: node_discovery,
         }
