--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_state.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_state.py
@@ -22,10 +22,10 @@
 PAUSE_S = 1.0
 
 
-def expected_unload_s(running: int) -> float:
-    """Return the expected time to drain and unload a model, seconds.
+def expected_drain_s(running: int) -> float:
+    """Return the expected time until no request uses a model any more, seconds.
 
-    :param running: number of requests that use it.
+    :param running: number of requests that use it now.
     """
     if not running:
         return 0.0
@@ -84,7 +84,7 @@
     :param loading: the model that it is loading, or empty.
     :param ready_at: monotonic time at which that load is expected to be done.
     :param draining_model: the model that is draining before its unload, or empty.
-    :param drained_at: monotonic time at which that is expected to be done.
+    :param drained_at: monotonic time at which no request is expected to use it.
     :param jobs: what it is to load next.
     :param busy: whether a task works on it.
     :param inventory_retry_at: monotonic time from which its inventory may be requested
@@ -95,6 +95,8 @@
     :param loaded_at_by_adapter: monotonic time at which (model, adapter) was loaded.
     :param unload_accepted_at: monotonic time at which it accepted the unload of a
         model, until it accepts the next order.
+    :param woken: set to wake the task that works on it, after a job was added or
+        what it holds may have changed.
     """
 
     endpoint: registry.Endpoint
--- a/packages/mothworks_gateway/src/mothworks_gateway/job_execution.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/job_execution.py
@@ -228,7 +228,7 @@
         """
         running = self.running_requests.of_model(state.endpoint.id, name)
         state.draining_model = name
-        state.drained_at = time.monotonic() + endpoint_state.expected_unload_s(running)
+        state.drained_at = time.monotonic() + endpoint_state.expected_drain_s(running)
         self.order_sender.publish(state)
         deadline = time.monotonic() + endpoint_state.MAX_DRAIN_S
         while self._still_draining(state, name) and time.monotonic() < deadline:
--- a/packages/mothworks_gateway/src/mothworks_gateway/placement_candidates.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/placement_candidates.py
@@ -306,7 +306,7 @@
         ready_in_s = (
             state.load_s(model)
             + FULL_BATCH_DELAY_S * share
-            + endpoint_state.expected_unload_s(running)
+            + endpoint_state.expected_drain_s(running)
         )
         ready_in_s += max(state.ready_s_by_model().values(), default=0.0)
         return Candidate(state, names, eviction_cost, ready_in_s, running > 0)
