--- a/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/adapters.py
@@ -2,8 +2,8 @@
 
 An adapter only translates: between the platform's documents and the types of
 :mod:`declaration_types` and :mod:`registry`, and between requests and the endpoints'
-    protocol. It registers its classes under the plug-in kinds below. The setting
-    ``adapter`` names both the module to import and the key to register under.
+protocol. It registers its classes under the plug-in kinds below. The setting
+``adapter`` names both the module to import and the key to register under.
 """
 
 import enum
@@ -143,7 +143,7 @@
         :param service: the service chosen for it.
         :param body: its whole body.
         :param version: version of the declaration that has the route.
-        :param account: the client account of its key; None where callers need no keys.
+        :param account: the client account of its key; None if callers need no keys.
         :returns: the request, or what is wrong with it.
         """
         raise NotImplementedError
@@ -164,9 +164,9 @@
 
 
 class ResponseKind(enum.Enum):
-    """Classification of an endpoint's response by its head."""
+    """Classification of an endpoint's answer by its head."""
 
-    #: The request is running or has run, and this is its response.
+    #: The request is running or has run, and this is its answer.
     ANSWER = "answer"
     #: The endpoint tried to run the request and reports a failure.
     FAILED = "failed"
@@ -176,7 +176,7 @@
     NOT_HELD = "absent"
     #: The endpoint did not run the request: it is not the intended endpoint.
     MISDIRECTED = "misdirected"
-    #: Not a response to this request; whether the request ran is unknown.
+    #: Not an answer to this request; whether the request ran is unknown.
     UNRECOGNIZED = "foreign"
 
 
@@ -273,7 +273,7 @@
         deadline: float,
         after_event: str = "",
     ) -> result.Result[transport.HttpAnswer, endpoints.SendFailure]:
-        """Send a request once and wait for the head of the response.
+        """Send a request once and wait for the head of the answer.
 
         :param endpoint: the endpoint to send it to.
         :param request: the request.
@@ -287,22 +287,22 @@
     def classify_response(
         self, request: caller_request.CallerRequest, answer: transport.HttpAnswer
     ) -> ResponseKind:
-        """Classify a response by its head.
+        """Classify an answer by its head.
 
         :param request: the request that was sent.
-        :param answer: the response, its body not read.
+        :param answer: the answer, its body not read.
         """
         raise NotImplementedError
 
     def rate_limit(
         self, answer: transport.HttpAnswer
     ) -> result.Result[float | None, str]:
-        """Return the rate limit that a response advertises, in requests per second.
+        """Return the rate limit that an answer reports, in requests per second.
 
         The limit covers the requests of all VMs together, for as long as the endpoint
-        advertises it.
+        reports it.
 
-        :param answer: any response of the endpoint, its body not read.
+        :param answer: any answer of the endpoint, its body not read.
         :returns: the limit, None if there is none; or why it is unreadable.
         """
         raise NotImplementedError
--- a/packages/mothworks_gateway/src/mothworks_gateway/demand.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/demand.py
@@ -1,6 +1,7 @@
-"""Demand: requests, waiting callers and late responses, by model.
+"""Demand: requests, waiting callers and late answers, by model.
 
-Every VM keeps it from the heartbeats, so that the next lease holder knows it already.
+Every VM computes the rates from the heartbeats, so that the next lease holder knows
+them already. Waiting callers are reported to the lease holder only.
 """
 
 import time
@@ -19,12 +20,12 @@
 #: first mean shows a quarter of the true rate and this one three quarters; the larger
 #: of the two counts.
 RECENT_HALF_LIFE_S = 1.0
-#: Half-life of the rate of late responses, seconds.
+#: Half-life of the rate of late answers, seconds.
 LATE_HALF_LIFE_S = 2.0
 #: Rate below which a target is forgotten, per second: callers may send any model name.
 MIN_RATE_PER_S = 1e-4
-#: Weight at which it is reset to 1: ten half-lives, so that names that callers sent
-#: once are forgotten within a minute.
+#: Weight at which a :class:`_DecayingRate` resets it to 1: ten half-lives, so that
+#: names that callers sent once are forgotten within a minute.
 MAX_WEIGHT = 1024.0
 #: Natural logarithm of 2: converts a half-life to the rate of an exponential decay.
 LN_2 = 0.693
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_selection.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_selection.py
@@ -38,7 +38,7 @@
     """Endpoints that could run a request.
 
     :param ready: endpoints that hold the request's model and adapter, the best first.
-    :param all: all open endpoints of the service.
+    :param all: all available endpoints of the service.
     """
 
     ready: tuple[registry.Endpoint, ...]
--- a/packages/mothworks_gateway/src/mothworks_gateway/placement_candidates.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/placement_candidates.py
@@ -41,7 +41,7 @@
 #: Share of a model's requests that losing a spare replica costs: reloading it takes 4 s
 #: if its request rate grows.
 SPARE_REPLICA_COST_SHARE = 0.35
-#: Share of an endpoint's prefill speed that prompts are to use. Above it, responses
+#: Share of an endpoint's prefill speed that prompts are to use. Above it, answers
 #: queue behind each other's prompts and running streams stall.
 PREFILL_SHARE = 0.35
 #: Time over which one replica more or less is valued, seconds: about as long as a load
@@ -73,7 +73,7 @@
     :param evictions: names of the models to evict first.
     :param eviction_cost: cost of evicting them, in requests.
     :param ready_in_s: time until the model would be ready, seconds.
-    :param forced: whether running requests use a model to evict.
+    :param forced: whether running requests use one of the models to evict.
     """
 
     state: endpoint_state.EndpointState
@@ -136,7 +136,7 @@
         return self.demand.prompt_tokens_per_s(target) / per_s
 
     def capacity(self, states: list[endpoint_state.EndpointState]) -> float:
-        """Return the capacity of some endpoints, in endpoints without a rate limit.
+        """Return the capacity of some endpoints, as a number of unlimited endpoints.
 
         :param states: the endpoints.
         """
@@ -152,7 +152,7 @@
         """Return how many requests a model's last replica serves in time.
 
         :param target: the model.
-        :param replicas: its replicas with that one, as a :meth:`capacity`.
+        :param replicas: its replicas, that one included, as a :meth:`capacity`.
         """
         needed = max(1.0, self.endpoints_needed(target))
         share = min(1.0, replicas / needed) - min(1.0, (replicas - 1) / needed)
@@ -161,7 +161,7 @@
     def holders(
         self, target: caller_request.Target
     ) -> list[endpoint_state.EndpointState]:
-        """Return the open endpoints that hold, or will hold, a model or adapter.
+        """Return the available endpoints that hold, or will hold, a model or adapter.
 
         The result is cached until :meth:`clear_caches`: computing the eviction costs of
         30 endpoints for each of 74 models requests the same lists thousands of times.
@@ -245,7 +245,7 @@
         return candidates
 
     def _loadable(self, service: str) -> list[endpoint_state.EndpointState]:
-        """Return a service's open endpoints, without those that advertise a limit.
+        """Return a service's available endpoints without those that report a limit.
 
         A limited endpoint serves fewer requests than the models that it already holds
         attract. If all of them are limited, all are returned: a load on any of them is
--- a/packages/mothworks_gateway/src/mothworks_gateway/prefill_speed.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/prefill_speed.py
@@ -1,6 +1,6 @@
 """Prefill speed: estimates how fast endpoints prefill, tokens per second.
 
-The speed is learned from responses, since it differs several times between deployments
+The speed is learned from answers, since it differs several times between deployments
 and is not declared. The time to the first token grows with the prompt's length; its
 other components (network, the endpoint's overhead) do not depend on it. So the
 difference between long and short prompts, among those that hardly queued, gives the
@@ -32,14 +32,14 @@
 SAMPLES_PER_ESTIMATE = 16
 #: Relative change of the speed above which it is logged.
 LOGGED_CHANGE = 0.1
-#: Quantile of the response times that stands for requests that hardly queued: the lower
+#: Quantile of the answer times that stands for requests that hardly queued: the lower
 #: quartile.
 QUICK_QUANTILE = 0.25
 
 
 @attrs.frozen
 class _Sample:
-    """One response.
+    """One answer.
 
     :param tokens: prompt tokens that no other request shares.
     :param seconds: time to the first token.
@@ -74,7 +74,7 @@
         return self.speed_by_service.get(service, default)
 
     def add_sample(self, request: caller_request.CallerRequest, seconds: float) -> None:
-        """Add a sample from a response that began.
+        """Add a sample from an answer that began.
 
         :param request: the request.
         :param seconds: time from sending it until then.
--- a/packages/mothworks_gateway/src/mothworks_gateway/residency.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/residency.py
@@ -1,8 +1,8 @@
 """Residency: which endpoints hold which models, and requests that wait for a model.
 
-On each VM, requests whose model or adapter no open endpoint holds wait here. The VM
-reports them to the lease holder, which loads the model. The lease holder publishes to
-all VMs what each endpoint holds as soon as that changes.
+On each VM, requests whose model or adapter no available endpoint holds wait here. The
+VM reports them to the lease holder, which loads the model. The lease holder publishes
+to all VMs what each endpoint holds as soon as that changes.
 """
 
 import collections.abc
@@ -83,7 +83,7 @@
 @messages.message(116)
 @attrs.frozen
 class NotHeld:
-    """Tells the lease holder that an endpoint lacks what it was believed to hold.
+    """Reports to the lease holder that an endpoint lacks what it was believed to hold.
 
     :param endpoint: the endpoint's id.
     """
@@ -141,7 +141,7 @@
         #: Functions to call on the lease holder, with an endpoint's id.
         self.on_not_held: list[collections.abc.Callable[[str], None]] = []
         self.registry.on_change.append(self._wake_all)
-        # Waiting requests must get a response before the VM stops.
+        # Waiting requests must get a reply before the VM stops.
         node_kernel.on_draining.append(self._wake_all)
         self.peers.handle(
             WaitingCallers, lambda vm, message, _: self._on_waiting(vm, message)
@@ -198,7 +198,7 @@
         """Record that an endpoint refused a request for a model that it does not hold.
 
         :param endpoint: the endpoint.
-        :param target: what the request asked for.
+        :param target: the request's target.
         """
         held_adapters = endpoint.adapters_by_model.get(target.model)
         if held_adapters is not None and target.adapter in held_adapters:
--- a/packages/mothworks_gateway/src/mothworks_gateway/running_requests.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/running_requests.py
@@ -14,7 +14,7 @@
 from mothworks import kernel
 from mothworks_gateway import caller_request, heartbeat, registry
 
-#: Seconds between checks for peers without a heartbeat for too long (2 s).
+#: Seconds between checks for peers whose last heartbeat is too old (2 s).
 EXPIRY_INTERVAL_S = 0.5
 #: Usual time to reload a model from an endpoint's memory or disk, seconds.
 USUAL_RELOAD_S = 0.8
@@ -75,7 +75,7 @@
             collections.defaultdict(float)
         )
         self.tokens: collections.Counter[caller_request.Target] = collections.Counter()
-        #: Late responses since the last heartbeat, by target.
+        #: Late answers since the last heartbeat, by target.
         self.late: collections.Counter[caller_request.Target] = collections.Counter()
         #: Running requests of the peers in `heartbeat_by_vm`.
         self.peer_counts = _RunningCounts()
@@ -100,7 +100,7 @@
         self.tokens[request.target] += min(MAX_PROMPT_TOKENS, request.unshared_tokens)
 
     def record_late(self, target: caller_request.Target) -> None:
-        """Count a response whose endpoint was too slow for the latency objective.
+        """Count an answer whose endpoint was too slow for the latency objective.
 
         :param target: the request's target.
         """
--- a/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/scheduler.py
@@ -40,16 +40,16 @@
 STANDBY_INTERVAL_S = 1.0
 #: Pause after a pass, as a multiple of its duration. Each VM reports several times a
 #: second what its callers wait for, and each report wakes the lease holder. With 75 VMs
-#: its passes used most of its processor time and delayed its own callers.
+#: the passes used most of the holder's processor time and delayed its own callers.
 PAUSE_FACTOR = 2.0
 #: Share of a model's batch slots in use above which it gets another endpoint. A load
-#: costs as much as half a late response, and prefill delays all other requests of an
+#: costs as much as half a late answer, and prefill delays all other requests of an
 #: endpoint long before its batch is full.
 SPREAD_BATCH_SHARE = 0.3
 #: The same share while another endpoint is still loading the model: a burst fills a
-#: batch within a second, and responses then begin late.
+#: batch within a second, and answers then begin late.
 SPREAD_LOADING_BATCH_SHARE = 0.6
-#: Late responses per second of one model above which it gets another endpoint.
+#: Late answers per second of one model above which it gets another endpoint.
 SPREAD_LATE_PER_S = 1.0
 #: Requests per second below which a model gets no further endpoint.
 SPREAD_MIN_RATE_PER_S = 0.5
@@ -70,7 +70,7 @@
 WAITING_COST_LIMIT = 1.2
 WAITING_COST_LIMIT_PER_S = 0.7
 #: Eviction cost allowed for a further endpoint of a slow model, in requests: a base
-#: amount, and an amount for each late response per second.
+#: amount, and an amount for each late answer per second.
 SPREAD_COST_LIMIT = 0.5
 SPREAD_COST_LIMIT_PER_LATE = 1.5
 #: Minimum number of endpoints with a copy of each model, in memory or on disk: a second
@@ -262,7 +262,7 @@
         self.placement.clear_caches()
 
     def _spread(self, service: str, accelerator: declaration_types.Accelerator) -> None:
-        """Add an endpoint for each model whose endpoints are slow or nearly full."""
+        """Add endpoints for models that have too few, or whose endpoints are slow."""
         for model in accelerator.model_by_name.values():
             target = caller_request.Target(service, model.name)
             if self.demand.rate(target) < SPREAD_MIN_RATE_PER_S:
--- a/packages/mothworks_gateway/tests/scheduling_builders.py
+++ b/packages/mothworks_gateway/tests/scheduling_builders.py
@@ -68,7 +68,7 @@
         self.clock = clock
         self.accelerator = accelerator
         self.running_requests = RunningRequests()
-        #: Rate limits that endpoints advertise, requests per second.
+        #: Rate limits that endpoints report, requests per second.
         self.limit_by_id = {}
         self.job_executor = types.SimpleNamespace(
             of_service=lambda _: list(self.states),
--- a/packages/mothworks_gateway/tests/test_prefill_speed.py
+++ b/packages/mothworks_gateway/tests/test_prefill_speed.py
@@ -1,4 +1,4 @@
-"""Prefill speed: estimated from responses."""
+"""Prefill speed: estimated from answers."""
 
 import random
 
--- a/packages/mothworks_gateway/tests/test_scheduler.py
+++ b/packages/mothworks_gateway/tests/test_scheduler.py
@@ -26,7 +26,7 @@
 
 
 class Demand:
-    """Stub of the demand, without late responses."""
+    """Stub of the demand, without late answers."""
 
     late = types.SimpleNamespace(rate=lambda _: 0.0)
 
@@ -104,7 +104,7 @@
     make_scheduler,
 ):
     # Forty requests run on an endpoint with a batch of 32, and the next endpoint is
-    # ready in four seconds. Until then responses begin 0.3 to 0.8 s late, unless an
+    # ready in four seconds. Until then answers begin 0.3 to 0.8 s late, unless an
     # endpoint with the weights on its disk takes over within a second.
     assert needs_more(make_scheduler(loaded=1, loading=1, running=40))
 
