--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -36,11 +36,11 @@
 RESPONSE_MARGIN_S = 0.02
 #: Pause after a refusal by a busy endpoint, seconds.
 BUSY_PAUSE_S = 0.03
-#: Share of the objective after which a repeatable, non-streaming request that is not
-#: answered is sent to another endpoint.
-HEDGE_SHARE = 0.6
+#: Share of the objective after which the attempt at a repeatable, non-streaming request
+#: is abandoned if it has no answer, and the request is sent to another endpoint.
+ABANDON_SHARE = 0.6
 #: Lower bound of that time, seconds.
-MIN_HEDGE_S = 0.05
+MIN_ABANDON_S = 0.05
 #: Weight in the failure rate of an error that the endpoint itself returned: some are
 #: caused by the request.
 ERROR_WEIGHT = 0.5
@@ -135,9 +135,11 @@
     ) -> calls.Reply | None:
         left_s = request.deadline - started_at - RESPONSE_MARGIN_S
         head_deadline = request.deadline
-        if self._may_hedge(request, progress):
-            hedge_after_s = max(MIN_HEDGE_S, HEDGE_SHARE * request.route.objective_s)
-            head_deadline = min(head_deadline, started_at + hedge_after_s)
+        if self._may_abandon(request, progress):
+            abandon_after_s = max(
+                MIN_ABANDON_S, ABANDON_SHARE * request.route.objective_s
+            )
+            head_deadline = min(head_deadline, started_at + abandon_after_s)
         sent = self.protocol.send(endpoint, request, left_s, head_deadline)
         match sent:
             case result.Err(failure):
@@ -151,7 +153,7 @@
             self._handle_kind(request, endpoint, progress, kind)
             return None
         failed = kind is adapters.ResponseKind.FAILED
-        if failed and self._may_hedge(request, progress):
+        if failed and self._may_abandon(request, progress):
             answer.close()
             self.health.record_failure(
                 endpoint, f"status {answer.status}", ERROR_WEIGHT
@@ -174,7 +176,7 @@
         :param request: the request.
         :param endpoint: the endpoint.
         :param answer: the answer.
-        :param kind: the meaning of the answer's head.
+        :param kind: the classification of the answer.
         :param sent_at: monotonic time at which the request was sent.
         """
         if kind not in (
@@ -193,7 +195,7 @@
         kind: adapters.ResponseKind,
         started_at: float,
     ) -> calls.Reply | None:
-        """Turn an answer into a reply; non-streaming ones are read whole first."""
+        """Return the reply for an answer; a non-streaming one is read whole first."""
         if request.route.streaming and kind is adapters.ResponseKind.ANSWER:
             took_s = time.monotonic() - started_at
             self.health.record_success(endpoint, took_s)
@@ -225,10 +227,10 @@
         self.head_seconds.observe(labels, time.monotonic() - request.received_at)
         return calls.Reply(answer.status, answer.headers, body)
 
-    def _may_hedge(
+    def _may_abandon(
         self, request: caller_request.CallerRequest, progress: RequestProgress
     ) -> bool:
-        """Return whether a slow attempt may be abandoned for another endpoint."""
+        """Return whether a slow or failed attempt may be abandoned for another one."""
         return (
             request.route.repeatable
             and not request.route.streaming
--- a/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
@@ -123,8 +123,8 @@
             if eligible:
                 return self._acquire_slot(request, progress, eligible)
             if candidates.ready:
-                # Only endpoints that it must not be sent to hold its model; the caller
-                # may retry.
+                # Its model is held only by endpoints that it must not be sent to; the
+                # caller may retry.
                 return self._refuse(request, progress, 503, BUSY_RETRY_S)
             if candidates.all:
                 refused = self._wait_for_model(request, progress, candidates, now)
@@ -195,7 +195,7 @@
         request: caller_request.CallerRequest,
         candidates: endpoint_selection.Candidates,
     ) -> float | None:
-        """Return the seconds until a model without any endpoint is loaded, if known."""
+        """Return the seconds until a model that no endpoint holds is ready; or None."""
         target = request.target
         if any(item.holds(target.model, "") for item in candidates.all):
             # Only the adapter is missing, which loads in milliseconds.
--- a/packages/mothworks_gateway/src/mothworks_gateway/stream_relay.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/stream_relay.py
@@ -38,7 +38,8 @@
         self.request = request
         self.endpoint = endpoint
         self.answer = answer
-        self.open = True
+        #: Whether the answer is open and its request counts as running.
+        self.is_answer_open = True
         self.tried_ids = {endpoint.id}
         self.outcome = "caller left"
         self.closed = False
@@ -98,8 +99,8 @@
             raise ConnectionResetError("the stream ended inside an event")
 
     def _release(self) -> None:
-        if self.open:
-            self.open = False
+        if self.is_answer_open:
+            self.is_answer_open = False
             self.answer.close()
             self.attempts.running_requests.request_ended(
                 self.endpoint, self.request.target
@@ -168,7 +169,7 @@
         if resumed:
             self.answer = answer
             self.endpoint = endpoint
-            self.open = True
+            self.is_answer_open = True
             self.attempts.running_requests.request_started(
                 endpoint, self.request.target
             )
