--- a/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
@@ -108,7 +108,7 @@
             return
         state.apply_inventory(inventory)
         if state.known and state.adapters_by_model != state.endpoint.adapters_by_model:
-            # All VMs know from the registry what agrees with it.
+            # If both agree, all VMs know the holdings from the registry already.
             self.publish(state)
 
     def _inventory(
--- a/packages/mothworks_gateway/src/mothworks_gateway/prefill_pacing.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/prefill_pacing.py
@@ -27,7 +27,8 @@
 
 log = logbook.Logger("turns")
 
-#: Prompt tokens per second that are sent to an endpoint whose prefill speed is unknown.
+#: Pace at which prompts are sent to an endpoint whose prefill speed is unknown, prompt
+#: tokens per second.
 DEFAULT_PREFILL_TOKENS_PER_S = 28_000.0
 #: Share of an endpoint's prefill speed that is scheduled; the rest is left for decoding
 #: the running streams.
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -38,7 +38,7 @@
 #: requests, VMs would not learn that the limit was lifted.
 MIN_RATE_PER_S = 0.25
 #: Longest time for which an owner grants slots ahead, seconds. It holds for the most
-#: urgent requests; less urgent ones get less, so that the last slots are left to those.
+#: urgent requests; others get less, so that the last slots are left to urgent ones.
 MAX_AHEAD_S = 2.0
 #: The same once requests have been refused for longer than :data:`OVERLOAD_AFTER_S`: in
 #: a lasting overload, long waits would make all served requests late.
@@ -46,7 +46,8 @@
 #: Duration of refusals after which an endpoint counts as overloaded, and time without a
 #: refusal after which it no longer does, seconds.
 OVERLOAD_AFTER_S = 2.0
-#: Endpoints with a limit for which a slot is requested for one request.
+#: Limited endpoints at which a free slot is requested for one request, before it waits
+#: for a slot at one of them.
 MAX_LIMITED_TRIED = 3
 #: Retry-After for callers if no owner of a limit replies, seconds: the retry reaches
 #: another VM.
@@ -120,7 +121,7 @@
 
 @attrs.define
 class RefusalStreak:
-    """Consecutive refusals of slots of one endpoint, without longer gaps.
+    """Refusals of slots of one endpoint, with gaps of at most `OVERLOAD_AFTER_S`.
 
     :param started_at: monotonic time of the first one.
     :param last_at: monotonic time of the last one.
--- a/packages/mothworks_gateway/src/mothworks_gateway/token_bucket.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/token_bucket.py
@@ -34,6 +34,7 @@
         self.cap = cap
         self.overdraft = overdraft
         self.level = 0.0
+        #: Monotonic time up to which `level` includes the accrued credit.
         self.at = since
         #: Monotonic time at which there is credit for all refused requests that were
         #: given a retry delay.
@@ -83,9 +84,9 @@
         return max(0.0, min(units, self.cap.burst) - self.level) / self.cap.per_s
 
     def debit(self, units: float, now: float) -> None:
-        """Debit units that another VM reports as spent.
+        """Debit units unconditionally, such as those that another VM reports as spent.
 
-        :param units: the units; negative for units that were given back.
+        :param units: the units; negative for units that are returned.
         :param now: monotonic time.
         """
         self._refill(now)
