--- a/packages/mothworks_gateway/tests/modelled_endpoint.py
+++ b/packages/mothworks_gateway/tests/modelled_endpoint.py
@@ -170,7 +170,7 @@
             handler("vm", message, None)
 
 
-def make_site_orders(endpoint, view, vms, held_lease=None):
+def make_order_sender(endpoint, view, vms, held_lease=None):
     """Return the order sender of a lease holder, connected to an endpoint."""
     parts = {
         discovery.Discovery: types.SimpleNamespace(registry=view),
--- a/packages/mothworks_gateway/tests/test_endpoint_selection.py
+++ b/packages/mothworks_gateway/tests/test_endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: a shared prompt goes to one endpoint, unless it is full."""
+"""Endpoint selection: a shared prompt goes to one endpoint, unless it is busier."""
 
 import gateway_builders
 from mothworks_gateway import (
@@ -42,7 +42,7 @@
     assert len(first_ids) == 1
 
 
-def test_a_full_preferred_endpoint_is_not_the_first_choice():
+def test_a_busier_preferred_endpoint_is_not_the_first_choice():
     endpoints = [gateway_builders.endpoint(f"i-{n}") for n in range(2)]
     request = gateway_builders.request(prompt=prompt("a", "own"))
     preferred = make_selection(endpoints).candidates(request).ready[0]
@@ -82,7 +82,7 @@
     assert candidates.all == (staying,)
 
 
-def test_a_large_batch_does_not_hide_a_full_endpoint():
+def test_a_large_batch_does_not_hide_a_busier_endpoint():
     # Endpoints have 96 batch slots, and the prefill of a dozen prompts keeps one busy.
     # One that ran nine requests more than the other, a tenth of its slots, still
     # received all requests that share a prompt, and all of their streams stalled.
--- a/packages/mothworks_gateway/tests/test_job_execution.py
+++ b/packages/mothworks_gateway/tests/test_job_execution.py
@@ -26,20 +26,20 @@
     """Stub of the order sender: endpoints respond at once, or not at all."""
 
     def __init__(self):
-        self.running_requests = 0
-        self.max_running_requests = 0
+        self.pending_requests = 0
+        self.max_pending_requests = 0
         self.inventory_requests = []
         self.silent = set()
         self.sent_orders = []
 
     def refresh(self, state):
         self.inventory_requests.append(state.endpoint.id)
-        self.running_requests += 1
-        self.max_running_requests = max(
-            self.max_running_requests, self.running_requests
+        self.pending_requests += 1
+        self.max_pending_requests = max(
+            self.max_pending_requests, self.pending_requests
         )
         gevent.sleep(0.001)
-        self.running_requests -= 1
+        self.pending_requests -= 1
         if state.endpoint.id not in self.silent:
             state.accepted_orders = 0
 
@@ -99,7 +99,7 @@
     fleet.settle()
     assert all(state.known for state in fleet.states)
     assert len(fleet.order_sender.inventory_requests) == ENDPOINTS
-    assert fleet.order_sender.max_running_requests <= job_execution.MAX_INVENTORY_TASKS
+    assert fleet.order_sender.max_pending_requests <= job_execution.MAX_INVENTORY_TASKS
 
 
 # Guards against one task per endpoint, each waking twice a second without work.
@@ -132,9 +132,7 @@
 
 # Guards against an endpoint that stays idle until the next scheduling pass, after an
 # order whose result was not observed.
-def test_an_inventory_follows_a_job_with_unknown_result(
-    fleet,
-):
+def test_an_inventory_follows_a_job_with_unknown_result(fleet):
     fleet.settle()
     state = fleet.states[5]
     original_order = fleet.order_sender.order
--- a/packages/mothworks_gateway/tests/test_late_orders.py
+++ b/packages/mothworks_gateway/tests/test_late_orders.py
@@ -35,7 +35,7 @@
     endpoint.restart()
     view = registry.Registry()
     view.put(entry(endpoint), b"")
-    orders = modelled_endpoint.make_site_orders(
+    orders = modelled_endpoint.make_order_sender(
         endpoint, view, modelled_endpoint.Peers()
     )
     return endpoint, view, orders
@@ -64,7 +64,7 @@
         self.view.put(entry(self.endpoint), b"")
         self.vms = modelled_endpoint.Peers()
         holders = [
-            modelled_endpoint.make_site_orders(self.endpoint, self.view, self.vms)
+            modelled_endpoint.make_order_sender(self.endpoint, self.view, self.vms)
             for _ in range(2)
         ]
         self.holders = holders
@@ -112,7 +112,7 @@
         self.order(holder, load, model, adapter, fault)
 
     @hypothesis.stateful.rule(holder=st.sampled_from([0, 1]))
-    def look(self, holder):
+    def refresh(self, holder):
         self.holders[holder].refresh(self.state_for(holder))
 
     @hypothesis.stateful.rule()
--- a/packages/mothworks_gateway/tests/test_order_sender.py
+++ b/packages/mothworks_gateway/tests/test_order_sender.py
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def orders(endpoint, stub_lease):
-    return modelled_endpoint.make_site_orders(
+    return modelled_endpoint.make_order_sender(
         endpoint, registry.Registry(), modelled_endpoint.Peers(), stub_lease
     )
 
--- a/packages/mothworks_gateway/tests/test_placement_candidates.py
+++ b/packages/mothworks_gateway/tests/test_placement_candidates.py
@@ -1,4 +1,4 @@
-"""Placement candidates: which models an endpoint evicts to make room for another."""
+"""Placement candidates: which models an endpoint evicts to free memory for another."""
 
 from mothworks_gateway import placement_candidates
 
--- a/packages/mothworks_gateway/tests/test_unloads.py
+++ b/packages/mothworks_gateway/tests/test_unloads.py
@@ -59,7 +59,7 @@
 def test_a_load_after_an_unload_is_rarely_refused(endpoint, monkeypatch):
     # Each load was refused at 10, 45 and 100 ms before it was accepted.
     held_lease = modelled_endpoint.Lease()
-    orders = modelled_endpoint.make_site_orders(
+    orders = modelled_endpoint.make_order_sender(
         endpoint, registry.Registry(), modelled_endpoint.Peers(), held_lease
     )
     monkeypatch.setattr(orders, "_wait_until_executed", lambda *_: None)
--- a/packages/mothworks_gateway/tests/virtual_time.py
+++ b/packages/mothworks_gateway/tests/virtual_time.py
@@ -4,7 +4,7 @@
 
 
 class Clock:
-    """Replaces the module ``time`` in some modules, and the suspension clock.
+    """Replaces the module ``time`` in some modules, and the boot clock.
 
     :param monkeypatch: pytest's fixture.
     :param modules: the modules under test.
