--- a/packages/mothworks_gateway/src/mothworks_gateway/caller_request.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/caller_request.py
@@ -41,7 +41,7 @@
 class CallerRequest:
     """A caller's request.
 
-    :param id: the caller's id of this attempt.
+    :param id: the id that the caller sent with it.
     :param route: the matching route.
     :param target: the service, model and adapter that it needs.
     :param method: the HTTP method.
--- a/packages/mothworks_gateway/src/mothworks_gateway/shared_health.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/shared_health.py
@@ -65,7 +65,7 @@
             self.merge(received.answers)
 
     def merge(self, rows: collections.abc.Iterable[heartbeat.AnswerRow]) -> None:
-        """Add answer counts of a VM, and eject the outliers.
+        """Add answer counts of one or several VMs, and eject the outliers.
 
         :param rows: the counts by endpoint.
         """
--- a/packages/mothworks_gateway/tests/modelled_endpoint.py
+++ b/packages/mothworks_gateway/tests/modelled_endpoint.py
@@ -22,6 +22,8 @@
     residency,
 )
 
+#: Sizes are in thousands of MB here, although the declared fields are in MB: they are
+#: only compared with each other. The tests' comments give them in GB.
 MEMORY_MB = 83.0
 ADAPTER_SLOTS = 2
 ADAPTER_MB = 0.04
--- a/packages/mothworks_gateway/tests/test_placement_candidates.py
+++ b/packages/mothworks_gateway/tests/test_placement_candidates.py
@@ -6,7 +6,7 @@
 class EndpointState:
     """Stub of an endpoint state that holds models of given sizes.
 
-    :param memory_mb_by_model: their sizes, MB.
+    :param memory_mb_by_model: their sizes, in thousands of MB.
     """
 
     def __init__(self, **memory_mb_by_model):
--- a/packages/mothworks_gateway/tests/test_send_slots.py
+++ b/packages/mothworks_gateway/tests/test_send_slots.py
@@ -13,7 +13,7 @@
 import limit_simulation
 from mothworks_gateway import send_slots
 
-FLEETS = pytest.mark.parametrize("count", [1, 3, 8, 60, 300])
+VM_COUNTS = pytest.mark.parametrize("count", [1, 3, 8, 60, 300])
 LIMITS = pytest.mark.parametrize("per_s", [1.0, 1.5, 12.0])
 
 
@@ -21,7 +21,7 @@
     return len(endpoint.arrivals_between(since, until)) / (per_s * (until - since))
 
 
-@FLEETS
+@VM_COUNTS
 @LIMITS
 def test_a_limit_is_kept_and_used(monkeypatch, count, per_s):
     fleet = limit_simulation.Fleet(monkeypatch, count)
@@ -35,7 +35,7 @@
 
 
 # Guards against a part of the limit that is reserved for idle VMs.
-@FLEETS
+@VM_COUNTS
 def test_callers_of_one_vm_get_the_whole_limit(monkeypatch, count):
     fleet = limit_simulation.Fleet(monkeypatch, count)
     (endpoint,) = fleet.endpoints
@@ -75,7 +75,7 @@
         assert 0 < at_limit.retry_after_s <= 8.0
 
 
-@FLEETS
+@VM_COUNTS
 def test_a_lifted_limit_no_longer_applies_after_a_second(monkeypatch, count):
     fleet = limit_simulation.Fleet(monkeypatch, count)
     (endpoint,) = fleet.endpoints
@@ -91,7 +91,7 @@
 
 
 # Guards against slots that were granted under a higher limit than the current one.
-@FLEETS
+@VM_COUNTS
 def test_a_lowered_limit_applies_at_once(monkeypatch, count):
     fleet = limit_simulation.Fleet(monkeypatch, count)
     (endpoint,) = fleet.endpoints
@@ -107,7 +107,7 @@
     assert utilisation(endpoint, 1.5, since, fleet.now) >= 0.85
 
 
-@FLEETS
+@VM_COUNTS
 def test_a_raised_limit_is_used_at_once(monkeypatch, count):
     fleet = limit_simulation.Fleet(monkeypatch, count)
     (endpoint,) = fleet.endpoints
