--- a/packages/mothworks_gateway/src/mothworks_gateway/admission.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/admission.py
@@ -62,7 +62,7 @@
     def identify(
         self, route: declaration_types.Route, key: str
     ) -> result.Result[client_accounts.ClientAccount | None, outcomes.Refusal]:
-        """Return the caller's account; None if the route needs no key.
+        """Return the caller's account; None if no key is needed.
 
         :param route: the requested route.
         :param key: the key in the request, or an empty string.
--- a/packages/mothworks_gateway/src/mothworks_gateway/residency.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/residency.py
@@ -26,7 +26,8 @@
 
 log = logbook.Logger("residency")
 
-#: Seconds between reports of this VM's waiting callers, in addition to the heartbeats.
+#: Seconds between repeated reports of this VM's waiting callers; the first report for a
+#: model is sent at once.
 REPORT_INTERVAL_S = 0.15
 #: Time past the expected end of a load for which callers still count on it, seconds.
 READY_MARGIN_S = 0.3
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -121,7 +121,7 @@
 
 @attrs.define
 class RefusalStreak:
-    """Refusals of slots of one endpoint, with gaps of at most `OVERLOAD_AFTER_S`.
+    """Refusals of slots of one endpoint, with gaps of at most :data:`OVERLOAD_AFTER_S`.
 
     :param started_at: monotonic time of the first one.
     :param last_at: monotonic time of the last one.
--- a/packages/mothworks_gateway/src/mothworks_gateway/server_sent_events.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/server_sent_events.py
@@ -47,7 +47,7 @@
         return complete
 
     def _set_last_id(self, event_id: str) -> None:
-        """Check and store the next event's id, which must grow within a stream.
+        """Check and store the next event's id; numeric ids must grow within a stream.
 
         A run that starts over instead of continuing after the last event would send the
         caller events twice.
--- a/packages/mothworks_gateway/src/mothworks_gateway/stream_relay.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/stream_relay.py
@@ -21,7 +21,7 @@
 class StreamRelay:
     """Relays a running stream; iterating yields its bytes as they arrive.
 
-    :param attempts: the attempts part, whose services it uses to resume the stream.
+    :param attempts: the part that sent the request; resuming uses the parts it has.
     :param request: the request.
     :param endpoint: the endpoint that runs it.
     :param answer: the endpoint's answer, its body not read.
