--- a/packages/mothworks_gateway/tests/modelled_endpoint.py
+++ b/packages/mothworks_gateway/tests/modelled_endpoint.py
@@ -22,6 +22,8 @@
     residency,
 )
 
+#: Sizes are in thousands of MB here, although the declared fields are in MB: they are
+#: only compared with each other. The tests' comments give them in GB.
 MEMORY_MB = 83.0
 ADAPTER_SLOTS = 2
 ADAPTER_MB = 0.04
@@ -170,7 +172,7 @@
             handler("vm", message, None)
 
 
-def make_site_orders(endpoint, view, vms, held_lease=None):
+def make_order_sender(endpoint, view, vms, held_lease=None):
     """Return the order sender of a lease holder, connected to an endpoint."""
     parts = {
         discovery.Discovery: types.SimpleNamespace(registry=view),
