--- a/packages/mothworks_fakes/src/mothworks_fakes/placement_trial.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/placement_trial.py
@@ -1,8 +1,8 @@
-"""One trace under one policy, in simulated time.
+"""Simulates one demand trace under one placement policy.
 
-The planner's own code plans; the ledger's own code admits moves; engines are
-their memory (engine_memory) and a queue that is a number. Time goes in steps
-of one second.
+The planner and the ledger are the code that nodes run. An engine is modelled by
+its memory (engine_memory) and the amount of work in its queue. Simulated time
+advances in steps of one second.
 """
 
 import collections
@@ -24,28 +24,31 @@
 )
 from mothworks_fakes import demand_traces, engine_memory
 
-#: Rate of one load at full speed, MB/s.
+#: Throughput of one weight load while loads do not compete, MB/s.
 LOAD_MB_PER_S = 2000.0
-#: Time that an unload waits for announcements and requests in flight, seconds.
+#: Duration of an unload, which waits for announcements and requests in flight,
+#: seconds.
 UNLOAD_S = 3.0
 #: Target for the first token, seconds.
-TARGET_S = 1.6
-#: Smallest difference that counts as done, MB.
-EPSILON = 1e-6
+FIRST_TOKEN_TARGET_S = 1.6
+#: Remaining work of a move at which it counts as finished; MB of a load, seconds
+#: of an unload. Absorbs rounding errors.
+MIN_REMAINING = 1e-6
 
 
 @attrs.define
 class Outcome:
-    """What a trial measured after its warm-up.
-
-    :param arrived: requests.
-    :param attained: requests that were served within their target.
-    :param loads: loads of models begun.
-    :param unloads: unloads of models begun.
-    :param adapter_loads: loads of adapters begun.
-    :param restore_s: times to restore models that were resident nowhere.
-    :param planner_s: processor time of all passes, seconds.
-    :param overcommitted: engines whose memory ever was too small.
+    """Measurements of a trial after its warm-up.
+
+    :param arrived: requests that arrived.
+    :param attained: requests that met their first-token target.
+    :param loads: model loads started.
+    :param unloads: model unloads started.
+    :param adapter_loads: adapter loads started.
+    :param restore_s: for each time that a model was resident on no engine, the
+        time until it was resident again, seconds.
+    :param planner_s: processor time of all planning passes, seconds.
+    :param overcommitted: engines whose peak memory use exceeded their memory.
     """
 
     arrived: int = 0
@@ -59,14 +62,14 @@
 
     @property
     def moves(self) -> int:
-        """Return loads and unloads of models."""
+        """Return the number of model loads and unloads."""
         return self.loads + self.unloads
 
 
 class SimulatedEngine:
-    """One engine with its owner.
+    """An engine together with the ledger and move queue of its owner.
 
-    :param declared: the endpoint.
+    :param declared: the endpoint's catalogue entry.
     """
 
     def __init__(self, declared: catalogue.Endpoint):
@@ -74,66 +77,72 @@
         self.memory = engine_memory.EngineMemory(declared.memory_mb)
         self.ledger = ledger.Ledger(declared.name)
         self.queue: collections.deque[move_messages.Move] = collections.deque()
-        self.left = 0.0
+        self.remaining = 0.0
         self.backlog = 0.0
-        self.lost = False
+        self.failed = False
         self.changed = True
 
-    def answers_for(self) -> set[str]:
-        """Return the models that get requests here."""
+    def served_models(self) -> set[str]:
+        """Return the resident models and adapters that accept requests.
+
+        One that is being unloaded accepts none.
+        """
         names = {key[0] for key in self.memory.resident_by_key}
         intent = self.ledger.intent
         if intent is not None and intent.kind is endpoints.OrderKind.UNLOAD:
             names.discard(intent.holding.name)
-        return set() if self.lost else names
+        return set() if self.failed else names
 
-    def lose(self) -> None:
-        """Fail with all memory, as its data centre does."""
-        self.lost = True
+    def fail(self) -> None:
+        """Fail with the data centre: lose resident models and queued work."""
+        self.failed = True
         self.memory.restart()
         self.queue.clear()
         self.backlog = 0.0
         self.ledger = ledger.Ledger(self.declared.name, self.ledger.fence + 1)
         self.changed = True
 
-    def begin(self, holdings: dict[str, ledger.Holding]) -> move_messages.Move | None:
-        """Begin the next move, if none is under way.
+    def start_next_move(
+        self, holding_by_name: dict[str, ledger.Holding]
+    ) -> move_messages.Move | None:
+        """Start the next queued move that the ledger admits, unless one is running.
 
-        :param holdings: what each model or adapter takes.
+        :param holding_by_name: memory that each model or adapter needs.
+        :returns: the started move, if any.
         """
-        while self.queue and self.ledger.intent is None and not self.lost:
+        while self.queue and self.ledger.intent is None and not self.failed:
             move = self.queue.popleft()
             kind = endpoints.OrderKind(move.kind)
-            intended = ledger.intend(
+            admitted = ledger.intend(
                 self.ledger,
                 kind,
-                holdings[move.name],
+                holding_by_name[move.name],
                 str(self.ledger.fence),
                 self.declared.memory_mb,
             )
-            if intended.is_err():
+            if admitted.is_err():
                 continue
-            self.ledger = intended.unwrap()
+            self.ledger = admitted.unwrap()
             self.changed = True
             if kind is endpoints.OrderKind.LOAD:
-                self.left = float(holdings[move.name].memory_mb)
+                self.remaining = float(holding_by_name[move.name].memory_mb)
                 self.memory.take(self._order())
             else:
-                self.left = UNLOAD_S
+                self.remaining = UNLOAD_S
             return move
         return None
 
-    def progress(self, load_mb: float) -> None:
-        """Go on with the move under way for a second.
+    def advance(self, load_mb: float) -> None:
+        """Advance the running move by one second.
 
-        :param load_mb: weights that a load gets in this second, MB.
+        :param load_mb: weights that a load receives in this second, MB.
         """
         intent = self.ledger.intent
-        if intent is None or self.lost:
+        if intent is None or self.failed:
             return
         is_load = intent.kind is endpoints.OrderKind.LOAD
-        self.left -= load_mb if is_load else 1.0
-        if self.left > EPSILON:
+        self.remaining -= load_mb if is_load else 1.0
+        if self.remaining > MIN_REMAINING:
             return
         if is_load:
             self.memory.finish(intent.holding.key)
@@ -142,8 +151,8 @@
         self.ledger = ledger.settle(self.ledger, result.Ok(None), True, 0.0, 0.0)
         self.changed = True
 
-    def holdings(self) -> move_messages.Holdings:
-        """Return the owner's report to the planner."""
+    def report(self) -> move_messages.Holdings:
+        """Return the report that the owner sends to the planner."""
         current = self.ledger
         intent = current.intent
         return move_messages.Holdings(
@@ -168,10 +177,10 @@
 
 
 class Trial:
-    """A deployment under one policy and one trace.
+    """Simulates a deployment under one policy and one demand trace.
 
     :param trace: the demand.
-    :param policy: name of a plug-in of kind :data:`plugins.PLACEMENT`.
+    :param policy: key of a plug-in of kind :data:`plugins.PLACEMENT`.
     """
 
     def __init__(self, trace: demand_traces.Trace, policy: str):
@@ -180,7 +189,7 @@
         self.declared = demand_traces.deployment(trace.size, trace.seed)
         self.engines = [SimulatedEngine(item) for item in self.declared.endpoints]
         self.names = [item.name for item in self.declared.models]
-        self.holdings = _holdings(self.declared)
+        self.holding_by_name = _holding_by_name(self.declared)
         self.region = region_plan.RegionPlan(
             "region",
             -demand_traces.WARM_UP_S - region_plan.LISTEN_S,
@@ -189,34 +198,34 @@
         self.region.follow(1, catalogue.Index(self.declared), self.region.began)
         self.book = demand.Book()
         self.outcome = Outcome()
-        self.lost_since: dict[str, int] = {}
+        self.unavailable_since: dict[str, int] = {}
 
     def run(self) -> Outcome:
-        """Run the trace and return what was measured."""
+        """Run the trace and return its measurements."""
         for second in range(-demand_traces.WARM_UP_S, demand_traces.LENGTH_S):
             if second == 0:
                 self.outcome = Outcome()
-            self._fail(second)
+            self._update_failures(second)
             self._serve(second)
             self._plan(second)
-            self._carry_out()
+            self._execute_moves()
         for engine in self.engines:
             peak_mb = engine.memory.peak_mb
             self.outcome.overcommitted += peak_mb > engine.declared.memory_mb
         return self.outcome
 
-    def _fail(self, second: int) -> None:
+    def _update_failures(self, second: int) -> None:
         for engine in self.engines:
             is_lost = self.trace.is_lost(engine.declared.data_centre, second)
-            if is_lost and not engine.lost:
-                engine.lose()
-            engine.lost = is_lost
+            if is_lost and not engine.failed:
+                engine.fail()
+            engine.failed = is_lost
 
     def _serve(self, second: int) -> None:
         engines_by_name = collections.defaultdict(list)
         for engine in self.engines:
             engine.backlog = max(0.0, engine.backlog - engine.declared.slots)
-            for name in engine.answers_for():
+            for name in engine.served_models():
                 engines_by_name[name].append(engine)
         arrivals_by_name = {}
         for name, rate in zip(self.names, self.trace.rates(second), strict=True):
@@ -224,55 +233,55 @@
             if arrivals:
                 arrivals_by_name[name] = arrivals
                 self._admit(engines_by_name.get(name, []), arrivals)
-            self._watch_lost(name, name in engines_by_name, second)
-        self._count(arrivals_by_name)
+            self._track_restore(name, name in engines_by_name, second)
+        self._report_demand(arrivals_by_name)
 
     def _admit(self, engines: list[SimulatedEngine], arrivals: int) -> None:
         self.outcome.arrived += arrivals
         for _ in range(arrivals if engines else 0):
             engine = min(engines, key=lambda engine: engine.backlog)
-            # What arrives within a second is spread over it: a place's time
-            # in this second is not queue yet.
+            # Arrivals are spread over the second, so the work that the slots
+            # finish within it does not delay them.
             wait_s = engine.backlog / engine.declared.slots - 1.0
-            if wait_s > TARGET_S:
+            if wait_s > FIRST_TOKEN_TARGET_S:
                 return
             engine.backlog += demand_traces.SERVICE_S
             self.outcome.attained += 1
 
-    def _watch_lost(self, name: str, resident: bool, second: int) -> None:
+    def _track_restore(self, name: str, resident: bool, second: int) -> None:
         if not resident:
-            self.lost_since.setdefault(name, second)
-        elif name in self.lost_since:
-            self.outcome.restore_s.append(second - self.lost_since.pop(name))
+            self.unavailable_since.setdefault(name, second)
+        elif name in self.unavailable_since:
+            self.outcome.restore_s.append(second - self.unavailable_since.pop(name))
 
-    def _count(self, arrivals_by_name: dict[str, int]) -> None:
+    def _report_demand(self, arrivals_by_name: dict[str, int]) -> None:
         arrivals = list(arrivals_by_name.values())
         held_ms = [round(count * demand_traces.SERVICE_S * 1000) for count in arrivals]
         counts = demand.Counts(list(arrivals_by_name), arrivals, arrivals, held_ms)
         self.book.take(counts)
-        noted = getattr(self.region.policy, "arrived", None)
-        for name in arrivals_by_name if noted else ():
-            noted(name)
+        on_arrival = getattr(self.region.policy, "arrived", None)
+        for name in arrivals_by_name if on_arrival else ():
+            on_arrival(name)
 
     def _plan(self, second: int) -> None:
         for engine in self.engines:
             if engine.changed:
                 engine.changed = False
-                self.region.take(engine.holdings())
+                self.region.take(engine.report())
         open_endpoints = frozenset(
-            engine.declared.name for engine in self.engines if not engine.lost
+            engine.declared.name for engine in self.engines if not engine.failed
         )
-        began = time.thread_time()
+        started_s = time.thread_time()
         moves = self.region.plan(float(second), self.book, open_endpoints)
-        self.outcome.planner_s += time.thread_time() - began
-        by_name = {engine.declared.name: engine for engine in self.engines}
+        self.outcome.planner_s += time.thread_time() - started_s
+        engine_by_name = {engine.declared.name: engine for engine in self.engines}
         for move in moves:
-            by_name[move.endpoint].queue.append(move)
+            engine_by_name[move.endpoint].queue.append(move)
 
-    def _carry_out(self) -> None:
+    def _execute_moves(self) -> None:
         models = set(self.names)
         for engine in self.engines:
-            move = engine.begin(self.holdings)
+            move = engine.start_next_move(self.holding_by_name)
             if move is None:
                 continue
             match move.kind:
@@ -286,10 +295,10 @@
         parallel = self.declared.weights.parallel_loads
         load_mb = LOAD_MB_PER_S * min(1.0, parallel / max(1, running))
         for engine in self.engines:
-            engine.progress(load_mb)
+            engine.advance(load_mb)
 
 
-def _holdings(declared: catalogue.Catalogue) -> dict[str, ledger.Holding]:
+def _holding_by_name(declared: catalogue.Catalogue) -> dict[str, ledger.Holding]:
     models = {
         item.name: ledger.Holding(
             item.name, item.version, item.memory_mb, item.working_mb
@@ -303,14 +312,14 @@
     return {**models, **adapters}
 
 
-def _poisson(source: random.Random, mean: float) -> int:
-    """Return a Poisson number, by the normal law where the mean is large."""
+def _poisson(rng: random.Random, mean: float) -> int:
+    """Return a Poisson variate; large means use the normal approximation."""
     if mean > 50:
-        return max(0, round(source.gauss(mean, math.sqrt(mean))))
+        return max(0, round(rng.gauss(mean, math.sqrt(mean))))
     limit = math.exp(-mean)
     count = 0
-    product = source.random()
+    product = rng.random()
     while product > limit:
         count += 1
-        product *= source.random()
+        product *= rng.random()
     return count
