--- a/packages/mothworks_fakes/src/mothworks_fakes/measure_placement.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/measure_placement.py
@@ -1,8 +1,8 @@
 """Measures placement: ``python -m mothworks_fakes.measure_placement``.
 
-Prints attainment per accelerator, moves, and times to restore for each
-policy, deployment and trace; then the planner's processor time as models and
-endpoints grow.
+Simulates each policy on each deployment and trace, and prints attainment per
+accelerator, moves and restore times; then prints the processor time of a
+planning pass for growing numbers of models and endpoints.
 """
 
 import datetime
@@ -32,8 +32,8 @@
     size.name: size
     for size in (demand_traces.SIAMCREST, demand_traces.BANDEJA, demand_traces.TENFOLD)
 }
-#: Models and endpoints for which passes are timed.
-GROWTH = ((30, 9), (180, 1175), (360, 2350), (720, 4700))
+#: Numbers of models and endpoints for which planning passes are timed.
+PASS_SIZES = ((30, 9), (180, 1175), (360, 2350), (720, 4700))
 
 
 @attrs.frozen
@@ -42,23 +42,23 @@
 
     :param policy: the policy.
     :param trace: the trace, or ``all``.
-    :param share: share of requests that met their target.
-    :param per_accelerator: requests that met their target, for each accelerator.
-    :param moves: loads and unloads of models.
-    :param adapter_loads: loads of adapters.
-    :param restored: models that were resident nowhere and came back.
-    :param longest_restore_s: the longest time that took, seconds.
-    :param planner_s: processor time of all passes, seconds.
-    :param overcommitted: engines whose memory ever was too small.
+    :param attainment: share of requests that met their first-token target.
+    :param attained_per_accelerator: requests that met their target, per accelerator.
+    :param moves: model loads and unloads.
+    :param adapter_loads: adapter loads.
+    :param restores: times that a model which no engine held was resident again.
+    :param longest_restore_s: the longest of these restores, seconds.
+    :param planner_s: processor time of all planning passes, seconds.
+    :param overcommitted: engines whose peak memory use exceeded their memory.
     """
 
     policy: str
     trace: str
-    share: float
-    per_accelerator: float
+    attainment: float
+    attained_per_accelerator: float
     moves: int
     adapter_loads: int
-    restored: int
+    restores: int
     longest_restore_s: float
     planner_s: float
     overcommitted: int
@@ -75,25 +75,25 @@
     """Measure placement.
 
     :param size: deployments: siamcrest, bandeja, bandeja-x10.
-    :param seeds: traces of each shape.
-    :param load: share of all places that demand fills before it rises.
-    :param growth: also time passes as models and endpoints grow.
-    :param slopes: file that gets the planner's figures as JSON.
+    :param seeds: number of traces of each shape.
+    :param load: share of all batch slots that demand fills before it rises.
+    :param growth: also time planning passes for growing deployments.
+    :param slopes: file for the planner's figures as JSON.
     """
     for name in size:
         measure_size(SIZE_BY_NAME[name], seeds, load)
     if growth:
-        figures = [measure_passes(*counts) for counts in GROWTH]
+        figures = [measure_passes(*counts) for counts in PASS_SIZES]
         if slopes is not None:
-            flat = [figure for group in figures for figure in group]
-            slopes.write_bytes(orjson.dumps(flat, option=orjson.OPT_INDENT_2) + b"\n")
+            rows = [row for group in figures for row in group]
+            slopes.write_bytes(orjson.dumps(rows, option=orjson.OPT_INDENT_2) + b"\n")
 
 
 def measure_size(size: demand_traces.Size, seeds: int, load: float) -> None:
     """Run every policy over every trace of a deployment and print the totals.
 
     :param size: the deployment.
-    :param seeds: traces of each shape.
+    :param seeds: number of traces of each shape.
     :param load: see :func:`main`.
     """
     print(
@@ -114,26 +114,26 @@
                 for seed in range(seeds)
             ]
             outcomes += runs
-            show(row(policy, shape, size, runs))
-        show(row(policy, "all", size, outcomes))
+            print_row(total(policy, shape, size, runs))
+        print_row(total(policy, "all", size, outcomes))
 
 
-def row(
+def total(
     policy: str,
     trace: str,
     size: demand_traces.Size,
     outcomes: list[placement_trial.Outcome],
 ) -> Row:
-    """Return the totals of some runs.
+    """Return the totals of several runs.
 
     :param policy: the policy.
     :param trace: the trace.
     :param size: the deployment.
-    :param outcomes: what the runs measured.
+    :param outcomes: outcomes of the runs.
     """
     accelerators = size.engines * demand_traces.ACCELERATORS
     attained = sum(item.attained for item in outcomes)
-    restores = [seconds for item in outcomes for seconds in item.restore_s]
+    restore_s = [seconds for item in outcomes for seconds in item.restore_s]
     return Row(
         policy,
         trace,
@@ -141,33 +141,33 @@
         attained / accelerators,
         sum(item.moves for item in outcomes),
         sum(item.adapter_loads for item in outcomes),
-        len(restores),
-        max(restores, default=0.0),
+        len(restore_s),
+        max(restore_s, default=0.0),
         sum(item.planner_s for item in outcomes),
         sum(item.overcommitted for item in outcomes),
     )
 
 
-def show(item: Row) -> None:
+def print_row(item: Row) -> None:
     """Print one row of the table.
 
     :param item: the row.
     """
     print(
-        f"{item.policy:12}{item.trace:18}{item.share:10.4f}"
-        f"{item.per_accelerator:11.1f}{item.moves:7}{item.adapter_loads:9}"
-        f"{item.restored:9}{item.longest_restore_s:10.0f}{item.planner_s:7.2f}"
+        f"{item.policy:12}{item.trace:18}{item.attainment:10.4f}"
+        f"{item.attained_per_accelerator:11.1f}{item.moves:7}{item.adapter_loads:9}"
+        f"{item.restores:9}{item.longest_restore_s:10.0f}{item.planner_s:7.2f}"
         f"{item.overcommitted:5}",
         flush=True,
     )
 
 
 def measure_passes(models: int, engines: int) -> list[dict]:
-    """Time the first pass on an empty fleet, and later ones.
+    """Time the first planning pass on an empty fleet, and later passes.
 
-    :param models: models.
-    :param engines: endpoints.
-    :returns: figures for the slopes' file.
+    :param models: number of models.
+    :param engines: number of endpoints.
+    :returns: figures for a slope file.
     """
     weights = catalogue.Weights(1.0, 0.5, 1e6, 1_000_000)
     size = demand_traces.Size("growth", engines, 5, models, models * 3, weights)
@@ -186,7 +186,7 @@
         region.take(report)
     book = demand.Book()
     rates = list(trace.rates(-1.0))
-    seconds = []
+    pass_s = []
     loads = 0
     for number in range(12):
         if number == 6:
@@ -194,16 +194,16 @@
         arrivals = [round(rate) for rate in rates]
         held_ms = [round(count * 2000) for count in arrivals]
         book.take(demand.Counts(names, arrivals, arrivals, held_ms))
-        began = time.thread_time()
+        started_s = time.thread_time()
         moves = region.plan(float(number), book, open_endpoints)
-        seconds.append(time.thread_time() - began)
+        pass_s.append(time.thread_time() - started_s)
         loads += len(moves)
         for move in moves:
             region.outstanding[move.endpoint][move] = 1e9
-    later = sorted(seconds[1:])[len(seconds) // 2]
+    later_s = sorted(pass_s[1:])[len(pass_s) // 2]
     print(
-        f"{models} models, {engines} endpoints: first pass {seconds[0]:.3f} s, "
-        f"later {later:.3f} s (longest {max(seconds[1:]):.3f} s), {loads} moves"
+        f"{models} models, {engines} endpoints: first pass {pass_s[0]:.3f} s, "
+        f"later {later_s:.3f} s (longest {max(pass_s[1:]):.3f} s), {loads} moves"
     )
     command = "python -m mothworks_fakes.measure_placement"
     date = datetime.date.today().isoformat()
@@ -217,7 +217,7 @@
             "date": date,
             "note": note,
         }
-        for kind, value in (("first", seconds[0]), ("later", later))
+        for kind, value in (("first", pass_s[0]), ("later", later_s))
     ]
 
 
