--- a/packages/mothworks_fakes/src/mothworks_fakes/measure_path.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/measure_path.py
@@ -1,7 +1,7 @@
-"""Measures the way of a request: ``python -m mothworks_fakes.measure_path``.
+"""Measures the request path: ``python -m mothworks_fakes.measure_path``.
 
-Engine, node and, for comparison, a plain WSGI pass-through run as processes
-of their own; the callers run here. Prints one line for each figure.
+The engine, the node and, for comparison, a plain WSGI pass-through run as separate
+processes; the callers run in this one. Prints one line per figure.
 """
 
 import pathlib
@@ -25,16 +25,16 @@
 KEY = "caller-key"
 PATH = "/v1/completions"
 HEADERS = {"Authorization": f"Bearer {KEY}", "Content-Type": "application/json"}
-#: The end of a server-sent event.
-EVENT_END = b"\n\n"
-#: Time between an engine's tokens, milliseconds.
-STEP_MS = 10
+#: Ends a server-sent event.
+EVENT_SEPARATOR = b"\n\n"
+#: Time between two tokens of the engine, milliseconds.
+TOKEN_INTERVAL_MS = 10
 
 
 class Program:
-    """One of this package's programs as a process.
+    """Runs one of this package's programs as a process.
 
-    :param arguments: after ``python -m``.
+    :param arguments: arguments after ``python -m``.
     """
 
     def __init__(self, *arguments: str):
@@ -45,7 +45,7 @@
         self.port = int(self.url.rpartition(":")[2])
 
     def stop(self) -> None:
-        """End the process."""
+        """Kill the process and wait for it to exit."""
         self.process.kill()
         self.process.wait()
 
@@ -60,7 +60,7 @@
 
 
 def resident_mb(pid: int) -> float:
-    """Return the memory of a process that is resident, MB of 2**20 bytes.
+    """Return the resident memory of a process, MB of 2**20 bytes.
 
     :param pid: its process id.
     """
@@ -71,9 +71,9 @@
 
 
 def deploy(bed: testbed.Testbed, engine: Program) -> processes.NodeProcess:
-    """Start a node before one engine and wait until it routes there.
+    """Start a node in front of one engine and wait until it routes there.
 
-    :param bed: a fresh testbed.
+    :param bed: an unused testbed.
     :param engine: the engine's process.
     """
     endpoint = catalogue.Endpoint(
@@ -92,15 +92,15 @@
         endpoints=(endpoint,),
     )
     node = bed.add_node("vm-1", "dc-1", "region-1")
-    apply(node, declared)
+    apply_catalogue(node, declared)
     processes.wait_until(lambda: post(node.url, 1, False).status_code == 200)
     return node
 
 
-def apply(node: processes.NodeProcess, declared: catalogue.Catalogue) -> None:
-    """Put a first catalogue in force.
+def apply_catalogue(node: processes.NodeProcess, declared: catalogue.Catalogue) -> None:
+    """Apply the first catalogue of a deployment.
 
-    :param node: any node.
+    :param node: a node of the deployment.
     :param declared: the catalogue.
     """
     operator = client.Client(node.url, testbed.OPERATOR_KEY)
@@ -109,11 +109,11 @@
 
 
 def post(url: str, tokens: int, stream: bool = True):
-    """Send one completion and return the response, its head read.
+    """Send one completion request and return its response once the head is read.
 
-    :param url: a node's, engine's or pass-through's.
-    :param tokens: how many to ask for.
-    :param stream: whether they are streamed.
+    :param url: URL of a node, an engine or the pass-through.
+    :param tokens: number of tokens to request.
+    :param stream: whether the answer is streamed.
     """
     body = {"model": MODEL, "prompt": "hi", "max_tokens": tokens, "stream": stream}
     http = geventhttpclient.HTTPClient.from_url(url, network_timeout=60)
@@ -121,116 +121,118 @@
 
 
 @attrs.frozen
-class Spread:
-    """Percentiles of a set of times, milliseconds.
+class Percentiles:
+    """Percentiles of a set of durations, milliseconds.
 
     :param p50: the median.
-    :param p99: exceeded by one in a hundred.
+    :param p99: the 99th percentile.
     """
 
     p50: float
     p99: float
 
 
-def spread(times_s: list[float]) -> Spread:
-    """Return percentiles.
+def percentiles(times_s: list[float]) -> Percentiles:
+    """Return the percentiles of some durations.
 
-    :param times_s: seconds.
+    :param times_s: durations, seconds.
     """
     ordered = sorted(times_s)
     last = len(ordered) - 1
-    return Spread(*(1000 * ordered[round(last * share)] for share in (0.5, 0.99)))
+    return Percentiles(*(1000 * ordered[round(last * share)] for share in (0.5, 0.99)))
 
 
-def first_chunks(
+def measure_first_chunks(
     url_by_name: dict[str, str], per_s: float, seconds: float
-) -> dict[str, Spread]:
-    """Return the times to the first chunk, all servers asked in turn.
+) -> dict[str, Percentiles]:
+    """Measure the time to the first chunk, with requests to all servers in rotation.
 
-    :param url_by_name: the servers.
-    :param per_s: requests a second to each, without waiting for answers.
-    :param seconds: how long.
+    :param url_by_name: URLs of the servers.
+    :param per_s: requests a second to each server, sent without waiting for answers.
+    :param seconds: duration of the measurement.
     """
     times_by_name = {name: [] for name in url_by_name}
     callers = gevent.pool.Group()
     body = {"model": MODEL, "prompt": "hi", "max_tokens": 3, "stream": True}
-    wire = orjson.dumps(body)
+    payload = orjson.dumps(body)
     http_by_name = {
         name: geventhttpclient.HTTPClient.from_url(url, concurrency=256)
         for name, url in url_by_name.items()
     }
 
-    def ask(name: str) -> None:
-        begun = time.perf_counter()
-        response = http_by_name[name].post(PATH, wire, HEADERS)
-        response.readline(EVENT_END)
-        times_by_name[name].append(time.perf_counter() - begun)
+    def send_request(name: str) -> None:
+        started_s = time.perf_counter()
+        response = http_by_name[name].post(PATH, payload, HEADERS)
+        response.readline(EVENT_SEPARATOR)
+        times_by_name[name].append(time.perf_counter() - started_s)
         response.read()
 
-    pause = 1 / per_s / len(url_by_name)
-    due = time.perf_counter()
-    end = due + seconds
-    while due < end:
+    interval_s = 1 / per_s / len(url_by_name)
+    next_send_s = time.perf_counter()
+    end_s = next_send_s + seconds
+    while next_send_s < end_s:
         for name in url_by_name:
-            gevent.sleep(max(0.0, due - time.perf_counter()))
-            callers.spawn(ask, name)
-            due += pause
+            gevent.sleep(max(0.0, next_send_s - time.perf_counter()))
+            callers.spawn(send_request, name)
+            next_send_s += interval_s
     callers.join()
-    return {name: spread(times) for name, times in times_by_name.items()}
+    return {name: percentiles(times) for name, times in times_by_name.items()}
 
 
-def chunk_cost(url: str, pid: int, streams: int, tokens: int) -> tuple[float, float]:
-    """Return processor time a chunk, microseconds, and chunks a second.
+def measure_chunk_cost(
+    url: str, pid: int, streams: int, tokens: int
+) -> tuple[float, float]:
+    """Measure processor time per chunk, microseconds, and chunks a second.
 
-    :param url: the server.
-    :param pid: its process.
-    :param streams: answers at a time.
-    :param tokens: chunks of each.
+    :param url: URL of the server.
+    :param pid: process id of the server.
+    :param streams: number of concurrent streamed answers.
+    :param tokens: chunks per answer.
     """
 
     def read_all() -> int:
         return post(url, tokens).read().count(b"data: {")
 
-    used = cpu_s(pid)
-    begun = time.perf_counter()
+    cpu_before_s = cpu_s(pid)
+    started_s = time.perf_counter()
     callers = [gevent.spawn(read_all) for _ in range(streams)]
     chunks = sum(caller.get() for caller in callers)
-    taken = time.perf_counter() - begun
+    elapsed_s = time.perf_counter() - started_s
     if chunks != streams * tokens:
         print(f"  {chunks} of {streams * tokens} chunks arrived", file=sys.stderr)
-    return (cpu_s(pid) - used) / chunks * 1e6, chunks / taken
+    return (cpu_s(pid) - cpu_before_s) / chunks * 1e6, chunks / elapsed_s
 
 
 def latency(*, per_s: float = 50.0, seconds: float = 20.0) -> None:
     """Measure the time that a node adds to the first chunk.
 
-    :param per_s: requests a second, to the engine and to the node each.
-    :param seconds: how long.
+    :param per_s: requests a second to each of the engine and the node.
+    :param seconds: duration of the measurement.
     """
     with tempfile.TemporaryDirectory() as folder:
         engine = _engine()
         bed = testbed.Testbed(pathlib.Path(folder))
         try:
             node = deploy(bed, engine)
-            urls = {"direct": engine.url, "node": node.url}
-            first_chunks(urls, per_s, 2.0)
-            found = first_chunks(urls, per_s, seconds)
+            url_by_name = {"direct": engine.url, "node": node.url}
+            measure_first_chunks(url_by_name, per_s, 2.0)
+            percentiles_by_name = measure_first_chunks(url_by_name, per_s, seconds)
         finally:
             bed.stop()
             engine.stop()
-    direct, through = found["direct"], found["node"]
+    direct, via_node = percentiles_by_name["direct"], percentiles_by_name["node"]
     print(f"first chunk direct: p50 {direct.p50:.2f} ms, p99 {direct.p99:.2f} ms")
-    print(f"first chunk by node: p50 {through.p50:.2f} ms, p99 {through.p99:.2f} ms")
-    added = (through.p50 - direct.p50, through.p99 - direct.p99)
-    print(f"added: p50 {added[0]:.2f} ms, p99 {added[1]:.2f} ms")
+    print(f"first chunk by node: p50 {via_node.p50:.2f} ms, p99 {via_node.p99:.2f} ms")
+    added_ms = (via_node.p50 - direct.p50, via_node.p99 - direct.p99)
+    print(f"added: p50 {added_ms[0]:.2f} ms, p99 {added_ms[1]:.2f} ms")
 
 
 def chunks(*, streams: int = 64, tokens: int = 400, rounds: int = 3) -> None:
-    """Measure the processor time of each chunk, beside a plain pass-through.
+    """Measure the processor time per chunk of a node and of a plain pass-through.
 
-    :param streams: answers at a time, each with a chunk every 10 ms.
-    :param tokens: chunks of each answer.
-    :param rounds: measurements of each.
+    :param streams: concurrent answers, each with a chunk every 10 ms.
+    :param tokens: chunks per answer.
+    :param rounds: measurements of each server.
     """
     with tempfile.TemporaryDirectory() as folder:
         engine = _engine()
@@ -238,12 +240,14 @@
         bed = testbed.Testbed(pathlib.Path(folder))
         try:
             node = deploy(bed, engine)
-            servers = {
+            server_by_name = {
                 "plain pass-through": (plain.url, plain.process.pid),
                 "node": (node.url, node.process.pid),
             }
-            for name in rounds * [*servers]:
-                cost_us, per_s = chunk_cost(*servers[name], streams, tokens)
+            for name in rounds * [*server_by_name]:
+                cost_us, per_s = measure_chunk_cost(
+                    *server_by_name[name], streams, tokens
+                )
                 print(f"{name}: {cost_us:.1f} us a chunk, {per_s:.0f} chunks/s")
         finally:
             bed.stop()
@@ -254,8 +258,8 @@
 def memory(*, models: int = 720, endpoints: int = 4700) -> None:
     """Measure a node's resident memory, idle and with a large catalogue.
 
-    :param models: models of the catalogue.
-    :param endpoints: endpoints of the catalogue.
+    :param models: number of models in the catalogue.
+    :param endpoints: number of endpoints in the catalogue.
     """
     with tempfile.TemporaryDirectory() as folder:
         bed = testbed.Testbed(pathlib.Path(folder))
@@ -263,7 +267,7 @@
             node = bed.add_node("vm-1", "dc-1", "region-1")
             gevent.sleep(3)
             print(f"idle: {resident_mb(node.process.pid):.1f} MB")
-            apply(node, large_catalogue(models, endpoints))
+            apply_catalogue(node, large_catalogue(models, endpoints))
             gevent.sleep(10)
             print(f"large catalogue: {resident_mb(node.process.pid):.1f} MB")
         finally:
@@ -271,13 +275,13 @@
 
 
 def large_catalogue(models: int, endpoints: int) -> catalogue.Catalogue:
-    """Return a catalogue of many endpoints, each in its own data centre.
+    """Return a catalogue of many endpoints in a data centre without VMs.
 
-    Their data centre has no VM and their region neither, so that a single
-    node does not ask all of them for their health.
+    Their region has no VM either, so the single node does not check the health of
+    all endpoints.
 
-    :param models: how many models.
-    :param endpoints: how many endpoints.
+    :param models: number of models.
+    :param endpoints: number of endpoints.
     """
     far = catalogue.DataCentre("dc-far", "region-far")
     return catalogue.Catalogue(
@@ -308,7 +312,7 @@
         "--model",
         MODEL,
         "--step-ms",
-        str(STEP_MS),
+        str(TOKEN_INTERVAL_MS),
         "--batch",
         "4096",
     )
