--- a/packages/mothworks_fakes/src/mothworks_fakes/measure_durable.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/measure_durable.py
@@ -1,9 +1,10 @@
-"""Measures what goes through the object API.
+"""Measures claims and configuration changes, which go through the object API.
 
 ``python -m mothworks_fakes.measure_durable claims`` sends orders with and
 without an Idempotency-Key; ``configuration`` applies changes and waits until
-they are in force on every node. All programs but the callers run as
-processes of their own, in ``configuration`` the stand-ins run here.
+they are in force on every node. The callers run in this process, and the service
+and the nodes in processes of their own; so does the object API of ``claims``,
+while that of ``configuration`` runs here.
 """
 
 import collections.abc
@@ -24,23 +25,23 @@
 
 KEY = "caller-key"
 PATH = "/services/orders/confirm"
-#: Rates of orders that are measured, a second.
-RATES = (20.0, 100.0, 200.0)
-#: Time after a run for the last outcomes to be stored, seconds.
+#: Rates at which claims are measured, orders a second.
+ORDER_RATES_PER_S = (20.0, 100.0, 200.0)
+#: Time after a run in which the last outcomes are stored, seconds.
 SETTLE_S = 1.0
-#: Pause between changes, so that each is measured by itself, seconds.
-PAUSE_S = 0.5
-#: Time over which the nodes' idle exchange is measured, seconds.
+#: Pause between two changes, so that each is measured on its own, seconds.
+CHANGE_INTERVAL_S = 0.5
+#: Time over which the control traffic of idle nodes is measured, seconds.
 IDLE_S = 10.0
-#: A line of the metrics page, its labels left out.
-METRIC = re.compile(r"^mothworks_(\w+)(?:\{[^}]*\})? (\S+)$", re.MULTILINE)
+#: Matches a sample line of the metrics page; captures name and value, not labels.
+METRIC_LINE = re.compile(r"^mothworks_(\w+)(?:\{[^}]*\})? (\S+)$", re.MULTILINE)
 
 
 def claims(*, nodes: int = 4, seconds: float = 5.0) -> None:
-    """Measure claims: latency that they add, and records to one write.
+    """Measure the latency that claims add, and the records per claim write.
 
     :param nodes: number of nodes.
-    :param seconds: length of a run.
+    :param seconds: duration of a run.
     """
     object_api = measure_path.Program("mothworks_fakes", "object-api")
     service = measure_path.Program("mothworks_fakes", "application")
@@ -49,7 +50,7 @@
         try:
             orders = _orders(service.port)
             _deploy(bed, orders, nodes, object_api.url)
-            for rate in RATES:
+            for rate in ORDER_RATES_PER_S:
                 _measure_claims(bed, rate, seconds)
         finally:
             bed.stop()
@@ -61,8 +62,9 @@
     """Measure the time until a change is in force on every node.
 
     :param nodes: number of nodes.
-    :param changes: how many changes.
-    :param outage: the object API goes down as each change is accepted.
+    :param changes: number of changes.
+    :param outage: take the object API down once a change is accepted, until all
+        nodes have it.
     """
     service = measure_path.Program("mothworks_fakes", "application")
     with tempfile.TemporaryDirectory() as folder:
@@ -98,11 +100,11 @@
             "region-1",
             object_api=settings.ObjectApi(object_api),
         )
-    bed.apply(_declared(orders, 0))
+    bed.apply(_catalogue(orders, 0))
     processes.wait_until(lambda: bed.all_open(["orders-1"]), 60)
 
 
-def _declared(orders: catalogue.Endpoint, change: int) -> catalogue.Catalogue:
+def _catalogue(orders: catalogue.Endpoint, change: int) -> catalogue.Catalogue:
     return catalogue.Catalogue(
         data_centres=(catalogue.DataCentre("dc-1", "region-1"),),
         services=(catalogue.Service("orders"), catalogue.Service(f"change-{change}")),
@@ -120,30 +122,34 @@
     )
 
 
-def _metric(bed: testbed.Testbed, name: str) -> float:
+def _read_metric(bed: testbed.Testbed, name: str) -> float:
     """Return the sum of a metric over all nodes and labels."""
     total = 0.0
     for node in bed.node_by_name.values():
         page = bytes(_client(node).get("/metrics").read()).decode()
-        total += sum(float(value) for key, value in METRIC.findall(page) if key == name)
+        total += sum(
+            float(value) for key, value in METRIC_LINE.findall(page) if key == name
+        )
     return total
 
 
 def _measure_claims(bed: testbed.Testbed, rate: float, seconds: float) -> None:
     clients = [_client(node) for node in bed.node_by_name.values()]
-    plain = _send_orders(clients, rate, seconds, keyed=False)
-    writes = _metric(bed, "claim_writes_total")
-    records = _metric(bed, "claim_records_total")
-    keyed = _send_orders(clients, rate, seconds, keyed=True)
+    unkeyed_ms = _send_orders(clients, rate, seconds, keyed=False)
+    writes = _read_metric(bed, "claim_writes_total")
+    records = _read_metric(bed, "claim_records_total")
+    keyed_ms = _send_orders(clients, rate, seconds, keyed=True)
     gevent.sleep(SETTLE_S)
-    writes = _metric(bed, "claim_writes_total") - writes
-    records = _metric(bed, "claim_records_total") - records
-    sent = int(rate * seconds)
+    writes = _read_metric(bed, "claim_writes_total") - writes
+    records = _read_metric(bed, "claim_records_total") - records
+    sent_orders = int(rate * seconds)
     print(
-        f"{rate:g} orders/s: without key p50 {_quantile(plain, 50):.1f} ms "
-        f"p99 {_quantile(plain, 99):.1f} ms ({len(plain)} of {sent} answered); "
-        f"with key p50 {_quantile(keyed, 50):.1f} ms "
-        f"p99 {_quantile(keyed, 99):.1f} ms ({len(keyed)} of {sent} answered); "
+        f"{rate:g} orders/s: without key p50 {_percentile(unkeyed_ms, 50):.1f} ms "
+        f"p99 {_percentile(unkeyed_ms, 99):.1f} ms "
+        f"({len(unkeyed_ms)} of {sent_orders} answered); "
+        f"with key p50 {_percentile(keyed_ms, 50):.1f} ms "
+        f"p99 {_percentile(keyed_ms, 99):.1f} ms "
+        f"({len(keyed_ms)} of {sent_orders} answered); "
         f"{writes / seconds:.0f} writes/s, {records / max(1, writes):.2f} claims "
         f"and outcomes to a write"
     )
@@ -152,83 +158,90 @@
 def _send_orders(
     clients: list[geventhttpclient.HTTPClient], rate: float, seconds: float, keyed: bool
 ) -> list[float]:
-    """Send orders at a rate; returns how long each took, milliseconds."""
-    times: list[float] = []
+    """Send orders at a fixed rate; return the latency of each success, in ms."""
+    times_ms: list[float] = []
     pool = gevent.pool.Pool()
     numbers = itertools.count()
-    start = time.monotonic()
+    started_s = time.monotonic()
     for number in range(int(rate * seconds)):
-        gevent.sleep(max(0.0, start + number / rate - time.monotonic()))
+        gevent.sleep(max(0.0, started_s + number / rate - time.monotonic()))
         key = f"{rate}-{time.time_ns()}-{next(numbers)}"
         headers = {"Idempotency-Key": key} if keyed else {}
-        pool.spawn(_send_order, clients[number % len(clients)], headers, times)
+        pool.spawn(_send_order, clients[number % len(clients)], headers, times_ms)
     pool.join()
-    return times
+    return times_ms
 
 
 def _send_order(
-    client: geventhttpclient.HTTPClient, headers: dict[str, str], times: list[float]
+    client: geventhttpclient.HTTPClient, headers: dict[str, str], times_ms: list[float]
 ) -> None:
-    began = time.monotonic()
-    reply = client.post(PATH, b"one tray", headers)
-    body = reply.read()
-    if reply.status_code != 200:
-        print(reply.status_code, bytes(body))
+    started_s = time.monotonic()
+    response = client.post(PATH, b"one tray", headers)
+    body = response.read()
+    if response.status_code != 200:
+        print(response.status_code, bytes(body))
     else:
-        times.append((time.monotonic() - began) * 1000)
+        times_ms.append((time.monotonic() - started_s) * 1000)
 
 
 def _measure_configuration(
     bed: testbed.Testbed, orders: catalogue.Endpoint, changes: int, outage: bool
 ) -> None:
-    idle_bytes = _metric(bed, "control_bytes")
+    idle_bytes = _read_metric(bed, "control_bytes")
     gevent.sleep(IDLE_S)
-    idle_bytes_per_s = (_metric(bed, "control_bytes") - idle_bytes) / IDLE_S
+    idle_bytes_per_s = (_read_metric(bed, "control_bytes") - idle_bytes) / IDLE_S
     reads = bed.object_api.reads_by_kind["configuration"]
-    sent = _metric(bed, "control_bytes")
-    began = time.monotonic()
-    times = []
+    control_bytes = _read_metric(bed, "control_bytes")
+    started_s = time.monotonic()
+    times_s = []
     for revision in range(1, changes + 1):
-        changed = _declared(orders, revision)
-        times.append(_time_change(bed, changed, revision, outage))
-        gevent.sleep(PAUSE_S)
+        new_catalogue = _catalogue(orders, revision)
+        times_s.append(_time_change(bed, new_catalogue, revision, outage))
+        gevent.sleep(CHANGE_INTERVAL_S)
     reads = bed.object_api.reads_by_kind["configuration"] - reads
     gevent.sleep(SETTLE_S)
-    seconds = time.monotonic() - began
-    sent = _metric(bed, "control_bytes") - sent - idle_bytes_per_s * seconds
+    seconds = time.monotonic() - started_s
+    control_bytes = (
+        _read_metric(bed, "control_bytes") - control_bytes - idle_bytes_per_s * seconds
+    )
     nodes = len(bed.node_by_name)
     print(
         f"{changes} changes on {nodes} nodes: in force everywhere after "
-        f"p50 {statistics.median(times) * 1000:.0f} ms, "
-        f"longest {max(times) * 1000:.0f} ms; "
+        f"p50 {statistics.median(times_s) * 1000:.0f} ms, "
+        f"longest {max(times_s) * 1000:.0f} ms; "
         f"{reads / changes:.1f} reads of the object API a change, "
-        f"{sent / changes / nodes:.0f} bytes a change and node, both ways"
+        f"{control_bytes / changes / nodes:.0f} bytes a change and node, both ways"
     )
 
 
 def _time_change(
-    bed: testbed.Testbed, changed: catalogue.Catalogue, revision: int, outage: bool
+    bed: testbed.Testbed,
+    new_catalogue: catalogue.Catalogue,
+    revision: int,
+    outage: bool,
 ) -> float:
-    """Apply a change; returns the seconds until all nodes have it."""
-    bed.apply(changed, revision)
+    """Apply a change; return the time until it is in force everywhere, seconds."""
+    bed.apply(new_catalogue, revision)
     bed.object_api.faults.outage = outage
-    accepted = time.monotonic()
+    accepted_s = time.monotonic()
     pool = gevent.pool.Pool()
     for node in bed.node_by_name.values():
-        pool.spawn(_wait_for, bed, node, revision + 1)
+        pool.spawn(_wait_for_revision, bed, node, revision + 1)
     pool.join()
-    taken = time.monotonic() - accepted
+    elapsed_s = time.monotonic() - accepted_s
     bed.object_api.faults.outage = False
-    return taken
+    return elapsed_s
 
 
-def _wait_for(bed: testbed.Testbed, node: processes.NodeProcess, revision: int) -> None:
+def _wait_for_revision(
+    bed: testbed.Testbed, node: processes.NodeProcess, revision: int
+) -> None:
     client = bed.operator(node)
     while client.get("catalogue").unwrap()["revision"] < revision:
         gevent.sleep(0.005)
 
 
-def _quantile(values: collections.abc.Sequence[float], percent: int) -> float:
+def _percentile(values: collections.abc.Sequence[float], percent: int) -> float:
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, len(ordered) * percent // 100)]
 
