--- a/packages/mothworks_fakes/src/mothworks_fakes/measure_state.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/measure_state.py
@@ -1,8 +1,8 @@
-"""Measures what a node's state at the target costs, for the capacity page.
+"""Measures the cost of a node's state at the target, for the capacity page.
 
 ``python -m mothworks_fakes.measure_state --out docs/slopes/operators.json``
-starts one node with an empty catalogue and with one of the target's size, and
-measures traces and audit entries in this process.
+measures one node process with an empty catalogue and with a catalogue of the
+target's size; it measures traces and audit entries in its own process.
 """
 
 import datetime
@@ -20,38 +20,42 @@
 from mothworks import audit, catalogue, decisions, kernel, requests, settings
 from mothworks_fakes import processes, slopes, testbed
 
-MODELS = 720
-ENDPOINTS = 4700
-#: Time for a node to settle, seconds.
+TARGET_MODELS = 720
+TARGET_ENDPOINTS = 4700
+#: Wait before a node's memory is read, seconds.
 SETTLE_S = 5.0
-#: Repetitions of what is timed.
-TIMES = 20_000
+#: Number of traces and of audit entries that are timed.
+REPETITIONS = 20_000
 COMMAND = "python -m mothworks_fakes.measure_state"
 
 
 def run(*, out: pathlib.Path | None = None) -> None:
-    """Measure and print.
+    """Measure and print all figures.
 
     :param out: file for the figures as JSON.
     """
-    found = [*_node_memory(), *_traces(), *_audit()]
-    for slope in found:
+    figures = [*_node_memory(), *_traces(), *_audit_entries()]
+    for slope in figures:
         print(f"{slope.name}: {slope.value} {slope.unit}")
     if out is not None:
-        rows = [attrs.asdict(item) for item in found]
+        rows = [attrs.asdict(item) for item in figures]
         out.parent.mkdir(exist_ok=True)
         out.write_bytes(orjson.dumps(rows, option=orjson.OPT_INDENT_2) + b"\n")
 
 
 def target_catalogue() -> catalogue.Catalogue:
-    """Return a catalogue of the target's size; its endpoints are elsewhere."""
+    """Return a catalogue of the target's size.
+
+    Its endpoints are in another region, so the measured node owns none of them.
+    """
     return catalogue.Catalogue(
         data_centres=(
             catalogue.DataCentre("dc-1", "region-1"),
             catalogue.DataCentre("dc-2", "region-2"),
         ),
         models=tuple(
-            catalogue.Model(f"model-{number}", 16_000, 4000) for number in range(MODELS)
+            catalogue.Model(f"model-{number}", 16_000, 4000)
+            for number in range(TARGET_MODELS)
         ),
         endpoints=tuple(
             catalogue.Endpoint(
@@ -64,7 +68,7 @@
                 accelerators=4,
                 slots=64,
             )
-            for number in range(ENDPOINTS)
+            for number in range(TARGET_ENDPOINTS)
         ),
     )
 
@@ -75,20 +79,20 @@
         try:
             node = bed.add_node("vm-1", "dc-1", "region-1")
             gevent.sleep(SETTLE_S)
-            idle = _resident_mb(node)
-            began = time.monotonic()
+            idle_mb = _resident_mb(node)
+            started_s = time.monotonic()
             bed.apply(target_catalogue())
-            applied = time.monotonic() - began
+            apply_s = time.monotonic() - started_s
             gevent.sleep(SETTLE_S)
-            full = _resident_mb(node)
+            loaded_mb = _resident_mb(node)
         finally:
             bed.stop()
     note = "one node process, no requests, resident memory"
-    size = f"{MODELS} models, {ENDPOINTS} endpoints, none owned here"
+    size = f"{TARGET_MODELS} models, {TARGET_ENDPOINTS} endpoints, none owned here"
     return [
-        _slope("node memory, empty catalogue", idle, "MB", note),
-        _slope("node memory, target catalogue", full, "MB", f"{note}; {size}"),
-        _slope("apply of a target catalogue", applied, "s", size),
+        _slope("node memory, empty catalogue", idle_mb, "MB", note),
+        _slope("node memory, target catalogue", loaded_mb, "MB", f"{note}; {size}"),
+        _slope("apply of a target catalogue", apply_s, "s", size),
     ]
 
 
@@ -113,22 +117,22 @@
 
 
 def _traces() -> list[slopes.Slope]:
-    kept = decisions.Decisions(_kernel())
+    traces = decisions.Decisions(_kernel())
     caller = catalogue.Caller("guest", "0" * 64)
-    made = [_request(f"{number:032x}", caller) for number in range(TIMES)]
+    all_requests = [_request(f"{number:032x}", caller) for number in range(REPETITIONS)]
     tracemalloc.start()
-    for request in made[: decisions.RECENT]:
-        _trace(kept, request)
+    for request in all_requests[: decisions.RECENT]:
+        _record_trace(traces, request)
     memory_kb = tracemalloc.get_traced_memory()[0] / 1024
     tracemalloc.stop()
-    began = time.process_time()
-    for request in made:
-        _trace(kept, request)
-    spent_us = (time.process_time() - began) / TIMES * 1e6
+    started_s = time.process_time()
+    for request in all_requests:
+        _record_trace(traces, request)
+    mean_us = (time.process_time() - started_s) / REPETITIONS * 1e6
     note = f"{decisions.RECENT} ended requests of 3 steps"
     return [
         _slope("traces of requests, memory", memory_kb, "KB a node", note),
-        _slope("traces of requests, processor time", spent_us, "us a request", note),
+        _slope("traces of requests, processor time", mean_us, "us a request", note),
     ]
 
 
@@ -149,15 +153,15 @@
     )
 
 
-def _trace(kept: decisions.Decisions, request: requests.Request) -> None:
-    trace = kept.open(request)
+def _record_trace(traces: decisions.Decisions, request: requests.Request) -> None:
+    trace = traces.open(request)
     trace.add("", f"considered, best first: {request.id}")
     trace.add("engine-1", "no capacity in time")
     trace.add("engine-2", f"granted by {request.caller.name}")
-    kept.close(request.id, "ok")
+    traces.close(request.id, "ok")
 
 
-def _audit() -> list[slopes.Slope]:
+def _audit_entries() -> list[slopes.Slope]:
     entry = audit.Entry(
         "2026-12-02T20:00:00.000+00:00",
         "vm-123",
@@ -170,13 +174,13 @@
         41,
         42,
     )
-    began = time.process_time()
-    for _ in range(TIMES):
+    started_s = time.process_time()
+    for _ in range(REPETITIONS):
         audit.line(entry)
-    spent_us = (time.process_time() - began) / TIMES * 1e6
+    mean_us = (time.process_time() - started_s) / REPETITIONS * 1e6
     return [
         _slope("audit entry, stored", len(audit.line(entry)), "B", "an order's entry"),
-        _slope("audit entry, processor time", spent_us, "us", "encoding, without HTTP"),
+        _slope("audit entry, processor time", mean_us, "us", "encoding, without HTTP"),
     ]
 
 
