--- a/packages/mothworks_fakes/src/mothworks_fakes/measure_ask.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/measure_ask.py
@@ -1,8 +1,9 @@
-"""Measures how fast operators' statements are answered by many nodes.
+"""Measures the latency of operators' statements on many nodes.
 
 ``python -m mothworks_fakes.measure_ask --nodes 8 --rounds 100`` starts nodes
-and engines on loopback, lets requests queue, asks each statement of any node
-in turn, one at a time, and prints the times in milliseconds as JSON.
+and engines on loopback and lets requests queue. It then sends each statement to
+the nodes in rotation, one at a time, and prints the latencies in milliseconds as
+JSON.
 """
 
 import pathlib
@@ -21,9 +22,9 @@
 
 MODEL = "menu"
 CALLER_KEY = "measured"
-#: Requests that are kept waiting, for each engine.
-WAITING = 20
-QUESTIONS = (
+#: Requests sent per engine; each engine has one slot, so the others queue.
+REQUESTS_PER_ENGINE = 20
+STATEMENTS = (
     "show models",
     "show endpoints",
     "show peers",
@@ -37,11 +38,11 @@
 
 
 def run(*, nodes: int = 8, engines: int = 8, rounds: int = 100) -> None:
-    """Measure and print.
+    """Measure and print all latencies.
 
-    :param nodes: node processes.
-    :param engines: stand-ins for engines.
-    :param rounds: how often each statement is asked.
+    :param nodes: number of node processes.
+    :param engines: number of simulated engines.
+    :param rounds: number of times that each statement is sent.
     """
     with tempfile.TemporaryDirectory() as folder:
         bed = testbed.Testbed(pathlib.Path(folder))
@@ -54,9 +55,10 @@
 
 
 def _start(bed: testbed.Testbed, nodes: int, engines: int) -> None:
-    slow = engine.Speed(step_s=0.5)
+    slow_speed = engine.Speed(step_s=0.5)
     declared = [
-        bed.add_engine(_endpoint(f"engine-{number}"), slow) for number in range(engines)
+        bed.add_engine(_engine_endpoint(f"engine-{number}"), slow_speed)
+        for number in range(engines)
     ]
     for endpoint in declared:
         bed.fake_by_endpoint[endpoint.name].place(MODEL, 1000)
@@ -75,55 +77,60 @@
     )
     processes.wait_until(lambda: bed.all_open(bed.fake_by_endpoint))
     urls = [node.url for node in bed.node_by_name.values()]
-    for number in range(engines * WAITING):
-        gevent.spawn(_chat, urls[number % len(urls)])
+    for number in range(engines * REQUESTS_PER_ENGINE):
+        gevent.spawn(_send_chat, urls[number % len(urls)])
     gevent.sleep(2.0)
 
 
-def _endpoint(name: str) -> catalogue.Endpoint:
+def _engine_endpoint(name: str) -> catalogue.Endpoint:
     return testbed.engine_endpoint(name, "dc-1", memory_mb=8000, slots=1)
 
 
-def _chat(url: str) -> None:
+def _send_chat(url: str) -> None:
     http = geventhttpclient.HTTPClient.from_url(url, network_timeout=600.0)
     body = orjson.dumps({"model": MODEL, "messages": [], "max_tokens": 400})
     headers = {"Authorization": f"Bearer {CALLER_KEY}"}
     try:
         http.post("/v1/chat/completions", body, headers).read()
     except (OSError, geventhttpclient.response.HTTPParseError):
-        # The nodes end while requests still wait.
+        # The nodes stop while requests are still queued.
         return
 
 
 def _measure(bed: testbed.Testbed, rounds: int) -> dict[str, dict[str, float]]:
-    asked = [bed.operator(node) for node in bed.node_by_name.values()]
-    waiting = _ask(asked[0], "show waiting")["tables"][0]["rows"]
-    request_id = waiting[0]["request"] if waiting else "absent"
-    measured = {}
-    for question in QUESTIONS:
-        text = question.format(request=request_id)
-        for node in asked:
-            _ask(node, text)
-        times = sorted(_timed(asked[n % len(asked)], text) for n in range(rounds))
-        measured[question] = {
-            "p50": round(times[rounds // 2], 2),
-            "p99": round(times[rounds * 99 // 100], 2),
-            "max": round(times[-1], 2),
+    operators = [bed.operator(node) for node in bed.node_by_name.values()]
+    waiting_rows = _run_statement(operators[0], "show waiting")["tables"][0]["rows"]
+    request_id = waiting_rows[0]["request"] if waiting_rows else "absent"
+    ms_by_statement = {}
+    for statement in STATEMENTS:
+        text = statement.format(request=request_id)
+        for operator in operators:
+            _run_statement(operator, text)
+        times_ms = sorted(
+            _time_statement(operators[number % len(operators)], text)
+            for number in range(rounds)
+        )
+        ms_by_statement[statement] = {
+            "p50": round(times_ms[rounds // 2], 2),
+            "p99": round(times_ms[rounds * 99 // 100], 2),
+            "max": round(times_ms[-1], 2),
         }
-    measured["rows waiting"] = {"count": len(waiting)}
-    return measured
+    ms_by_statement["rows waiting"] = {"count": len(waiting_rows)}
+    return ms_by_statement
 
 
-def _timed(node: client.Client, text: str) -> float:
-    began = time.monotonic()
-    answer = _ask(node, text)
+def _time_statement(operator: client.Client, text: str) -> float:
+    started_s = time.monotonic()
+    answer = _run_statement(operator, text)
     if answer["unanswered"]:
         raise RuntimeError(f"{text}: no answer from {answer['unanswered']}")
-    return (time.monotonic() - began) * 1000
+    return (time.monotonic() - started_s) * 1000
 
 
-def _ask(node: client.Client, text: str) -> dict:
-    return node.post("ask", statements.plain(language.parse(text).unwrap())).unwrap()
+def _run_statement(operator: client.Client, text: str) -> dict:
+    return operator.post(
+        "ask", statements.plain(language.parse(text).unwrap())
+    ).unwrap()
 
 
 if __name__ == "__main__":
