--- a/packages/mothworks/tests/test_faults.py
+++ b/packages/mothworks/tests/test_faults.py
@@ -1,9 +1,9 @@
-"""The fault matrix: each fault at each step of a request.
+"""Fault matrix: each fault at each step of a request.
 
-What a user would see without the guards: an order that runs twice, an
-answer that never comes or belongs to someone else, a refusal that says
-"not run" of work that ran. A stand-in holds the request at the step, the
-fault is made there, and the caller sends again as callers do.
+The tests guard against orders that run twice, responses that never arrive or
+belong to another request, and refusals that report "not run" for work that
+ran. A fake pauses the request at the step, the fault is injected, and the
+caller retries as real callers do.
 """
 
 import pytest
@@ -49,25 +49,26 @@
     CELLS,
     ids=lambda value: "+".join(value) if isinstance(value, tuple) else value,
 )
-def test_cell(deployment, kind, step, faults):
+def test_fault_at_step(deployment, kind, step, faults):
     assert deployment.play(kind, step, faults).check() == []
 
 
-def test_an_isolated_vm_is_declared_dead_and_comes_back(deployment):
-    # A switch fails: one VM reaches no other, while its process runs on. The
-    # others must route around it, and take it back when the switch is mended.
+def test_isolated_vm_is_removed_and_rejoins(deployment):
+    # A switch fails: one VM reaches no other, while its process keeps running.
+    # The others must remove it from their membership, and let it rejoin when the
+    # network is repaired.
     nodes = deployment.bed.node_by_name
     others = [trial.ENTRY, trial.OTHER]
     nodes[trial.OWNER].cut(others)
     for name in others:
         nodes[name].cut([trial.OWNER])
 
-    def is_known(name, to):
+    def is_member(name, to):
         rows = deployment.bed.operator(nodes[to]).get("show/peers").unwrap()
         return name in {row["vm"] for row in rows}
 
-    processes.wait_until(lambda: not is_known(trial.OWNER, to=trial.ENTRY), 60.0)
-    processes.wait_until(lambda: not is_known(trial.ENTRY, to=trial.OWNER), 60.0)
+    processes.wait_until(lambda: not is_member(trial.OWNER, to=trial.ENTRY), 60.0)
+    processes.wait_until(lambda: not is_member(trial.ENTRY, to=trial.OWNER), 60.0)
     for node in nodes.values():
         node.cut([])
     deployment.settle()
--- a/packages/mothworks/tests/test_shutdown.py
+++ b/packages/mothworks/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A node's graceful shutdown under load, between separate processes."""
+"""Graceful shutdown of a node under load, with nodes in separate processes."""
 
 import time
 
@@ -29,12 +29,12 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_a_shutdown_under_load_cuts_nothing_off(deployment, name):
-    """A VM is replaced while it serves, owns endpoints and queues requests.
+def test_shutdown_under_load_interrupts_no_request(deployment, name):
+    """A VM shuts down while it serves, owns endpoints and queues requests.
 
-    The balancer notices late, so calls still arrive while it shuts down. No
-    answer may be cut off, no call refused, and what waits in its queues must
-    get its slot from the next owner.
+    The load balancer notices late, so calls still arrive meanwhile. No response
+    may be interrupted, no call refused, and requests in its queues must get
+    their slots from the next owner.
     """
     leaving = deployment.node_by_name[name]
     sender = load.Load([node.url for node in deployment.node_by_name.values()])
@@ -58,11 +58,11 @@
     assert len(runs) == len(sender.records)
 
 
-def test_a_quiet_vm_serves_what_the_balancer_still_sends(deployment):
-    """A VM with nothing in flight is told to stop.
+def test_idle_vm_serves_calls_that_the_balancer_still_sends(deployment):
+    """A VM with no request in flight shuts down.
 
-    The balancer looks only now and then and goes on sending calls to it for
-    a while; they would meet a closed port.
+    The load balancer checks readiness only at intervals and keeps sending calls
+    to it meanwhile. If the VM closed its port at once, they would fail.
     """
     leaving = deployment.node_by_name["vm-1"]
     sender = load.Load([leaving.url])
