--- a/packages/mothworks_fakes/tests/test_demo.py
+++ b/packages/mothworks_fakes/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo of the README's quick start runs to its end."""
+"""The demo of the README's quick start runs to completion."""
 
 import pathlib
 
@@ -7,10 +7,10 @@
 EXAMPLES = pathlib.Path(__file__).parents[3] / "examples"
 
 
-def test_the_demo_streams_through_every_node_and_ends_cleanly(capfd):
+def test_demo_streams_through_every_node_and_exits_cleanly(capfd):
     demo.run(folder=EXAMPLES, only="bandeja.json")
-    shown = capfd.readouterr().out
-    assert shown.count("[DONE]") == 3
-    assert '"echo":"from the demo"' in shown
-    assert shown.count("ended with code 0") == 3
-    assert "== done" in shown
+    output = capfd.readouterr().out
+    assert output.count("[DONE]") == 3
+    assert '"echo":"from the demo"' in output
+    assert output.count("ended with code 0") == 3
+    assert "== done" in output
