--- a/packages/mothworks/src/mothworks/dashboard.py
+++ b/packages/mothworks/src/mothworks/dashboard.py
@@ -139,7 +139,7 @@
         operators = self.kernel.settings.operators
         if operator_keys.find(operators, _password_hash(call)) is None:
             challenge = ("WWW-Authenticate", 'Basic realm="mothworks operator key"')
-            return calls.Reply(401, [challenge], [b"an operator's key is required"])
+            return calls.Reply(401, [challenge], [b"an operator's key is needed"])
         headers = [
             ("Content-Type", "text/html; charset=utf-8"),
             ("Cache-Control", "no-store"),
