--- a/packages/mothworks_fakes/src/mothworks_fakes/placement_baselines.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/placement_baselines.py
@@ -1,4 +1,4 @@
-"""Placement policies that ``packing`` is measured against."""
+"""Baseline placement policies to compare with ``packing``."""
 
 import collections
 
@@ -10,124 +10,141 @@
     plugins,
 )
 
-#: Passes between two plans of ``recomputed``.
-RECOMPUTE_PASSES = 10
+#: Planning passes from one plan of ``recomputed`` to the next.
+PASSES_PER_PLAN = 10
 
 
 @plugins.register(plugins.PLACEMENT, "static")
 class Static(placement_policy.Policy):
-    """The same number of replicas for each model, decided once.
+    """Assigns replicas to endpoints once and never changes the assignment.
+
+    Each round assigns one more replica of every model that fits, largest first.
 
     :param weights: how the deployment weighs attainment against moves.
     """
 
     def __init__(self, weights: catalogue.Weights):
         super().__init__(weights)
-        self.wanted: dict[str, list[fleet.ModelSpec]] = {}
+        self.specs_by_endpoint: dict[str, list[fleet.ModelSpec]] = {}
 
     def plan(self, planned: fleet.Fleet, loads: int) -> list[move_messages.Move]:
-        """Load what the split gives each endpoint; see the base class."""
-        if not self.wanted and all(s.open for s in planned.view_by_name.values()):
-            self.wanted = self._split(planned)
-        batch = placement_policy.PassMoves(planned, loads)
-        for name, needs in self.wanted.items():
-            site = planned.view_by_name[name]
-            for need in needs:
-                if batch.is_full or not site.open:
+        """Load the models assigned to each endpoint; see the base class."""
+        if not self.specs_by_endpoint and all(
+            s.open for s in planned.view_by_name.values()
+        ):
+            self.specs_by_endpoint = self._assign_replicas(planned)
+        pass_moves = placement_policy.PassMoves(planned, loads)
+        for name, specs in self.specs_by_endpoint.items():
+            view = planned.view_by_name[name]
+            for spec in specs:
+                if pass_moves.is_full or not view.open:
                     break
-                if need.key not in site.memory_by_key:
-                    batch.load(site, need, "static")
-        return batch.moves
-
-    def _split(self, planned: fleet.Fleet) -> dict[str, list[fleet.ModelSpec]]:
-        free_mb = {name: site.memory_mb for name, site in planned.view_by_name.items()}
-        wanted = collections.defaultdict(list)
-        needs = [item.spec for item in planned.demand_by_name.values()]
-        needs = [need for need in needs if not need.base]
-        needs.sort(key=lambda need: -need.required_mb)
-        placed = True
-        while placed:
-            placed = False
-            for need in needs:
-                fitting = [
+                if spec.key not in view.memory_by_key:
+                    pass_moves.load(view, spec, "static")
+        return pass_moves.moves
+
+    def _assign_replicas(
+        self, planned: fleet.Fleet
+    ) -> dict[str, list[fleet.ModelSpec]]:
+        free_mb_by_name = {
+            name: view.memory_mb for name, view in planned.view_by_name.items()
+        }
+        specs_by_endpoint = collections.defaultdict(list)
+        specs = [item.spec for item in planned.demand_by_name.values()]
+        specs = [spec for spec in specs if not spec.base]
+        specs.sort(key=lambda spec: -spec.required_mb)
+        assigned = True
+        while assigned:
+            assigned = False
+            for spec in specs:
+                candidates = [
                     name
-                    for name in free_mb
-                    if free_mb[name] >= need.required_mb and need not in wanted[name]
+                    for name in free_mb_by_name
+                    if free_mb_by_name[name] >= spec.required_mb
+                    and spec not in specs_by_endpoint[name]
                 ]
-                if fitting:
-                    emptiest = max(fitting, key=free_mb.get)
-                    wanted[emptiest].append(need)
-                    free_mb[emptiest] -= need.required_mb
-                    placed = True
-        return wanted
+                if candidates:
+                    emptiest = max(candidates, key=free_mb_by_name.get)
+                    specs_by_endpoint[emptiest].append(spec)
+                    free_mb_by_name[emptiest] -= spec.required_mb
+                    assigned = True
+        return specs_by_endpoint
 
 
 @plugins.register(plugins.PLACEMENT, "lru")
 class Lru(placement_policy.Policy):
-    """Load on demand, and a further copy where places lack; evict the least
-    recently used resident.
+    """Loads requested models on demand, with more replicas under overload.
+
+    The least recently used residents are evicted to make space.
 
     :param weights: how the deployment weighs attainment against moves.
     """
 
     def __init__(self, weights: catalogue.Weights):
         super().__init__(weights)
-        self.clock = 0
-        self.used_at: dict[str, int] = collections.defaultdict(int)
+        self.passes = 0
+        self.last_used_by_name: dict[str, int] = collections.defaultdict(int)
 
     def arrived(self, name: str) -> None:
-        """Note that a model was asked for.
+        """Record that a model was requested.
 
         :param name: the model.
         """
-        self.used_at[name] = self.clock
+        self.last_used_by_name[name] = self.passes
 
     def plan(self, planned: fleet.Fleet, loads: int) -> list[move_messages.Move]:
-        """Load what was asked for; see the base class."""
-        self.clock += 1
-        batch = placement_policy.PassMoves(planned, loads)
+        """Load requested models that lack capacity; see the base class."""
+        self.passes += 1
+        pass_moves = placement_policy.PassMoves(planned, loads)
         for name, item in planned.demand_by_name.items():
-            asked = self.used_at[name] >= self.clock - 1
-            lacking = planned.missing_slots(name) > 0
-            if not asked or item.spec.base or not lacking or batch.is_full:
+            requested = self.last_used_by_name[name] >= self.passes - 1
+            overloaded = planned.missing_slots(name) > 0
+            if not requested or item.spec.base or not overloaded or pass_moves.is_full:
                 continue
-            self._load(batch, item)
-        return batch.moves
-
-    def _load(self, batch: placement_policy.PassMoves, item: fleet.ModelDemand) -> None:
-        sites = [
-            site
-            for site in batch.fleet.view_by_name.values()
-            if site.open
-            and item.spec.key not in site.memory_by_key
-            and site.memory_mb >= item.spec.required_mb
-            and not site.loading
+            self._load(pass_moves, item)
+        return pass_moves.moves
+
+    def _load(
+        self, pass_moves: placement_policy.PassMoves, item: fleet.ModelDemand
+    ) -> None:
+        views = [
+            view
+            for view in pass_moves.fleet.view_by_name.values()
+            if view.open
+            and item.spec.key not in view.memory_by_key
+            and view.memory_mb >= item.spec.required_mb
+            and not view.loading
         ]
-        if not sites:
+        if not views:
             return
-        # The endpoint whose residents were asked for the longest ago.
-        site = min(sites, key=lambda site: (self._age(site, item), site.used_slots))
+        # An endpoint with enough free memory comes first, then the one with the
+        # least recently used resident.
+        view = min(
+            views, key=lambda view: (self._oldest_use(view, item), view.used_slots)
+        )
         residents = sorted(
-            site.memory_by_key.keys() - site.unloading,
-            key=lambda key: (self.used_at[key[0]], key),
+            view.memory_by_key.keys() - view.unloading,
+            key=lambda key: (self.last_used_by_name[key[0]], key),
         )
         for key in residents:
-            if site.free_mb >= item.spec.required_mb:
+            if view.free_mb >= item.spec.required_mb:
                 break
-            batch.unload(site, key, "least recently used")
-        if site.free_mb >= item.spec.required_mb:
-            batch.load(site, item.spec, "on demand")
+            pass_moves.unload(view, key, "least recently used")
+        if view.free_mb >= item.spec.required_mb:
+            pass_moves.load(view, item.spec, "on demand")
 
-    def _age(self, site: fleet.EndpointView, item: fleet.ModelDemand) -> int:
-        if site.free_mb >= item.spec.required_mb:
+    def _oldest_use(self, view: fleet.EndpointView, item: fleet.ModelDemand) -> int:
+        if view.free_mb >= item.spec.required_mb:
             return -1
-        keys = site.memory_by_key.keys() - site.unloading
-        return min((self.used_at[key[0]] for key in keys), default=self.clock)
+        keys = view.memory_by_key.keys() - view.unloading
+        return min(
+            (self.last_used_by_name[key[0]] for key in keys), default=self.passes
+        )
 
 
 @plugins.register(plugins.PLACEMENT, "recomputed")
 class Recomputed(placement_policy.Policy):
-    """A new plan for the demand of the moment, whatever its moves.
+    """Recomputes the placement for current demand, whatever moves that costs.
 
     :param weights: how the deployment weighs attainment against moves.
     """
@@ -135,54 +152,68 @@
     def __init__(self, weights: catalogue.Weights):
         super().__init__(weights)
         self.passes = 0
-        self.wanted: dict[str, list[fleet.ModelSpec]] = {}
+        self.specs_by_endpoint: dict[str, list[fleet.ModelSpec]] = {}
 
     def plan(self, planned: fleet.Fleet, loads: int) -> list[move_messages.Move]:
-        """Move towards the newest plan; see the base class."""
-        if self.passes % RECOMPUTE_PASSES == 0:
-            self.wanted = self._recompute(planned)
+        """Move towards the latest placement; see the base class."""
+        if self.passes % PASSES_PER_PLAN == 0:
+            self.specs_by_endpoint = self._recompute(planned)
         self.passes += 1
-        batch = placement_policy.PassMoves(planned, loads)
-        for site in planned.view_by_name.values():
-            needs = self.wanted.get(site.name, [])
-            keys = {need.key for need in needs}
+        pass_moves = placement_policy.PassMoves(planned, loads)
+        for view in planned.view_by_name.values():
+            specs = self.specs_by_endpoint.get(view.name, [])
+            keys = {spec.key for spec in specs}
             for key in sorted(
-                site.memory_by_key.keys() - site.unloading - site.loading
+                view.memory_by_key.keys() - view.unloading - view.loading
             ):
                 if key not in keys and len(planned.ready_replicas(key[0])) > 1:
-                    batch.unload(site, key, "recomputed")
-            for need in needs:
-                missing = need.key not in site.memory_by_key
-                if missing and not batch.is_full and site.free_mb >= need.required_mb:
-                    batch.load(site, need, "recomputed")
-        return batch.moves
+                    pass_moves.unload(view, key, "recomputed")
+            for spec in specs:
+                missing = spec.key not in view.memory_by_key
+                if (
+                    missing
+                    and not pass_moves.is_full
+                    and view.free_mb >= spec.required_mb
+                ):
+                    pass_moves.load(view, spec, "recomputed")
+        return pass_moves.moves
 
     def _recompute(self, planned: fleet.Fleet) -> dict[str, list[fleet.ModelSpec]]:
-        sites = [site for site in planned.view_by_name.values() if site.open]
-        free_mb = {site.name: site.memory_mb for site in sites}
-        spare = {site.name: site.batch_slots for site in sites}
-        wanted = collections.defaultdict(list)
+        views = [view for view in planned.view_by_name.values() if view.open]
+        free_mb_by_name = {view.name: view.memory_mb for view in views}
+        free_slots_by_name = {view.name: view.batch_slots for view in views}
+        specs_by_endpoint = collections.defaultdict(list)
         items = [i for i in planned.demand_by_name.values() if not i.spec.base]
         for item in sorted(items, key=lambda item: -item.spec.required_mb):
-            self._assign(item, 1, free_mb, spare, wanted)
-        mean = sum(spare.values()) / max(1, len(spare))
+            self._assign(
+                item, 1, free_mb_by_name, free_slots_by_name, specs_by_endpoint
+            )
+        mean_free_slots = sum(free_slots_by_name.values()) / max(
+            1, len(free_slots_by_name)
+        )
         for item in sorted(items, key=lambda item: -item.batch_slots):
             self._assign(
-                item, int(item.batch_slots / max(1.0, mean)), free_mb, spare, wanted
+                item,
+                int(item.batch_slots / max(1.0, mean_free_slots)),
+                free_mb_by_name,
+                free_slots_by_name,
+                specs_by_endpoint,
             )
-        return wanted
+        return specs_by_endpoint
 
-    def _assign(self, item, count, free_mb, spare, wanted) -> None:
+    def _assign(
+        self, item, count, free_mb_by_name, free_slots_by_name, specs_by_endpoint
+    ) -> None:
         for _ in range(count):
-            fitting = [
+            candidates = [
                 name
-                for name in free_mb
-                if free_mb[name] >= item.spec.required_mb
-                and item.spec not in wanted[name]
+                for name in free_mb_by_name
+                if free_mb_by_name[name] >= item.spec.required_mb
+                and item.spec not in specs_by_endpoint[name]
             ]
-            if not fitting:
+            if not candidates:
                 return
-            name = max(fitting, key=spare.get)
-            wanted[name].append(item.spec)
-            free_mb[name] -= item.spec.required_mb
-            spare[name] -= item.batch_slots / max(1, count)
+            name = max(candidates, key=free_slots_by_name.get)
+            specs_by_endpoint[name].append(item.spec)
+            free_mb_by_name[name] -= item.spec.required_mb
+            free_slots_by_name[name] -= item.batch_slots / max(1, count)
--- a/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/dispatch.py
@@ -13,16 +13,16 @@
 
 from mothworks import calls, kernel, logs, outcomes
 from mothworks_gateway import (
-    asked,
     attempts,
-    budget,
-    choice,
-    load,
-    poison,
+    caller_request,
+    endpoint_selection,
+    poison_requests,
+    prefill_pacing,
     registry,
     residency,
+    retry_budget,
+    running_requests,
     send_slots,
-    turns,
 )
 
 log = logbook.Logger("dispatch")
@@ -59,36 +59,40 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.attempts = node_kernel.get(attempts.Attempts)
-        self.choice = node_kernel.get(choice.EndpointSelection)
-        self.load = node_kernel.get(load.Load)
-        self.budget = node_kernel.get(budget.RetryBudget)
-        self.poison = node_kernel.get(poison.PoisonRequests)
+        self.endpoint_selection = node_kernel.get(endpoint_selection.EndpointSelection)
+        self.running_requests = node_kernel.get(running_requests.RunningRequests)
+        self.retry_budget = node_kernel.get(retry_budget.RetryBudget)
+        self.poison_requests = node_kernel.get(poison_requests.PoisonRequests)
         self.residency = node_kernel.get(residency.Residency)
         self.slots = node_kernel.get(send_slots.SendSlots)
-        self.turns = node_kernel.get(turns.Turns)
+        self.prefill_pacing = node_kernel.get(prefill_pacing.PrefillPacing)
         self.requests_total = node_kernel.metrics.counter(
             "requests_total", "Requests by service and outcome."
         )
 
-    def run(self, request: asked.Asked) -> result.Result[calls.Reply, outcomes.Refusal]:
+    def run(
+        self, request: caller_request.CallerRequest
+    ) -> result.Result[calls.Reply, outcomes.Refusal]:
         """Run a request, and return its answer as soon as it begins.
 
         :param request: the request.
         """
-        self.budget.add_request(request.target.service)
-        self.load.arrive(request)
+        self.retry_budget.add_request(request.target.service)
+        self.running_requests.count_arrival(request)
         progress = attempts.RequestProgress()
         while True:
-            if self.poison.is_blocked(request):
+            if self.poison_requests.is_blocked(request):
                 progress.reason = "it crashed several endpoints"
                 return self._refuse(request, progress, 503, None)
             match self._find_endpoint(request, progress):
                 case result.Ok(slot):
                     endpoint = slot.endpoint
-                    with self.load.counted(endpoint, request.target):
+                    with self.running_requests.count_as_running(
+                        endpoint, request.target
+                    ):
                         may_send = self.slots.wait(slot)
                         if may_send:
-                            self.turns.wait(request, endpoint)
+                            self.prefill_pacing.wait(request, endpoint)
                     if not (may_send and _accepts(endpoint, request.target)):
                         # During the wait, the endpoint left, unloaded the model or
                         # lowered its limit.
@@ -103,7 +107,7 @@
                 return self._give_up(request, progress)
 
     def _find_endpoint(
-        self, request: asked.Asked, progress: attempts.RequestProgress
+        self, request: caller_request.CallerRequest, progress: attempts.RequestProgress
     ) -> result.Result[send_slots.SendSlot, outcomes.Refusal]:
         """Find an endpoint and a send slot, waiting for the model if needed."""
         endpoint_wait_until = (
@@ -114,13 +118,13 @@
             if request.deadline - now < MIN_TIME_LEFT_S:
                 progress.reason = f"{progress.reason}; out of time"
                 return self._give_up(request, progress)
-            candidates = self.choice.candidates(request)
+            candidates = self.endpoint_selection.candidates(request)
             eligible = self._eligible(request, progress, candidates.ready)
             if eligible:
                 return self._acquire_slot(request, progress, eligible)
             if candidates.ready:
-                # Only endpoints that it must not be sent to hold its model; the caller
-                # may retry.
+                # Its model is held only by endpoints that it must not be sent to; the
+                # caller may retry.
                 return self._refuse(request, progress, 503, BUSY_RETRY_S)
             if candidates.all:
                 refused = self._wait_for_model(request, progress, candidates, now)
@@ -133,7 +137,7 @@
 
     def _acquire_slot(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         progress: attempts.RequestProgress,
         eligible: list[registry.Endpoint],
     ) -> result.Result[send_slots.SendSlot, outcomes.Refusal]:
@@ -151,20 +155,23 @@
                 return granted
 
     def _wait_for_endpoints(
-        self, request: asked.Asked, progress: attempts.RequestProgress, seconds: float
+        self,
+        request: caller_request.CallerRequest,
+        progress: attempts.RequestProgress,
+        seconds: float,
     ) -> result.Err[outcomes.Refusal] | None:
         """Wait for a change of the endpoints; returns a refusal when time is up."""
         if seconds <= 0:
             progress.reason = "the service has no endpoint"
             return self._refuse(request, progress, 503, NO_ENDPOINT_RETRY_S)
-        self.residency.changed.wait(seconds)
+        self.residency.endpoints_changed.wait(seconds)
         return None
 
     def _wait_for_model(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         progress: attempts.RequestProgress,
-        candidates: choice.Candidates,
+        candidates: endpoint_selection.Candidates,
         now: float,
     ) -> result.Err[outcomes.Refusal] | None:
         """Wait for a model to be loaded; returns a refusal if that takes too long."""
@@ -184,9 +191,11 @@
         return None
 
     def _ready_in_s(
-        self, request: asked.Asked, candidates: choice.Candidates
+        self,
+        request: caller_request.CallerRequest,
+        candidates: endpoint_selection.Candidates,
     ) -> float | None:
-        """Return the seconds until a model without any endpoint is loaded, if known."""
+        """Return the seconds until a model that no endpoint holds is ready; or None."""
         target = request.target
         if any(item.holds(target.model, "") for item in candidates.all):
             # Only the adapter is missing, which loads in milliseconds.
@@ -195,12 +204,12 @@
 
     def _eligible(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         progress: attempts.RequestProgress,
         ready: tuple[registry.Endpoint, ...],
     ) -> list[registry.Endpoint]:
         """Return the endpoints that a request may be sent to."""
-        if len(progress.tried) < request.route.most_endpoints:
+        if len(progress.tried) < request.route.max_endpoints:
             untried = [item for item in ready if item.id not in progress.tried]
             if untried:
                 return untried
@@ -208,14 +217,14 @@
             return []
         return [item for item in ready if item.id in progress.tried]
 
-    def _caller_reachable_until(self, request: asked.Asked) -> float:
+    def _caller_reachable_until(self, request: caller_request.CallerRequest) -> float:
         """Return the monotonic time by which an answer has to begin."""
         timeout_s = request.route.caller_timeout_s * CALLER_TIMEOUT_SHARE
-        latest = min(request.deadline, request.arrived + timeout_s)
+        latest = min(request.deadline, request.received_at + timeout_s)
         return min(latest, self.kernel.drain_deadline - DRAIN_MARGIN_S)
 
-    def _wait_until(self, request: asked.Asked) -> float:
-        available_s = self._caller_reachable_until(request) - request.arrived
+    def _wait_until(self, request: caller_request.CallerRequest) -> float:
+        available_s = self._caller_reachable_until(request) - request.received_at
         objective_wait_s = MIN_WAIT_OBJECTIVES * request.route.objective_s
         wait_s = min(
             MAX_WAIT_SHARE * available_s,
@@ -223,20 +232,20 @@
         )
         # A draining VM must reply before it stops.
         return min(
-            request.arrived + wait_s, self.kernel.drain_deadline - DRAIN_MARGIN_S
+            request.received_at + wait_s, self.kernel.drain_deadline - DRAIN_MARGIN_S
         )
 
     def _may_retry(
-        self, request: asked.Asked, progress: attempts.RequestProgress
+        self, request: caller_request.CallerRequest, progress: attempts.RequestProgress
     ) -> bool:
         if progress.may_have_run and not request.route.repeatable:
             return False
         if time.monotonic() + MIN_TIME_LEFT_S > request.deadline:
             return False
-        return self.budget.try_spend(request.target.service)
+        return self.retry_budget.try_spend(request.target.service)
 
     def _give_up(
-        self, request: asked.Asked, progress: attempts.RequestProgress
+        self, request: caller_request.CallerRequest, progress: attempts.RequestProgress
     ) -> result.Err[outcomes.Refusal]:
         if not progress.may_have_run:
             return self._refuse(request, progress, 503, BUSY_RETRY_S)
@@ -245,7 +254,7 @@
 
     def _refuse(
         self,
-        request: asked.Asked,
+        request: caller_request.CallerRequest,
         progress: attempts.RequestProgress,
         status: int,
         retry_after: float | None,
@@ -269,16 +278,16 @@
             adapter=request.target.adapter,
             sends=progress.sends,
             may_have_run=progress.may_have_run,
-            held_ms=round((time.monotonic() - request.arrived) * 1000),
+            held_ms=round((time.monotonic() - request.received_at) * 1000),
             reason=progress.reason,
             outcome=status,
         )
         return result.Err(refusal)
 
-    def _count(self, request: asked.Asked, outcome: str) -> None:
+    def _count(self, request: caller_request.CallerRequest, outcome: str) -> None:
         labels = {"service": request.target.service, "outcome": outcome}
         self.requests_total.inc(labels)
 
 
-def _accepts(endpoint: registry.Endpoint, target: asked.Target) -> bool:
-    return endpoint.open and endpoint.holds(target.model, target.adapter)
+def _accepts(endpoint: registry.Endpoint, target: caller_request.Target) -> bool:
+    return endpoint.available and endpoint.holds(target.model, target.adapter)
--- a/packages/mothworks_gateway/src/mothworks_gateway/choice.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_selection.py
@@ -13,7 +13,14 @@
 import attrs
 
 from mothworks import kernel, ownership
-from mothworks_gateway import asked, declared, discovery, health, load, registry
+from mothworks_gateway import (
+    caller_request,
+    declaration_types,
+    discovery,
+    health,
+    registry,
+    running_requests,
+)
 
 #: Difference in load, as a share of an endpoint's batch slots, up to which a request
 #: still goes to the endpoint that caches its prompt. An endpoint in another data
@@ -31,7 +38,7 @@
     """Endpoints that could run a request.
 
     :param ready: endpoints that hold the request's model and adapter, the best first.
-    :param all: all open endpoints of the service.
+    :param all: all available endpoints of the service.
     """
 
     ready: tuple[registry.Endpoint, ...]
@@ -49,9 +56,9 @@
         self.data_centre = node_kernel.settings.data_centre
         self.registry = node_kernel.get(discovery.Discovery).registry
         self.health = node_kernel.get(health.Health)
-        self.load = node_kernel.get(load.Load)
+        self.running_requests = node_kernel.get(running_requests.RunningRequests)
 
-    def service(self, route: declared.Route) -> str:
+    def service(self, route: declaration_types.Route) -> str:
         """Pick a service for a request at random, by the route's weights.
 
         :param route: the route.
@@ -61,7 +68,7 @@
         weights = [share.weight for share in route.shares]
         return random.choices(route.shares, weights)[0].service
 
-    def candidates(self, request: asked.Asked) -> Candidates:
+    def candidates(self, request: caller_request.CallerRequest) -> Candidates:
         """Return the endpoints that could run a request, best first.
 
         :param request: the request.
@@ -71,11 +78,11 @@
         holding = [
             item for item in endpoints if item.holds(target.model, target.adapter)
         ]
-        ready = self.health.usable(holding) if holding else []
+        ready = self.health.healthy(holding) if holding else []
         return Candidates(tuple(self._order(ready, request)), tuple(endpoints))
 
     def _order(
-        self, ready: list[registry.Endpoint], request: asked.Asked
+        self, ready: list[registry.Endpoint], request: caller_request.CallerRequest
     ) -> list[registry.Endpoint]:
         if len(ready) < 2:
             return ready
@@ -95,13 +102,13 @@
 
         Endpoints in other data centres get a surcharge.
         """
-        running = self.load.of_endpoint(endpoint.id)
-        occupancy = running / max(1, endpoint.entry.places)
+        running = self.running_requests.of_endpoint(endpoint.id)
+        occupancy = running / max(1, endpoint.entry.batch_slots)
         is_local = endpoint.entry.data_centre == self.data_centre
         return occupancy if is_local else occupancy + _margin(endpoint)
 
     def _preferred(
-        self, ready: list[registry.Endpoint], request: asked.Asked
+        self, ready: list[registry.Endpoint], request: caller_request.CallerRequest
     ) -> registry.Endpoint:
         """Return the endpoint to which rendezvous hashing maps a request's prompt."""
         # The last part belongs to this request or its session, so it is left out.
@@ -112,4 +119,4 @@
 
 def _margin(endpoint: registry.Endpoint) -> float:
     """Return the load margin of an endpoint, as a share of its batch slots."""
-    return min(LOAD_MARGIN, MAX_MARGIN_REQUESTS / max(1, endpoint.entry.places))
+    return min(LOAD_MARGIN, MAX_MARGIN_REQUESTS / max(1, endpoint.entry.batch_slots))
--- a/packages/mothworks_gateway/src/mothworks_gateway/sites.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_state.py
@@ -6,7 +6,7 @@
 import attrs
 import gevent.event
 
-from mothworks_gateway import adapters, declared, registry
+from mothworks_gateway import adapters, declaration_types, registry
 
 #: Time to unload an unused model, seconds.
 UNLOAD_S = 0.1
@@ -22,10 +22,10 @@
 PAUSE_S = 1.0
 
 
-def expected_unload_s(running: int) -> float:
-    """Return the expected time to drain and unload a model, seconds.
+def expected_drain_s(running: int) -> float:
+    """Return the expected time until no request uses a model any more, seconds.
 
-    :param running: number of requests that use it.
+    :param running: number of requests that use it now.
     """
     if not running:
         return 0.0
@@ -79,12 +79,12 @@
 
     :param endpoint: the endpoint.
     :param accelerator: what it can hold.
-    :param accepted: number of orders that it has accepted; None while unknown.
+    :param accepted_orders: number of orders that it has accepted; None while unknown.
     :param adapters_by_model: what it holds after those orders.
     :param loading: the model that it is loading, or empty.
     :param ready_at: monotonic time at which that load is expected to be done.
-    :param leaving: the model that is draining before its unload, or empty.
-    :param drained_at: monotonic time at which that is expected to be done.
+    :param draining_model: the model that is draining before its unload, or empty.
+    :param drained_at: monotonic time at which no request is expected to use it.
     :param jobs: what it is to load next.
     :param busy: whether a task works on it.
     :param inventory_retry_at: monotonic time from which its inventory may be requested
@@ -95,15 +95,17 @@
     :param loaded_at_by_adapter: monotonic time at which (model, adapter) was loaded.
     :param unload_accepted_at: monotonic time at which it accepted the unload of a
         model, until it accepts the next order.
+    :param woken: set to wake the task that works on it, after a job was added or
+        what it holds may have changed.
     """
 
     endpoint: registry.Endpoint
-    accelerator: declared.Accelerator
-    accepted: int | None = None
+    accelerator: declaration_types.Accelerator
+    accepted_orders: int | None = None
     adapters_by_model: dict[str, set[str]] = attrs.field(factory=dict)
     loading: str = ""
     ready_at: float = 0.0
-    leaving: str = ""
+    draining_model: str = ""
     drained_at: float = 0.0
     jobs: collections.deque[Job] = attrs.field(factory=collections.deque)
     busy: bool = False
@@ -117,12 +119,12 @@
     @property
     def known(self) -> bool:
         """Return whether it is known what the endpoint holds."""
-        return self.accepted is not None
+        return self.accepted_orders is not None
 
     @property
-    def open(self) -> bool:
+    def available(self) -> bool:
         """Return whether the endpoint accepts new orders and requests."""
-        return self.endpoint.open and time.monotonic() >= self.paused_until
+        return self.endpoint.available and time.monotonic() >= self.paused_until
 
     @property
     def occupied(self) -> bool:
@@ -148,7 +150,7 @@
         """Return the first queued adapter whose model is held."""
         for job in self.jobs:
             holds_model = (
-                job.model in self.adapters_by_model and job.model != self.leaving
+                job.model in self.adapters_by_model and job.model != self.draining_model
             )
             if job.adapter and holds_model:
                 return job
@@ -198,7 +200,7 @@
         if declared_model is None or adapter and model not in holdings:
             return False
         adapter_count = sum(map(len, holdings.values()))
-        if adapter and adapter_count >= self.accelerator.adapter_places:
+        if adapter and adapter_count >= self.accelerator.adapter_slots:
             return False
         used_mb = sum(
             self._size_mb(name, held_adapters)
@@ -219,17 +221,17 @@
 
         :param inventory: the report.
         """
-        if inventory.ordered:
+        if inventory.executing_order:
             # The order that it is executing is unknown, and so is the memory that it
             # will use.
-            self.accepted = None
+            self.accepted_orders = None
             return
-        self.accepted = inventory.accepted
+        self.accepted_orders = inventory.accepted_orders
         self.loading = ""
         self.adapters_by_model = {
             item.model: set(item.adapters) for item in inventory.holdings
         }
-        for model, adapter in inventory.arriving:
+        for model, adapter in inventory.loading_adapters:
             self.adapters_by_model.setdefault(model, set()).add(adapter)
 
     def apply_outcome(
@@ -246,17 +248,19 @@
         """
         match outcome:
             case adapters.OrderOutcome.ACCEPTED if order.load and not order.adapter:
-                self.accepted += 1
+                self.accepted_orders += 1
                 self.loading = order.model
             case adapters.OrderOutcome.ACCEPTED:
-                self.accepted += 1
+                self.accepted_orders += 1
                 self.finish(order)
             case adapters.OrderOutcome.DONE if not order.load:
                 self.finish(order)
                 # The response does not say whether the order was counted.
-                self.accepted = self.accepted + 1 if order.adapter else None
+                self.accepted_orders = (
+                    self.accepted_orders + 1 if order.adapter else None
+                )
             case adapters.OrderOutcome.DONE:
-                self.accepted = None
+                self.accepted_orders = None
 
     def finish(self, order: adapters.Order) -> None:
         """Record that an order has been executed.
@@ -284,23 +288,23 @@
             return self.accelerator.memory_mb
         return model.memory_mb + model.adapter_mb * len(held_adapters)
 
-    def load_s(self, model: declared.Model) -> float:
+    def load_s(self, model: declaration_types.Model) -> float:
         """Return how long a model takes to load here, seconds.
 
         :param model: the model.
         """
         entry = self.endpoint.entry
         if model.name in entry.in_host_memory:
-            return model.host_s
+            return model.host_load_s
         if model.name in entry.on_disk:
-            return model.disk_s
-        return model.store_s
+            return model.disk_load_s
+        return model.store_load_s
 
     def ready_s_by_model(self) -> dict[str, float]:
         """Return the seconds until ready of each model that is loading or queued."""
         now = time.monotonic()
         until_ready_s = max(0.0, self.ready_at - now) if self.loading else 0.0
-        if self.leaving:
+        if self.draining_model:
             until_ready_s += max(0.0, self.drained_at - now)
         ready_s = {self.loading: until_ready_s} if self.loading else {}
         for job in self.jobs:
@@ -324,7 +328,7 @@
         A crashed endpoint is still registered. Without the pause, orders that fail at
         once are decided again and again while callers wait.
         """
-        self.accepted = None
+        self.accepted_orders = None
         self.paused_until = time.monotonic() + PAUSE_S
 
     def holdings_after_jobs(self) -> dict[str, set[str]]:
--- a/packages/mothworks_gateway/src/mothworks_gateway/fleet_size.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/fleet_size.py
@@ -5,7 +5,7 @@
 """
 
 from mothworks import kernel, membership
-from mothworks_gateway import suspension
+from mothworks_gateway import boot_clock
 
 #: Time for which the peak is retained while a majority of those VMs is still live,
 #: seconds: longer than a partition that callers should notice.
@@ -24,19 +24,19 @@
     def __init__(self, node_kernel: kernel.Kernel):
         super().__init__(node_kernel)
         self.membership = node_kernel.get(membership.Membership)
-        self.membership.on_change.append(self._count)
+        self.membership.on_change.append(self._update)
         #: Number of live VMs, including this one.
         self.live = 1
         #: Recent peak of live VMs.
         self._peak = 1
-        #: Time at which so many were last live, on the clock of :func:`suspension.now`.
-        self._peak_at = suspension.now()
-        self._count()
+        #: Time at which so many were last live, on the clock of :func:`boot_clock.now`.
+        self._peak_at = boot_clock.now()
+        self._update()
 
     @property
-    def most(self) -> int:
+    def peak(self) -> int:
         """Return the recent peak of live VMs, including this one."""
-        now = suspension.now()
+        now = boot_clock.now()
         is_minority = 2 * self.live <= self._peak
         retention_s = MINORITY_PEAK_RETENTION_S if is_minority else PEAK_RETENTION_S
         if self.live >= self._peak:
@@ -45,10 +45,10 @@
             self._peak, self._peak_at = self.live, now
         return self._peak
 
-    def _count(self) -> None:
+    def _update(self) -> None:
         """Update the counts after membership changed."""
         # The property first settles the peak with the count from before this change.
-        peak = self.most
+        peak = self.peak
         self.live = 1 + len(self.membership.near())
         if self.live >= peak:
-            self._peak, self._peak_at = self.live, suspension.now()
+            self._peak, self._peak_at = self.live, boot_clock.now()
--- a/packages/mothworks_gateway/src/mothworks_gateway/front.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/front.py
@@ -27,9 +27,9 @@
 from mothworks_gateway import (
     adapters,
     admission,
-    asked,
+    caller_request,
+    declaration_types,
     declarations,
-    declared,
     discovery,
     dispatch,
     settings,
@@ -44,7 +44,7 @@
 #: the load balancer needs two checks, one per second, to notice it.
 ACCEPT_AFTER_STOP_S = 2.6
 #: Time before the kill deadline at which the process exits by itself, seconds.
-END_S = 0.9
+EXIT_MARGIN_S = 0.9
 #: Retry-After while this VM stops, seconds: the retry reaches another VM.
 STOPPING_RETRY_S = 0.02
 #: Factor on the declared idle timeout of connections: a caller that reuses a connection
@@ -74,7 +74,7 @@
         self.discovery = node_kernel.get(discovery.Discovery)
         self.dispatch = node_kernel.get(dispatch.Dispatch)
         self.admission = node_kernel.get(admission.Admission)
-        self.callers: adapters.Callers = plugins.find(
+        self.callers: adapters.CallerProtocol = plugins.find(
             adapters.CALLERS, config.adapter
         )()
         max_connections = int(
@@ -143,7 +143,7 @@
             addresses.append((config.address, config.metrics_port))
         return addresses
 
-    def _apply_limits(self, declaration: declared.Declaration) -> None:
+    def _apply_limits(self, declaration: declaration_types.Declaration) -> None:
         """Apply the declared limits to new requests."""
         limits = declaration.limits
         self.listener.limits = attrs.evolve(
@@ -183,7 +183,9 @@
             case result.Err(refusal):
                 return self._log_and_refuse(call, refusal)
 
-    def _parse(self, call: calls.Call) -> result.Result[asked.Asked, outcomes.Refusal]:
+    def _parse(
+        self, call: calls.Call
+    ) -> result.Result[caller_request.CallerRequest, outcomes.Refusal]:
         """Parse the request of a call after authenticating its caller."""
         version = self.declarations.version
         match self._route(call):
@@ -202,13 +204,15 @@
                 pass
             case refused:
                 return refused
-        service = self.dispatch.choice.service(route)
-        parsed = self.callers.read(call, route, service, body, version, account)
+        service = self.dispatch.endpoint_selection.service(route)
+        parsed = self.callers.decode_request(
+            call, route, service, body, version, account
+        )
         return parsed.map_err(outcomes.invalid)
 
     def _route(
         self, call: calls.Call
-    ) -> result.Result[declared.Route, outcomes.Refusal]:
+    ) -> result.Result[declaration_types.Route, outcomes.Refusal]:
         """Return the route that matches a call."""
         if self.is_stopping:
             return result.Err(
@@ -234,7 +238,9 @@
         if int(call.environ.get("CONTENT_LENGTH") or 0) <= MAX_DISCARDED_BODY_BYTES:
             call.body()
 
-    def _run(self, call: calls.Call, request: asked.Asked) -> calls.Reply:
+    def _run(
+        self, call: calls.Call, request: caller_request.CallerRequest
+    ) -> calls.Reply:
         match self.admission.admit(request):
             case result.Ok(grant):
                 pass
@@ -247,7 +253,7 @@
                 return reply
             case result.Err(refusal):
                 if grant is not None and refusal.ran is outcomes.Ran.NO:
-                    self.admission.credits.give_back(grant)
+                    self.admission.credits.refund(grant)
                 return self.refuse(refusal)
 
     def _log_and_refuse(
--- a/packages/mothworks_gateway/src/mothworks_gateway/lease.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease.py
@@ -29,7 +29,7 @@
 import result
 
 from mothworks import kernel, logs, membership, objects, ownership
-from mothworks_gateway import heartbeat, lease_record, relayed_objects, suspension
+from mothworks_gateway import boot_clock, heartbeat, lease_record, relayed_objects
 
 log = logbook.Logger("lease")
 
@@ -79,7 +79,7 @@
         self.renew_interval_s = lease_s * RENEW_INTERVAL_SHARE
         self.duration_s = lease_s * (FENCED_DURATION_FACTOR if fenced else 1)
         #: Time without a renewal after which another VM may take over, seconds.
-        self.watch_s = (
+        self.takeover_s = (
             self.renew_interval_s * TAKEOVER_INTERVALS if fenced else self.duration_s
         )
         # Where endpoints check fencing tokens, they reject a late order of the former
@@ -88,18 +88,18 @@
         self.api = node_kernel.get(relayed_objects.RelayedObjects)
         self.membership = node_kernel.get(membership.Membership)
         self.heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        self.heartbeats.on_heartbeat.append(self._heartbeat_fields)
+        self.heartbeats.field_providers.append(self._heartbeat_fields)
         self.heartbeats.on_received.append(self._on_heartbeat)
-        node_kernel.on_draining.append(lambda: self.tasks.spawn(self._release))
+        node_kernel.on_draining.append(lambda: self.tasks.spawn(self._release_on_drain))
         self.started_at = time.monotonic()
         self.record: lease_record.Record | None = None
         self.version: str | None = None
         self.valid_until = 0.0
         self.orders_from = 0.0
-        self.known_renewal: lease_record.KnownRenewal | None = None
-        self.checked_at = suspension.now()
+        self.observed_renewal: lease_record.ObservedRenewal | None = None
+        self.checked_at = boot_clock.now()
         #: Functions to call after this VM acquired the lease.
-        self.on_gained: list = []
+        self.on_acquired: list = []
         self._rejected_fence = 0
 
     def start(self) -> None:
@@ -118,8 +118,8 @@
         return (
             self.record is not None
             and self.record.holder == self.name
-            and self.orders_from <= suspension.now() < self.valid_until
-            and suspension.now() - self.checked_at < MAX_CHECK_GAP_S
+            and self.orders_from <= boot_clock.now() < self.valid_until
+            and boot_clock.now() - self.checked_at < MAX_CHECK_GAP_S
         )
 
     def holder(self) -> str:
@@ -133,7 +133,7 @@
         }
         return max(fence_by_vm, key=fence_by_vm.__getitem__, default="")
 
-    def refused(self, fence: int) -> None:
+    def fence_rejected(self, fence: int) -> None:
         """Drop the lease: an endpoint has seen a newer fencing token.
 
         :param fence: the token that the endpoint rejected.
@@ -142,7 +142,7 @@
             self._drop("an endpoint has seen a newer fencing token")
             self._rejected_fence = fence
 
-    def give_up(self, reason: str) -> None:
+    def release(self, reason: str) -> None:
         """Release the lease at once, so that another VM can acquire it.
 
         :param reason: the reason, for the log.
@@ -153,15 +153,15 @@
             released = attrs.evolve(record, holder="", renewals=record.renewals + 1)
             self.api.put(KEY, released.body(), version)
 
-    def _release(self) -> None:
+    def _release_on_drain(self) -> None:
         """Release the lease while the node drains, so that the next holder can start.
 
         While the store is unreachable no other VM can acquire the lease, and models
         must still be loaded: the holder goes on until the store answers again.
         """
-        while self.record is not None and suspension.now() < self.valid_until:
+        while self.record is not None and boot_clock.now() < self.valid_until:
             if self._read() is not None:
-                self.give_up("shutting down")
+                self.release("shutting down")
                 return
             gevent.sleep(POLL_INTERVAL_S)
 
@@ -169,7 +169,7 @@
         gevent.sleep(STARTUP_DELAY_S * random.uniform(0.8, 1.2))
         while not self.kernel.draining:
             if self.record is None:
-                self._seek()
+                self._try_acquire()
             else:
                 self._renew()
             # A lease that was just acquired is renewed on the same schedule: another VM
@@ -183,13 +183,13 @@
 
     def _check_suspension(self) -> None:
         """Stop trusting the lease after a suspension, until it is renewed."""
-        if suspension.now() - self.checked_at >= MAX_CHECK_GAP_S:
+        if boot_clock.now() - self.checked_at >= MAX_CHECK_GAP_S:
             self.valid_until = 0.0
-        self.checked_at = suspension.now()
+        self.checked_at = boot_clock.now()
 
     def _renew(self) -> None:
         record = attrs.evolve(self.record, renewals=self.record.renewals + 1)
-        sent_at = suspension.now()
+        sent_at = boot_clock.now()
         match self.api.put(KEY, record.body(), self.version):
             case result.Ok(version):
                 if self.record is not None:
@@ -197,7 +197,7 @@
             case result.Err(objects.Unknown()):
                 self._verify_write(sent_at, record)
             case result.Err(objects.Unavailable(reason)):
-                if suspension.now() > self.valid_until:
+                if boot_clock.now() > self.valid_until:
                     self._drop(f"not renewed: {reason}")
             case result.Err(failure):
                 self._drop(f"renewal failed: {failure}")
@@ -223,11 +223,11 @@
         self.version = version
         self.valid_until = sent_at + self.duration_s - EXPIRY_MARGIN_S
         if acquired:
-            self.orders_from = suspension.now() + self.order_delay_s
+            self.orders_from = boot_clock.now() + self.order_delay_s
             logs.event(
                 log, "lease", fence=record.fence, version=version, outcome="held"
             )
-            for notify in self.on_gained:
+            for notify in self.on_acquired:
                 notify()
 
     def _drop(self, reason: str) -> None:
@@ -247,14 +247,14 @@
         """Record the newest renewal of another VM, and when it was first observed."""
         if vm == self.name or not (received.fence and received.lease_version):
             return
-        newest = self.known_renewal or lease_record.KnownRenewal(0, "", 0.0)
+        newest = self.observed_renewal or lease_record.ObservedRenewal(0, "", 0.0)
         is_changed = received.lease_version != newest.version
         if is_changed and received.fence >= newest.fence:
-            self.known_renewal = lease_record.KnownRenewal(
-                received.fence, received.lease_version, suspension.now()
+            self.observed_renewal = lease_record.ObservedRenewal(
+                received.fence, received.lease_version, boot_clock.now()
             )
 
-    def _seek(self) -> None:
+    def _try_acquire(self) -> None:
         """Acquire the lease where no VM holds it and this VM is next by rank."""
         if self.holder() or self._rank() > 0 and not self._higher_ranks_timed_out():
             return
@@ -263,37 +263,44 @@
             return
         record, version = stored
         if record is None:
-            self._take(0, None)
+            self._acquire(0, None)
         elif record.holder in ("", self.name):
             # It was released, or held by an earlier process of this VM, which is gone.
-            self._take(record.fence, version)
+            self._acquire(record.fence, version)
         else:
-            if self.known_renewal is None or self.known_renewal.version != version:
-                self.known_renewal = lease_record.KnownRenewal(
-                    record.fence, version, suspension.now()
+            if (
+                self.observed_renewal is None
+                or self.observed_renewal.version != version
+            ):
+                self.observed_renewal = lease_record.ObservedRenewal(
+                    record.fence, version, boot_clock.now()
                 )
-            self._take_over(self.known_renewal)
+            self._take_over(self.observed_renewal)
 
-    def _take_over(self, renewal: lease_record.KnownRenewal) -> None:
+    def _take_over(self, renewal: lease_record.ObservedRenewal) -> None:
         """Acquire the lease of a holder that is gone, once that is safe."""
         if self._await_takeover(renewal):
-            orders_from = renewal.at + self.watch_s + self.order_delay_s
-            self._take(renewal.fence, renewal.version, orders_from)
+            orders_from = renewal.at + self.takeover_s + self.order_delay_s
+            self._acquire(renewal.fence, renewal.version, orders_from)
 
-    def _await_takeover(self, renewal: lease_record.KnownRenewal) -> bool:
+    def _await_takeover(self, renewal: lease_record.ObservedRenewal) -> bool:
         """Wait until this VM may take over; return False if a holder appears."""
-        while suspension.now() < renewal.at + self.watch_s:
+        while boot_clock.now() < renewal.at + self.takeover_s:
             gevent.sleep(
                 max(
                     0.01,
-                    min(POLL_INTERVAL_S, renewal.at + self.watch_s - suspension.now()),
+                    min(
+                        POLL_INTERVAL_S, renewal.at + self.takeover_s - boot_clock.now()
+                    ),
                 )
             )
             if self.holder():
                 return False
         return True
 
-    def _take(self, fence: int, version: str | None, orders_from: float = 0.0) -> None:
+    def _acquire(
+        self, fence: int, version: str | None, orders_from: float = 0.0
+    ) -> None:
         """Write this VM into the lease as its holder.
 
         :param fence: the fencing token of the last holder.
@@ -304,7 +311,7 @@
         record = lease_record.Record(
             self.name, max(fence, self._rejected_fence) + 1, 0, self.life
         )
-        sent_at = suspension.now()
+        sent_at = boot_clock.now()
         match self.api.put(KEY, record.body(), version):
             case result.Ok(new_version):
                 self._accept(record, new_version, sent_at)
@@ -313,7 +320,7 @@
             case result.Err(failure):
                 logs.event(log, "lease", reason=str(failure)[:120], outcome="not taken")
         if orders_from and self.record is not None:
-            self.orders_from = max(suspension.now(), orders_from)
+            self.orders_from = max(boot_clock.now(), orders_from)
 
     def _read(self) -> tuple[lease_record.Record | None, str | None] | None:
         """Return the stored lease and its version; None without an answer."""
--- a/packages/mothworks_gateway/src/mothworks_gateway/node.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/node.py
@@ -15,6 +15,7 @@
 from mothworks import exchange, kernel, logs, membership, peers, ports, vm_list
 from mothworks_gateway import (
     admission,
+    aggregation,
     credit,
     declaration_updates,
     declarations,
@@ -23,10 +24,9 @@
     feeding,
     freshness,
     front,
-    gathering,
     heartbeat,
+    job_execution,
     lease,
-    ordering,
     residency,
     scheduler,
     settings,
@@ -45,20 +45,20 @@
     peers.Peers,
     vm_list.VmList,
     exchange.Exchange,
-    feeding.Feeding,
+    feeding.FeedFollowers,
     feed_reports.FeedReports,
     declarations.Declarations,
     discovery.Discovery,
     heartbeat.Heartbeats,
     lease.Lease,
-    gathering.Gathering,
+    aggregation.Aggregation,
     watching.Watching,
     declaration_updates.DeclarationUpdates,
     freshness.Freshness,
     credit.Credits,
     admission.Admission,
     residency.Residency,
-    ordering.Ordering,
+    job_execution.JobExecutor,
     scheduler.Scheduler,
     front.Front,
 )
@@ -74,7 +74,7 @@
     def __init__(self, checked: settings.Settings, path: pathlib.Path | None = None):
         self.path = path
         importlib.import_module(checked.adapter)
-        drain_s = max(0.5, checked.bounds.stop_s - front.END_S)
+        drain_s = max(0.5, checked.bounds.stop_s - front.EXIT_MARGIN_S)
         limits = attrs.evolve(checked.limits, drain_s=drain_s)
         self.kernel = kernel.Kernel(attrs.evolve(checked, limits=limits))
         for part in PARTS:
--- a/packages/mothworks_gateway/src/mothworks_gateway/site_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/order_sender.py
@@ -1,4 +1,4 @@
-"""Site orders: sends an order to an endpoint until it is executed.
+"""Order sender: sends an order to an endpoint until it is executed.
 
 An order names the number of orders that the endpoint has accepted so far, and the
 endpoint accepts it only if that number still holds. Of two orders with the same number,
@@ -23,15 +23,15 @@
 from mothworks import kernel, logs
 from mothworks_gateway import (
     adapters,
-    declared,
+    declaration_types,
     discovery,
+    endpoint_state,
     endpoints_client,
     late_orders,
     lease,
     residency,
-    sites,
+    sliding_windows,
     unload_time,
-    windows,
 )
 
 log = logbook.Logger("orders")
@@ -57,7 +57,7 @@
 JOB_TIMEOUT_S = 20.0
 
 
-class SiteOrders(kernel.Part):
+class OrderSender(kernel.Part):
     """Sends orders to endpoints while this VM holds the lease.
 
     :param node_kernel: the node's kernel.
@@ -73,14 +73,17 @@
         self.late_orders = node_kernel.get(late_orders.LateOrders)
         self.residency = node_kernel.get(residency.Residency)
         self.unload_time = unload_time.UnloadTime()
-        self.store_loads = windows.Window(self.bounds.load_window_s)
+        self.store_loads = sliding_windows.WindowedCount(self.bounds.load_window_s)
         self.published = 0
         self.orders_total = node_kernel.metrics.counter(
             "orders_total", "Orders to endpoints, by kind and outcome."
         )
 
     def may_load(
-        self, state: sites.EndpointState, model: declared.Model, share: float = 1.0
+        self,
+        state: endpoint_state.EndpointState,
+        model: declaration_types.Model,
+        share: float = 1.0,
     ) -> bool:
         """Return whether the weight store's load rate allows one more load.
 
@@ -88,37 +91,41 @@
         :param model: the model to load.
         :param share: the share of the rate that such loads may use.
         """
-        if state.load_s(model) < model.store_s:
+        if state.load_s(model) < model.store_load_s:
             return True
         per_s = state.accelerator.store_loads_per_s * self.bounds.load_factor
         max_loads = max(1, int(per_s * self.bounds.load_window_s * share))
         return self.store_loads.count() < max_loads
 
-    def refresh(self, state: sites.EndpointState) -> None:
+    def refresh(self, state: endpoint_state.EndpointState) -> None:
         """Request an endpoint's inventory and apply it to its state.
 
         :param state: the endpoint's state.
         """
         inventory = self._inventory(state)
         if inventory is None:
-            state.accepted = None
+            state.accepted_orders = None
             return
         state.apply_inventory(inventory)
         if state.known and state.adapters_by_model != state.endpoint.adapters_by_model:
-            # All VMs know from the registry what agrees with it.
+            # If both agree, all VMs know the holdings from the registry already.
             self.publish(state)
 
-    def _inventory(self, state: sites.EndpointState) -> adapters.Inventory | None:
+    def _inventory(
+        self, state: endpoint_state.EndpointState
+    ) -> adapters.Inventory | None:
         """Return an endpoint's inventory; None if this incarnation reports none."""
-        entry_born = state.endpoint.entry.born
+        entry_started_ms = state.endpoint.entry.started_ms
         match self.protocol.inventory(state.endpoint):
-            case result.Ok(inventory) if not (entry_born and inventory.born):
+            case result.Ok(inventory) if not (
+                entry_started_ms and inventory.started_ms
+            ):
                 # Without both start times, the incarnations cannot be compared.
                 return inventory
-            case result.Ok(inventory) if inventory.born == entry_born:
+            case result.Ok(inventory) if inventory.started_ms == entry_started_ms:
                 return inventory
             case result.Ok(inventory):
-                self.registry.restarted(state.endpoint, inventory.born)
+                self.registry.record_restart(state.endpoint, inventory.started_ms)
                 reason = "another incarnation answers"
             case result.Err(reason):
                 pass
@@ -126,7 +133,7 @@
         return None
 
     def order(
-        self, state: sites.EndpointState, loads: bool, model: str, adapter: str
+        self, state: endpoint_state.EndpointState, loads: bool, model: str, adapter: str
     ) -> bool:
         """Send an order until it is executed; returns whether it is.
 
@@ -140,7 +147,7 @@
         retry_delay_s = CONFLICT_RETRY_S
         refused = unanswered = False
         self._wait_for_unload(state)
-        while time.monotonic() < deadline and self.lease.held() and state.open:
+        while time.monotonic() < deadline and self.lease.held() and state.available:
             if not state.known:
                 self.refresh(state)
                 inventory_at = time.monotonic() + CONFLICT_INVENTORY_S
@@ -150,7 +157,12 @@
             if self._holds(state, model, adapter) == loads:
                 return True
             order = adapters.Order(
-                loads, model, adapter, state.accepted, self.name, self.lease.fence
+                loads,
+                model,
+                adapter,
+                state.accepted_orders,
+                self.name,
+                self.lease.fence,
             )
             match self.attempt(state, order):
                 case None:
@@ -169,7 +181,7 @@
                         MAX_CONFLICT_RETRY_S, retry_delay_s * CONFLICT_RETRY_FACTOR
                     )
                     if unanswered or time.monotonic() > inventory_at:
-                        state.accepted = None
+                        state.accepted_orders = None
                         unanswered = False
                 case adapters.OrderOutcome.UNKNOWN:
                     # The next copy names the same number of accepted orders, so at most
@@ -179,20 +191,24 @@
                 case adapters.OrderOutcome.MISDIRECTED:
                     # Its inventory came from the endpoint that now has its address, and
                     # looked like an endpoint with all of its memory free.
-                    self.registry.dismiss(state.endpoint, "its address is another's")
+                    self.registry.exclude(
+                        state.endpoint, "another endpoint has its address"
+                    )
                     return False
                 case _:
                     state.pause()
                     return False
         return False
 
-    def _wait_for_unload(self, state: sites.EndpointState) -> None:
+    def _wait_for_unload(self, state: endpoint_state.EndpointState) -> None:
         """Wait until an endpoint has probably finished its last unload."""
         if state.unload_accepted_at is not None:
             done_at = state.unload_accepted_at + self.unload_time.expected_s
             gevent.sleep(max(0.0, done_at - time.monotonic()))
 
-    def _update_unload_time(self, state: sites.EndpointState, refused: bool) -> None:
+    def _update_unload_time(
+        self, state: endpoint_state.EndpointState, refused: bool
+    ) -> None:
         """Update the expected unload time from the first order after an unload."""
         if state.unload_accepted_at is None:
             return
@@ -202,12 +218,14 @@
             self.unload_time.accepted_at_once()
         state.unload_accepted_at = None
 
-    def _holds(self, state: sites.EndpointState, model: str, adapter: str) -> bool:
+    def _holds(
+        self, state: endpoint_state.EndpointState, model: str, adapter: str
+    ) -> bool:
         held_adapters = state.adapters_by_model.get(model)
         return held_adapters is not None and (not adapter or adapter in held_adapters)
 
     def attempt(
-        self, state: sites.EndpointState, order: adapters.Order
+        self, state: endpoint_state.EndpointState, order: adapters.Order
     ) -> adapters.OrderOutcome | None:
         """Send an order once and apply its effect to the endpoint's state.
 
@@ -231,7 +249,7 @@
             order=kind,
             model=order.model,
             adapter=order.adapter,
-            accepted=order.accepted,
+            accepted=order.expected_orders,
             fence=order.fence,
             outcome=outcome.value,
         )
@@ -239,12 +257,14 @@
         state.apply_outcome(order, outcome)
         match outcome:
             case adapters.OrderOutcome.FENCED:
-                self.lease.refused(order.fence)
+                self.lease.fence_rejected(order.fence)
             case adapters.OrderOutcome.UNKNOWN:
                 self.late_orders.record(state.endpoint, order)
         return outcome
 
-    def _is_safe(self, state: sites.EndpointState, order: adapters.Order) -> bool:
+    def _is_safe(
+        self, state: endpoint_state.EndpointState, order: adapters.Order
+    ) -> bool:
         """Return whether an order fits, and any late orders after it."""
         if order.load and not state.fits(order.model, order.adapter, state.in_memory()):
             return False
@@ -254,10 +274,10 @@
         if self._inventory(state) is None:
             # It may have restarted, and late orders may have brought it to the number
             # that this order names, with other models.
-            state.accepted = None
+            state.accepted_orders = None
             return False
         holdings = state.after(order)
-        if not late_orders.all_fit(late, state, holdings, order.accepted + 1):
+        if not late_orders.all_fit(late, state, holdings, order.expected_orders + 1):
             return False
         # This order may be late, too, and meet its number in the next incarnation,
         # which starts empty.
@@ -266,7 +286,7 @@
 
     def _count_store_load(
         self,
-        state: sites.EndpointState,
+        state: endpoint_state.EndpointState,
         order: adapters.Order,
         outcome: adapters.OrderOutcome,
     ) -> None:
@@ -274,11 +294,11 @@
         maybe_started = (adapters.OrderOutcome.ACCEPTED, adapters.OrderOutcome.UNKNOWN)
         if order.load and not order.adapter and outcome in maybe_started:
             model = state.accelerator.model_by_name[order.model]
-            if state.load_s(model) >= model.store_s:
+            if state.load_s(model) >= model.store_load_s:
                 self.store_loads.add()
 
     def _wait_until_executed(
-        self, state: sites.EndpointState, order: adapters.Order
+        self, state: endpoint_state.EndpointState, order: adapters.Order
     ) -> None:
         """Wait until an accepted order has been executed."""
         if order.adapter or not order.load:
@@ -294,7 +314,7 @@
         state.ready_at = time.monotonic() + state.load_s(model)
         self.publish(state)
         overdue_at = state.ready_at + LOAD_OVERDUE_S
-        while state.loading and self.lease.held() and state.endpoint.open:
+        while state.loading and self.lease.held() and state.endpoint.available:
             if order.model in (state.endpoint.entry.adapters_by_model or {}):
                 state.finish(order)
                 self.publish(state)
@@ -309,10 +329,10 @@
                 if state.known:
                     return
         # The result of the load was not observed.
-        state.accepted = None
+        state.accepted_orders = None
 
     def publish(
-        self, state: sites.EndpointState, without: adapters.Order | None = None
+        self, state: endpoint_state.EndpointState, without: adapters.Order | None = None
     ) -> None:
         """Publish to all VMs what an endpoint holds, so that they send requests there.
 
@@ -322,7 +342,7 @@
         holdings = {
             name: sorted(held_adapters)
             for name, held_adapters in state.adapters_by_model.items()
-            if name != state.leaving
+            if name != state.draining_model
         }
         if without is not None and not without.adapter:
             holdings.pop(without.model, None)
--- a/packages/mothworks_gateway/src/mothworks_gateway/poison.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/poison_requests.py
@@ -13,7 +13,7 @@
 import logbook
 
 from mothworks import kernel, logs, messages, peers
-from mothworks_gateway import asked, registry
+from mothworks_gateway import caller_request, registry
 
 log = logbook.Logger("poison")
 
@@ -28,10 +28,10 @@
 
 @messages.message(113)
 @attrs.frozen
-class Broke:
+class CrashReport:
     """Reports that an endpoint crashed while it ran a request.
 
-    :param fingerprint: see :meth:`asked.Asked.fingerprint`.
+    :param fingerprint: see :meth:`caller_request.CallerRequest.fingerprint`.
     :param endpoint: the endpoint's id.
     """
 
@@ -63,9 +63,9 @@
         self.history_by_fingerprint: collections.OrderedDict[bytes, _CrashHistory] = (
             collections.OrderedDict()
         )
-        self.peers.handle(Broke, self._on_crash_report)
+        self.peers.handle(CrashReport, self._on_crash_report)
 
-    def is_blocked(self, request: asked.Asked) -> bool:
+    def is_blocked(self, request: caller_request.CallerRequest) -> bool:
         """Return whether a request has to be refused.
 
         :param request: the request.
@@ -77,13 +77,15 @@
             return False
         return len(history.endpoints) >= CRASHES_TO_BLOCK
 
-    def record_crash(self, request: asked.Asked, endpoint: registry.Endpoint) -> None:
+    def record_crash(
+        self, request: caller_request.CallerRequest, endpoint: registry.Endpoint
+    ) -> None:
         """Record and publish that an endpoint crashed while it ran a request.
 
         :param request: the request.
         :param endpoint: the endpoint.
         """
-        report = Broke(request.fingerprint(), endpoint.id)
+        report = CrashReport(request.fingerprint(), endpoint.id)
         if self._record(report):
             self.peers.send_all(report)
             logs.event(
@@ -97,7 +99,7 @@
                 outcome="refused" if self.is_blocked(request) else "noted",
             )
 
-    def clear(self, request: asked.Asked) -> None:
+    def clear(self, request: caller_request.CallerRequest) -> None:
         """Clear the crashes of a request that has completed.
 
         :param request: the request.
@@ -105,7 +107,7 @@
         if self.history_by_fingerprint:
             self.history_by_fingerprint.pop(request.fingerprint(), None)
 
-    def _record(self, report: Broke) -> bool:
+    def _record(self, report: CrashReport) -> bool:
         history = self.history_by_fingerprint.setdefault(
             report.fingerprint, _CrashHistory(set(), time.monotonic())
         )
@@ -117,5 +119,5 @@
             self.history_by_fingerprint.popitem(last=False)
         return True
 
-    def _on_crash_report(self, _: str, report: Broke, __) -> None:
+    def _on_crash_report(self, _: str, report: CrashReport, __) -> None:
         self._record(report)
--- a/packages/mothworks_gateway/src/mothworks_gateway/reading.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/prefill_speed.py
@@ -1,6 +1,6 @@
-"""Reading: estimates the prefill speed of a service's endpoints, tokens per second.
+"""Prefill speed: estimates how fast endpoints prefill, tokens per second.
 
-The speed is learned from responses, since it differs several times between deployments
+The speed is learned from answers, since it differs several times between deployments
 and is not declared. The time to the first token grows with the prompt's length; its
 other components (network, the endpoint's overhead) do not depend on it. So the
 difference between long and short prompts, among those that hardly queued, gives the
@@ -14,7 +14,7 @@
 import logbook
 
 from mothworks import kernel, logs
-from mothworks_gateway import asked
+from mothworks_gateway import caller_request
 
 log = logbook.Logger("reading")
 
@@ -32,14 +32,14 @@
 SAMPLES_PER_ESTIMATE = 16
 #: Relative change of the speed above which it is logged.
 LOGGED_CHANGE = 0.1
-#: Quantile of the response times that stands for requests that hardly queued: the lower
+#: Quantile of the answer times that stands for requests that hardly queued: the lower
 #: quartile.
 QUICK_QUANTILE = 0.25
 
 
 @attrs.frozen
 class _Sample:
-    """One response.
+    """One answer.
 
     :param tokens: prompt tokens that no other request shares.
     :param seconds: time to the first token.
@@ -49,7 +49,7 @@
     seconds: float
 
 
-class Reading(kernel.Part):
+class PrefillSpeed(kernel.Part):
     """Estimates the speed at which endpoints prefill prompts.
 
     :param node_kernel: the node's kernel.
@@ -73,17 +73,17 @@
         """
         return self.speed_by_service.get(service, default)
 
-    def note(self, request: asked.Asked, seconds: float) -> None:
-        """Add a sample from a response that began.
+    def add_sample(self, request: caller_request.CallerRequest, seconds: float) -> None:
+        """Add a sample from an answer that began.
 
         :param request: the request.
         :param seconds: time from sending it until then.
         """
-        if request.own_tokens <= 0:
+        if request.unshared_tokens <= 0:
             return
         service = request.target.service
         samples = self.samples_by_service[service]
-        samples.append(_Sample(request.own_tokens, seconds))
+        samples.append(_Sample(request.unshared_tokens, seconds))
         self.new_samples_by_service[service] += 1
         enough = len(samples) >= MIN_SAMPLES
         if enough and self.new_samples_by_service[service] >= SAMPLES_PER_ESTIMATE:
--- a/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
@@ -16,7 +16,7 @@
 import typing
 
 from mothworks import kernel
-from mothworks_gateway import fleet_size, heartbeat, owners, suspension
+from mothworks_gateway import boot_clock, fleet_size, heartbeat, owners
 
 #: Timeout of a call to an owner, seconds: several times the longest round trip between
 #: data centres of a region plus one iteration of a busy VM's event loop.
@@ -25,7 +25,7 @@
 MAX_OWNERS = 2
 #: Time without a heartbeat after which a candidate counts as silent, seconds: two
 #: heartbeats. If it were longer, both sides of a partition could grant a full burst.
-HEARTBEAT_TIMEOUT_S = 2 * heartbeat.HEARTBEAT_S
+HEARTBEAT_TIMEOUT_S = 2 * heartbeat.INTERVAL_S
 #: Time for which a VM that knows no other does not grant, seconds: when all VMs start
 #: at once, each would grant the whole budget until they discover each other.
 ALONE_DELAY_S = 1.5
@@ -47,14 +47,14 @@
         self.owners.on_change.append(self._update_candidacy)
         self.fleet = node_kernel.get(fleet_size.FleetSize)
         heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        heartbeats.on_heartbeat.append(self._heartbeat_fields)
+        heartbeats.field_providers.append(self._heartbeat_fields)
         heartbeats.on_received.append(self._on_heartbeat)
         #: Monotonic time since which this VM has received all that is spent.
         self.synced_since = time.monotonic()
         self.is_candidate = True
         #: Whether this VM may have missed what others spent since then.
         self.is_incomplete = False
-        #: Time of each VM's last heartbeat, on the clock of :func:`suspension.now`.
+        #: Time of each VM's last heartbeat, on the clock of :func:`boot_clock.now`.
         self.received_at_by_vm: dict[str, float] = {}
         #: Units that this VM spent since its last heartbeat, by budget and granter.
         self.spent: collections.Counter[tuple[str, str]] = collections.Counter()
@@ -63,7 +63,7 @@
         self.on_spent: list[SpentHandler] = []
         #: Functions to call without arguments when this VM starts to receive what is
         #: spent: what it recorded before is incomplete.
-        self.on_begin: list[collections.abc.Callable[[], None]] = []
+        self.on_reset: list[collections.abc.Callable[[], None]] = []
 
     def spend(self, budget: str, granter: str, units: float) -> None:
         """Publish units that were spent to all candidates with the next heartbeat.
@@ -75,7 +75,7 @@
         """
         self.spent[budget, granter] += units
 
-    def lenders(self, key: str) -> list[str]:
+    def responsive_owners(self, key: str) -> list[str]:
         """Return the VMs to call for a grant, in order.
 
         :param key: the budget's key for ownership; see :meth:`owners.Owners.ranked`.
@@ -83,16 +83,16 @@
         ranked = self.owners.ranked(key)
         return [vm for vm in ranked if not self.owners.is_unresponsive(vm)][:MAX_OWNERS]
 
-    def ask(self, owner: str, message: typing.Any, thing: str) -> typing.Any:
+    def call_owner(self, owner: str, message: typing.Any, thing: str) -> typing.Any:
         """Call an owner and return its reply; None where it does not answer.
 
         :param owner: the VM.
         :param message: the request.
         :param thing: what the request is about, for the log.
         """
-        return self.owners.ask(owner, message, OWNER_TIMEOUT_S, thing)
+        return self.owners.call(owner, message, OWNER_TIMEOUT_S, thing)
 
-    def may_lend(self) -> bool:
+    def may_grant(self) -> bool:
         """Return whether this VM may act as an owner and grant now."""
         candidates = self.owners.candidates()
         if self.name not in candidates:
@@ -103,7 +103,7 @@
         self._check_completeness()
         return not self.is_incomplete
 
-    def part(self) -> float:
+    def share(self) -> float:
         """Return the share of a budget that the VMs which this one reaches may grant.
 
         Once membership declares the other side of a partition dead, the smaller side
@@ -111,13 +111,13 @@
         of live VMs. A majority of it grants the whole budget; a minority grants its
         proportional share.
         """
-        live, peak = self.fleet.live, self.fleet.most
+        live, peak = self.fleet.live, self.fleet.peak
         return 1.0 if 2 * live > peak else live / peak
 
     def _receives_majority(self) -> bool:
         """Return whether heartbeats of most candidates arrived recently."""
         candidates = self.owners.candidates()
-        oldest_at = suspension.now() - HEARTBEAT_TIMEOUT_S
+        oldest_at = boot_clock.now() - HEARTBEAT_TIMEOUT_S
         received_vms = [
             vm
             for vm in candidates
@@ -134,7 +134,7 @@
         """Discard the recorded spending, of which this VM missed a part."""
         self.is_incomplete = False
         self.synced_since = time.monotonic()
-        for notify in self.on_begin:
+        for notify in self.on_reset:
             notify()
 
     def _heartbeat_fields(self) -> dict:
@@ -146,7 +146,7 @@
         """Report what others granted, in case this VM becomes the next owner."""
         if received.relayed:
             return
-        self.received_at_by_vm[vm] = suspension.now()
+        self.received_at_by_vm[vm] = boot_clock.now()
         if self.is_incomplete and self._receives_majority():
             self._reset()
         if not self.is_candidate:
--- a/packages/mothworks_gateway/src/mothworks_gateway/evidence.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/shared_health.py
@@ -1,7 +1,7 @@
 """Shared outlier detection: ejects endpoints by the answers that all VMs received.
 
 Each VM publishes in its heartbeats how endpoints answered its requests, and adds up the
-counts of all VMs; see :mod:`seen_answers`. An outlier is ejected as if it had failed
+counts of all VMs; see :mod:`error_rates`. An outlier is ejected as if it had failed
 requests of this VM.
 """
 
@@ -9,14 +9,14 @@
 import collections.abc
 
 from mothworks import kernel
-from mothworks_gateway import discovery, health, heartbeat, registry, seen_answers
+from mothworks_gateway import discovery, error_rates, health, heartbeat, registry
 
 #: Reason of the ejection, for the log.
 EJECTION_REASON = "high error rate over all VMs"
 
 
 class AnswerCounts:
-    """Counts the answers since the last :meth:`take`, by endpoint's id."""
+    """Counts the answers since the last :meth:`drain`, by endpoint's id."""
 
     def __init__(self):
         self.successes: collections.Counter[str] = collections.Counter()
@@ -31,7 +31,7 @@
             self.successes[endpoint_id] += successes
             self.errors[endpoint_id] += errors
 
-    def take(self) -> tuple[heartbeat.AnswerRow, ...]:
+    def drain(self) -> tuple[heartbeat.AnswerRow, ...]:
         """Return the counts, and reset them."""
         ids = self.successes.keys() | self.errors.keys()
         rows = tuple((key, self.successes[key], self.errors[key]) for key in ids)
@@ -40,7 +40,7 @@
         return rows
 
 
-class Evidence(kernel.Part):
+class SharedHealth(kernel.Part):
     """Publishes this VM's answer counts, and evaluates those of all VMs.
 
     :param node_kernel: the node's kernel.
@@ -53,19 +53,19 @@
         self.registry = node_kernel.get(discovery.Discovery).registry
         self.registry.on_change.append(self._remove_gone)
         self.own_counts = AnswerCounts()
-        self.error_rates = seen_answers.ErrorRates()
+        self.error_rates = error_rates.ErrorRates()
         heartbeats = node_kernel.get(heartbeat.Heartbeats)
-        heartbeats.on_heartbeat.append(lambda: {"answers": self.own_counts.take()})
+        heartbeats.field_providers.append(lambda: {"answers": self.own_counts.drain()})
         heartbeats.on_received.append(self._on_heartbeat)
 
     def _on_heartbeat(self, vm: str, received: heartbeat.Heartbeat) -> None:
         # Heartbeats of this VM are passed in, too; its counts are added when it sends
         # them, or with the totals of a collector.
         if vm != self.kernel.settings.name:
-            self.receive(received.answers)
+            self.merge(received.answers)
 
-    def receive(self, rows: collections.abc.Iterable[heartbeat.AnswerRow]) -> None:
-        """Add answer counts of a VM, and eject the outliers.
+    def merge(self, rows: collections.abc.Iterable[heartbeat.AnswerRow]) -> None:
+        """Add answer counts of one or several VMs, and eject the outliers.
 
         :param rows: the counts by endpoint.
         """
--- a/packages/mothworks_gateway/src/mothworks_gateway/watching.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/watching.py
@@ -83,7 +83,7 @@
         self.heartbeats = node_kernel.get(heartbeat.Heartbeats)
         self.declarations = node_kernel.get(declarations.Declarations)
         self.discovery = node_kernel.get(discovery.Discovery)
-        self.feeding = node_kernel.get(feeding.Feeding)
+        self.feeding = node_kernel.get(feeding.FeedFollowers)
         self.election = watcher_election.WatcherElection(self.name)
         self.ranking = ranking.Ranking("watch", self.name, self.membership)
         self.is_watcher = True
@@ -98,7 +98,7 @@
         self.discovery.on_platform_changes.append(self._publish_changes)
         self.declarations.on_change.append(lambda _: self._publish_status())
         store = node_kernel.get(relayed_objects.RelayedObjects)
-        store.on_return.append(self._restart_polls)
+        store.on_recovered.append(self._restart_polls)
 
     def start(self) -> None:
         """Start the periodic check of watchers, and publishing."""
@@ -149,7 +149,7 @@
         """
         loaded = self.discovery.loaded and self.declarations.version > 0
         for follower in self.feeding.follower_by_name.values():
-            follower.follow(self.is_watcher or not healthy or not loaded)
+            follower.set_followed(self.is_watcher or not healthy or not loaded)
 
     def _set_max_polls(self, alone: bool) -> None:
         current = self.declarations.current
@@ -299,7 +299,7 @@
         """
         try:
             if not read():
-                self.heartbeats.ask(vm)
+                self.heartbeats.fetch_state(vm)
         finally:
             self._reads_in_progress.discard(read)
 
--- a/packages/mothworks_gateway/tests/gateway_builders.py
+++ b/packages/mothworks_gateway/tests/gateway_builders.py
@@ -3,14 +3,20 @@
 import collections
 
 from mothworks import metrics
-from mothworks_gateway import asked, declared, discovery, registry, settings
+from mothworks_gateway import (
+    caller_request,
+    declaration_types,
+    discovery,
+    registry,
+    settings,
+)
 
 
 class Heartbeats:
     """Stub of the heartbeats of a node."""
 
     def __init__(self):
-        self.on_heartbeat = []
+        self.field_providers = []
         self.on_received = []
 
 
@@ -31,7 +37,7 @@
         return self.parts[part_class]
 
 
-def kernel_with(view, parts=None):
+def kernel_with_registry(view, parts=None):
     """Return a kernel with a registry and further parts.
 
     :param view: the registry.
@@ -57,7 +63,7 @@
     )
 
 
-def endpoint(endpoint_id, service="s", places=10, models=(), data_centre="a"):
+def endpoint(endpoint_id, service="s", batch_slots=10, models=(), data_centre="a"):
     """Return an endpoint that holds some models."""
     adapters_by_model = {name: frozenset() for name in models}
     entry = registry.Entry(
@@ -65,7 +71,7 @@
         service,
         ("10.0.1.1", 80),
         data_centre,
-        places,
+        batch_slots,
         False,
         None,
         adapters_by_model,
@@ -77,26 +83,26 @@
 
 def request(**fields):
     """Return a request for a plain service."""
-    route = declared.Route("r", "h", "/", (declared.Share("s"),))
+    route = declaration_types.Route("r", "h", "/", (declaration_types.Share("s"),))
     values = {
         "id": "q-1",
         "route": route,
-        "target": asked.Target("s"),
+        "target": caller_request.Target("s"),
         "method": "GET",
         "path": "/",
         "host": "h",
         "headers": (),
         "body": b"",
-        "arrived": 0.0,
+        "received_at": 0.0,
         "deadline": 10.0,
         "declaration_version": 1,
         **fields,
     }
-    return asked.Asked(**values)
+    return caller_request.CallerRequest(**values)
 
 
-class Load:
-    """Stub of the load, with fixed numbers of running requests by endpoint."""
+class RunningRequests:
+    """Stub with fixed numbers of running requests by endpoint."""
 
     def __init__(self, running=()):
         self.running = collections.Counter(dict(running))
--- a/packages/mothworks_gateway/tests/limited_fleet.py
+++ b/packages/mothworks_gateway/tests/limit_simulation.py
@@ -15,24 +15,24 @@
 import virtual_time
 from mothworks import peers
 from mothworks_gateway import (
-    asked,
+    aggregation,
+    caller_request,
     declarations,
     discovery,
     endpoint_limits,
-    evidence,
+    error_rates,
     feeding,
     fleet_size,
-    gathering,
     health,
     heartbeat,
     lease,
-    load,
     owners,
     registry,
-    seen_answers,
+    running_requests,
     send_slots,
     shared_budgets,
-    windows,
+    shared_health,
+    sliding_windows,
 )
 
 #: Time from a request's arrival at its endpoint to the head of its answer, seconds.
@@ -93,24 +93,24 @@
             discovery.Discovery: types.SimpleNamespace(
                 registry=fleet.registry_view, changed_at=1
             ),
-            feeding.Feeding: None,
+            feeding.FeedFollowers: None,
         }
-        kernel = fleet_builders.kernel_of(name, fleet.names, fleet.wire, parts)
-        kernel.parts[peers.Peers] = test_credit.Peers(name, fleet.wire, fleet.names)
+        kernel = fleet_builders.make_kernel(name, fleet.names, fleet.network, parts)
+        kernel.parts[peers.Peers] = test_credit.Peers(name, fleet.network, fleet.names)
         kernel.parts[heartbeat.Heartbeats] = self.heartbeats = heartbeat.Heartbeats(
             kernel
         )
         for part_class in (
-            load.Load,
+            running_requests.RunningRequests,
             health.Health,
-            evidence.Evidence,
+            shared_health.SharedHealth,
             owners.Owners,
             fleet_size.FleetSize,
             shared_budgets.SharedBudgets,
         ):
             kernel.parts[part_class] = part_class(kernel)
-        self.limits = fleet_builders.add_limits(kernel)
-        for part_class in (gathering.Gathering, send_slots.SendSlots):
+        self.limits = fleet_builders.add_endpoint_limits(kernel)
+        for part_class in (aggregation.Aggregation, send_slots.SendSlots):
             kernel.parts[part_class] = part_class(kernel)
         self.kernel = kernel
         self.slots = kernel.get(send_slots.SendSlots)
@@ -126,20 +126,20 @@
     def __init__(self, monkeypatch, count, endpoints=1, seed=1):
         modules = (
             endpoint_limits,
-            gathering,
+            aggregation,
             health,
-            load,
+            running_requests,
             owners,
             heartbeat,
-            seen_answers,
+            error_rates,
             send_slots,
             shared_budgets,
-            windows,
+            sliding_windows,
         )
         self.clock = virtual_time.Clock(monkeypatch, *modules)
         self.rng = random.Random(seed)
         random.seed(seed)
-        self.wire = test_credit.Wire()
+        self.network = test_credit.Network()
         self.registry_view = registry.Registry()
         # The revision in all heartbeats, so that no VM requests missing updates.
         self.registry_view.cursor = 1
@@ -149,7 +149,7 @@
         self.registry_view.by_id = {
             item.registered.id: item.registered for item in self.endpoints
         }
-        self.names = fleet_builders.names_of(count)
+        self.names = fleet_builders.vm_names(count)
         self.vm_by_name = {name: Vm(name, self) for name in self.names}
         self.scheduled = []
         self.sequence = itertools.count()
@@ -189,12 +189,12 @@
 
     def send_heartbeats(self):
         for name in self.rng.sample(self.names, len(self.names)):
-            if name not in self.wire.down:
+            if name not in self.network.down:
                 self.vm_by_name[name].heartbeats.send()
 
     def send_request(self, vms=None):
         """Send one caller's request to a random VM."""
-        live_vms = [vm for vm in vms or self.names if vm not in self.wire.down]
+        live_vms = [vm for vm in vms or self.names if vm not in self.network.down]
         self.process_request(self.rng.choice(live_vms), self.now)
 
     def process_request(self, name, requested_at):
@@ -210,11 +210,13 @@
             case result.Err(at_limit):
                 self.refusals.append((self.now, at_limit))
 
-    def acquire(self, name: str, request: asked.Asked, ranked, max_wait_s):
+    def acquire(
+        self, name: str, request: caller_request.CallerRequest, ranked, max_wait_s
+    ):
         return self.vm_by_name[name].slots.acquire(request, ranked, max_wait_s)
 
     def send(self, name, slot, requested_at):
-        if name in self.wire.down:
+        if name in self.network.down:
             return
         if not self.vm_by_name[name].slots.wait(slot):
             self.process_request(name, requested_at)
@@ -232,32 +234,32 @@
         )
 
     def deliver_answer(self, name, endpoint, per_s, sent_at):
-        if name not in self.wire.down:
+        if name not in self.network.down:
             limits = self.vm_by_name[name].limits
             limits.observe(endpoint.registered, per_s, sent_at, "q-1")
 
     def stop_vms(self, names):
         """Stop VMs without notice."""
-        self.wire.down |= set(names)
+        self.network.down |= set(names)
 
     def start_vms(self, names):
         """Start VMs without any state."""
         for name in names:
             self.vm_by_name[name] = Vm(name, self)
-            self.wire.down.discard(name)
+            self.network.down.discard(name)
 
     def partition(self, names):
         """Cut off some VMs from all others; they reach each other and the endpoints."""
         for name in names:
-            self.wire.group_by_vm[name] = 1
+            self.network.group_by_vm[name] = 1
 
     def end_partition(self):
-        self.wire.group_by_vm.clear()
+        self.network.group_by_vm.clear()
 
     def update_membership(self):
         """Update the membership of all VMs by who reaches whom."""
         for name, vm in self.vm_by_name.items():
-            fleet_builders.notice(vm.kernel, name, self.names, self.wire)
+            fleet_builders.update_membership(vm.kernel, name, self.names, self.network)
 
     def owner_of(self, endpoint):
         slots = self.vm_by_name[self.names[0]].slots
--- a/packages/mothworks_gateway/tests/limit_ways.py
+++ b/packages/mothworks_gateway/tests/limit_strategies.py
@@ -8,15 +8,15 @@
 import pytest
 import result
 
-import limited_fleet
-from mothworks_gateway import bucket, client_accounts, send_slots
+import limit_simulation
+from mothworks_gateway import client_accounts, send_slots, token_bucket
 
 #: Requested rate as a multiple of the limit.
 OVERLOAD_FACTOR = 6.0
 WARM_UP_S, RUN_S = 4.0, 12.0
 
 
-class PerVmLimit(limited_fleet.Fleet):
+class PerVmLimit(limit_simulation.Fleet):
     """Each VM enforces the whole limit on its own, without an owner."""
 
     def __init__(self, *args, **fields):
@@ -31,15 +31,15 @@
         per_s = self.vm_by_name[name].limits.per_s(endpoint.id)
         if per_s is None:
             return result.Ok(send_slots.SendSlot(endpoint))
-        cap = client_accounts.UsageCap(per_s, send_slots.BURST).part(
+        cap = client_accounts.UsageCap(per_s, send_slots.BURST).scaled(
             self.share_per_vm()
         )
         now = self.clock.monotonic()
-        limit_bucket = self.bucket_by_key.setdefault(
-            (name, cap), bucket.Bucket(cap, now)
+        bucket = self.bucket_by_key.setdefault(
+            (name, cap), token_bucket.TokenBucket(cap, now)
         )
-        wait_s = limit_bucket.wait_s(1, now)
-        retry_after_s = limit_bucket.take(1, now, max_wait_s)
+        wait_s = bucket.wait_s(1, now)
+        retry_after_s = bucket.acquire(1, now, max_wait_s)
         if retry_after_s:
             return result.Err(
                 send_slots.AtLimit(endpoint, per_s, 0.0, retry_after_s, "")
@@ -54,14 +54,14 @@
         return 1.0 / len(self.names)
 
 
-class NoQueue(limited_fleet.Fleet):
+class NoQueue(limit_simulation.Fleet):
     """The owner grants slots at once or refuses them, so that no request waits."""
 
     def acquire(self, name, request, ranked, max_wait_s):
         return super().acquire(name, request, ranked, 0.0)
 
 
-class LongQueue(limited_fleet.Fleet):
+class LongQueue(limit_simulation.Fleet):
     """The owner's queue is as long in a lasting overload as in a burst."""
 
     def __init__(self, monkeypatch, *args, **fields):
@@ -74,7 +74,7 @@
     "equal shares": EqualShares,
     "an owner, no queue": NoQueue,
     "an owner, a queue": LongQueue,
-    "an owner, a queue that overload shortens": limited_fleet.Fleet,
+    "an owner, a queue that overload shortens": limit_simulation.Fleet,
 }
 
 
--- a/packages/mothworks_gateway/tests/test_gathering.py
+++ b/packages/mothworks_gateway/tests/test_aggregation.py
@@ -1,4 +1,4 @@
-"""Gathering: all VMs know what runs at each endpoint, the holder knows all demand.
+"""Aggregation: all VMs know what runs at each endpoint, the holder knows all demand.
 
 Simulates 195 VMs and 59 endpoints that run ten requests each, in virtual time. Each VM
 sends one or two requests a second, so none sees enough by itself.
@@ -13,25 +13,25 @@
 import fleet_builders
 import gateway_builders
 from mothworks_gateway import (
-    asked,
+    aggregation,
+    caller_request,
     collectors,
     declarations,
     discovery,
-    evidence,
+    error_rates,
     feeding,
-    gathering,
     health,
     heartbeat,
     lease,
-    load,
     ranking,
     registry,
-    seen_answers,
+    running_requests,
+    shared_health,
 )
 
 VMS = 195
 ENDPOINTS = [gateway_builders.endpoint(f"i-{number}") for number in range(59)]
-MODEL = asked.Target("s", "m")
+MODEL = caller_request.Target("s", "m")
 
 
 class Clock:
@@ -39,7 +39,7 @@
 
     def __init__(self, monkeypatch):
         self.now = 100.0
-        for module in (gathering, health, load, heartbeat, seen_answers):
+        for module in (aggregation, health, running_requests, heartbeat, error_rates):
             monkeypatch.setattr(module, "time", self)
 
     def monotonic(self):
@@ -47,7 +47,7 @@
 
 
 class Vm:
-    """One VM with heartbeats, load and gathering, without network."""
+    """One VM with heartbeats, running requests and aggregation, without network."""
 
     def __init__(self, name, fleet):
         self.held = False
@@ -60,20 +60,22 @@
             lease.Lease: holder,
             declarations.Declarations: types.SimpleNamespace(version=1),
             discovery.Discovery: types.SimpleNamespace(registry=view, changed_at=1),
-            feeding.Feeding: None,
+            feeding.FeedFollowers: None,
         }
-        kernel = fleet_builders.kernel_of(name, fleet.names, fleet.wire, parts)
+        kernel = fleet_builders.make_kernel(name, fleet.names, fleet.network, parts)
         kernel.parts[heartbeat.Heartbeats] = self.heartbeats = heartbeat.Heartbeats(
             kernel
         )
-        self.heartbeats.on_heartbeat.append(
+        self.heartbeats.field_providers.append(
             lambda: {"fence": 3 * (fleet.holder == name)}
         )
-        kernel.parts[load.Load] = self.load = load.Load(kernel)
+        kernel.parts[running_requests.RunningRequests] = self.running_requests = (
+            running_requests.RunningRequests(kernel)
+        )
         kernel.parts[health.Health] = self.health = health.Health(kernel)
-        kernel.parts[evidence.Evidence] = evidence.Evidence(kernel)
-        fleet_builders.add_limits(kernel)
-        self.gathering = gathering.Gathering(kernel)
+        kernel.parts[shared_health.SharedHealth] = shared_health.SharedHealth(kernel)
+        fleet_builders.add_endpoint_limits(kernel)
+        self.aggregation = aggregation.Aggregation(kernel)
         #: Number of arrived requests in all heartbeats that this VM received.
         self.arrived_count = 0
         self.heartbeats.on_received.append(self.count)
@@ -88,27 +90,27 @@
     def __init__(self, monkeypatch, count=VMS):
         self.clock = Clock(monkeypatch)
         self.random = random.Random(count)
-        self.wire = fleet_builders.Wire()
-        self.names = fleet_builders.names_of(count)
+        self.network = fleet_builders.Network()
+        self.names = fleet_builders.vm_names(count)
         self.holder = ""
         self.vm_by_name = {name: Vm(name, self) for name in self.names}
-        any_vm = self.vm_by_name[self.names[0]].gathering
+        any_vm = self.vm_by_name[self.names[0]].aggregation
         self.collectors = collectors.select(any_vm.ranking.vms)
         self.holder = self.collectors[0]
         self.running_by_endpoint = collections.Counter()
 
     def begin(self, name, endpoint):
-        self.vm_by_name[name].load.begin(endpoint, MODEL)
-        self.vm_by_name[name].load.arrived[MODEL] += 1.0
+        self.vm_by_name[name].running_requests.request_started(endpoint, MODEL)
+        self.vm_by_name[name].running_requests.arrived[MODEL] += 1.0
         self.running_by_endpoint[endpoint.id] += 1
 
     def run(self, seconds):
-        for _ in range(round(seconds / heartbeat.HEARTBEAT_S)):
-            self.clock.now += heartbeat.HEARTBEAT_S
+        for _ in range(round(seconds / heartbeat.INTERVAL_S)):
+            self.clock.now += heartbeat.INTERVAL_S
             for name in self.random.sample(self.names, len(self.names)):
-                if name not in self.wire.down:
+                if name not in self.network.down:
                     self.vm_by_name[name].heartbeats.send()
-                    self.vm_by_name[name].load._expire()
+                    self.vm_by_name[name].running_requests._expire()
 
     def fill(self):
         """Start ten requests at each endpoint, each from a random VM."""
@@ -118,7 +120,7 @@
 
     def count_error(self, name):
         """Return by how many requests a VM's view of all endpoints is wrong."""
-        view = self.vm_by_name[name].load
+        view = self.vm_by_name[name].running_requests
         return sum(
             abs(view.of_endpoint(item.id) - self.running_by_endpoint[item.id])
             for item in ENDPOINTS
@@ -172,8 +174,8 @@
     fleet.fill()
     fleet.run(1)
     failed = fleet.collectors[3]
-    fleet.wire.down.add(failed)
-    lost_requests = fleet.vm_by_name[failed].load.running.by_endpoint
+    fleet.network.down.add(failed)
+    lost_requests = fleet.vm_by_name[failed].running_requests.running.by_endpoint
     fleet.running_by_endpoint -= lost_requests
     fleet.run(collectors.TOTALS_TIMEOUT_S + heartbeat.STALE_S + 1.0)
     living = set(fleet.names) - {failed}
@@ -186,9 +188,9 @@
     # sends to 8 others and about 24 VMs.
     fleet = Fleet(monkeypatch)
     fleet.run(2)
-    fleet.wire.sent_by_vm.clear()
+    fleet.network.sent_by_vm.clear()
     fleet.run(1)
-    sent = fleet.wire.sent_by_vm
+    sent = fleet.network.sent_by_vm
     sent_by_non_collectors = [
         sent[name] for name in fleet.names if name not in fleet.collectors
     ]
@@ -202,7 +204,7 @@
     name = next(vm for vm in fleet.names if vm not in fleet.collectors)
     for _ in range(3):
         fleet.begin(name, ENDPOINTS[0])
-    assert fleet.vm_by_name[name].load.of_endpoint("i-0") == 3
+    assert fleet.vm_by_name[name].running_requests.of_endpoint("i-0") == 3
 
 
 def set_members(view, near):
@@ -218,7 +220,7 @@
     # reported to no collector, received no totals, and tried to acquire the lease.
     fleet = Fleet(monkeypatch)
     name = next(vm for vm in fleet.names if vm not in fleet.collectors)
-    view = fleet.vm_by_name[name].gathering.membership
+    view = fleet.vm_by_name[name].aggregation.membership
     all_near = view.near()
     set_members(view, all_near[:17])
     monkeypatch.setattr(collectors, "MIN_COLLECTORS", 18)
@@ -227,7 +229,7 @@
     fleet.clock = Clock(monkeypatch)
     set_members(view, all_near)
     fleet.run(1)
-    assert fleet.vm_by_name[name].load.totals is not None
+    assert fleet.vm_by_name[name].running_requests.totals is not None
     assert fleet.vm_by_name[name].heartbeats.fresh()[fleet.holder].fence == 3
 
 
@@ -242,20 +244,20 @@
     :returns: pairs of a VM and an endpoint's id that the VM passed over at any time.
     """
     passed_over = set()
-    for _ in range(round(seconds / heartbeat.HEARTBEAT_S)):
+    for _ in range(round(seconds / heartbeat.INTERVAL_S)):
         for _ in range(25):
             health_part = fleet.vm_by_name[fleet.random.choice(fleet.names)].health
             endpoint = fleet.random.choice(LOOKUPS)
             if fleet.random.random() < (error_share if endpoint in failing else 0.004):
-                health_part.failed(endpoint, "status 500", 0.5)
+                health_part.record_failure(endpoint, "status 500", 0.5)
             else:
-                health_part.succeeded(endpoint, 0.05)
-        fleet.run(heartbeat.HEARTBEAT_S)
+                health_part.record_success(endpoint, 0.05)
+        fleet.run(heartbeat.INTERVAL_S)
         passed_over |= {
             (name, endpoint.id)
             for name in fleet.names
             for endpoint in LOOKUPS
-            if endpoint not in fleet.vm_by_name[name].health.usable(LOOKUPS)
+            if endpoint not in fleet.vm_by_name[name].health.healthy(LOOKUPS)
         }
     return passed_over
 
@@ -297,12 +299,12 @@
     fleet = fleet_with_lookups(monkeypatch, VMS)
     isolated = fleet.vm_by_name[fleet.names[7]]
     for _ in range(20):
-        isolated.health.failed(LOOKUPS[0], "timed out")
+        isolated.health.record_failure(LOOKUPS[0], "timed out")
     # Shorter than the minimum time for which an endpoint is passed over.
     fleet.run(0.5)
-    assert LOOKUPS[0] not in isolated.health.usable(LOOKUPS)
+    assert LOOKUPS[0] not in isolated.health.healthy(LOOKUPS)
     others = [fleet.vm_by_name[name] for name in fleet.names if name != fleet.names[7]]
-    assert all(LOOKUPS[0] in vm.health.usable(LOOKUPS) for vm in others)
+    assert all(LOOKUPS[0] in vm.health.healthy(LOOKUPS) for vm in others)
 
 
 def test_the_ranking_is_computed_once_per_membership_change(monkeypatch):
@@ -318,7 +320,7 @@
     )
     fleet.run(2)
     assert computed_keys == []
-    part = fleet.vm_by_name[fleet.names[0]].gathering
+    part = fleet.vm_by_name[fleet.names[0]].aggregation
     set_members(part.membership, part.membership.near()[1:])
     assert len(part.ranking.vms) == VMS - 1
     assert len(computed_keys) == VMS - 1
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -19,26 +19,26 @@
 import virtual_time
 from mothworks import messages, peers
 from mothworks_gateway import (
-    bucket,
+    aggregation,
     client_accounts,
     credit,
     declarations,
     discovery,
-    evidence,
+    error_rates,
     feeding,
     fleet_size,
     freshness,
-    gathering,
     health,
     heartbeat,
     lease,
-    load,
     owners,
     registry,
-    seen_answers,
+    running_requests,
     settings,
     shared_budgets,
-    windows,
+    shared_health,
+    sliding_windows,
+    token_bucket,
 )
 
 BOUNDS = settings.Bounds(cap_window_s=8.0, cap_over=0.1, cap_slack=17_000.0)
@@ -61,19 +61,21 @@
 
     def call(self, vm, message, timeout_s):
         replies = []
-        if not {vm, self.name} & self.wire.down and not self.wire.cuts(self.name, vm):
+        if not {vm, self.name} & self.network.down and not self.network.cuts(
+            self.name, vm
+        ):
             received, _ = messages.unpack(
                 messages.msgpack.unpackb(messages.pack(message))
             )
-            handler = self.wire.peers_by_vm[vm].handler_by_class[type(received)]
+            handler = self.network.peers_by_vm[vm].handler_by_class[type(received)]
             handler(self.name, received, replies.append)
         if not replies:
             return result.Err(peers.PeerFailure(vm, "no reply in time", True))
         return result.Ok(replies[0])
 
 
-class Wire(fleet_builders.Wire):
-    """A wire between groups of VMs; VMs of different groups cannot reach each other."""
+class Network(fleet_builders.Network):
+    """A network of groups of VMs; VMs of different groups cannot reach each other."""
 
     def __init__(self):
         super().__init__()
@@ -82,9 +84,9 @@
     def cuts(self, one, other):
         return self.group_by_vm[one] != self.group_by_vm[other]
 
-    def carry(self, sender, receiver, frame):
+    def deliver(self, sender, receiver, frame):
         if not self.cuts(sender, receiver):
-            super().carry(sender, receiver, frame)
+            super().deliver(sender, receiver, frame)
 
 
 class Freshness:
@@ -97,12 +99,12 @@
     def age_s(self):
         return self.fleet.age_s(self.name)
 
-    def shared_by_all(self):
+    def is_fleet_wide(self):
         return False
 
 
 class Vm:
-    """One VM with heartbeats, gathering and credit, without network."""
+    """One VM with heartbeats, aggregation and credit, without network."""
 
     def __init__(self, name, fleet):
         view = registry.Registry()
@@ -114,25 +116,27 @@
                 version=1, current=types.SimpleNamespace(accounts=fleet.accounts)
             ),
             discovery.Discovery: types.SimpleNamespace(registry=view, changed_at=1),
-            feeding.Feeding: None,
+            feeding.FeedFollowers: None,
             freshness.Freshness: Freshness(fleet, name),
         }
-        kernel = fleet_builders.kernel_of(name, fleet.names, fleet.wire, parts)
+        kernel = fleet_builders.make_kernel(name, fleet.names, fleet.network, parts)
         kernel.settings = gateway_builders.make_settings(name=name, bounds=BOUNDS)
-        kernel.parts[peers.Peers] = Peers(name, fleet.wire, fleet.names)
+        kernel.parts[peers.Peers] = Peers(name, fleet.network, fleet.names)
         kernel.parts[heartbeat.Heartbeats] = self.heartbeats = heartbeat.Heartbeats(
             kernel
         )
-        kernel.parts[load.Load] = load.Load(kernel)
+        kernel.parts[running_requests.RunningRequests] = (
+            running_requests.RunningRequests(kernel)
+        )
         kernel.parts[health.Health] = health.Health(kernel)
-        kernel.parts[evidence.Evidence] = evidence.Evidence(kernel)
+        kernel.parts[shared_health.SharedHealth] = shared_health.SharedHealth(kernel)
         kernel.parts[owners.Owners] = owners.Owners(kernel)
         kernel.parts[fleet_size.FleetSize] = fleet_size.FleetSize(kernel)
         kernel.parts[shared_budgets.SharedBudgets] = shared_budgets.SharedBudgets(
             kernel
         )
-        fleet_builders.add_limits(kernel)
-        self.gathering = gathering.Gathering(kernel)
+        fleet_builders.add_endpoint_limits(kernel)
+        self.aggregation = aggregation.Aggregation(kernel)
         self.credits = credit.Credits(kernel)
 
 
@@ -147,24 +151,24 @@
         modules = (
             credit,
             owners,
-            gathering,
+            aggregation,
             health,
-            load,
+            running_requests,
             heartbeat,
-            seen_answers,
+            error_rates,
             shared_budgets,
-            windows,
+            sliding_windows,
         )
         self.clock = virtual_time.Clock(monkeypatch, *modules)
         self.random = random.Random(seed)
         # The reserve depends on a random draw.
         random.seed(seed)
-        self.wire = Wire()
+        self.network = Network()
         self.cut_at_by_vm = {}
         self.accounts = client_accounts.Accounts(
             {name: account(name, per_s) for name, per_s in caps.items()}
         )
-        self.names = fleet_builders.names_of(count)
+        self.names = fleet_builders.vm_names(count)
         self.vm_by_name = {name: Vm(name, self) for name in self.names}
         self.granted = collections.defaultdict(list)
         self.refused = collections.Counter()
@@ -178,13 +182,15 @@
     def cut(self, names):
         """Cut some VMs off from all others; they still reach each other."""
         for name in names:
-            self.wire.group_by_vm[name] = 1
+            self.network.group_by_vm[name] = 1
             self.cut_at_by_vm[name] = self.clock.now
 
     def notice(self):
         """Update every VM's membership to the VMs that it reaches."""
         for name, vm in self.vm_by_name.items():
-            fleet_builders.notice(vm.credits.kernel, name, self.names, self.wire)
+            fleet_builders.update_membership(
+                vm.credits.kernel, name, self.names, self.network
+            )
 
     def owner(self, name):
         return self.vm_by_name[self.names[0]].credits.budgets.owners.ranked(
@@ -211,7 +217,7 @@
 
     def send_heartbeats(self):
         for name in self.random.sample(self.names, len(self.names)):
-            if name not in self.wire.down:
+            if name not in self.network.down:
                 self.vm_by_name[name].heartbeats.send()
 
     def request(self, name, vms=None):
@@ -225,18 +231,20 @@
             self.refused[name] += 1
 
     def admit(self, vm, name, units):
-        admitted = self.vm_by_name[vm].credits.admit(self.accounts.by_name[name], units)
+        admitted = self.vm_by_name[vm].credits.acquire(
+            self.accounts.by_name[name], units
+        )
         if admitted.is_ok():
             self.granted[name].append((self.clock.now, units))
         return admitted
 
     @property
     def down(self):
-        return self.wire.down
+        return self.network.down
 
     def worst_window(self, name):
         """Return the highest usage in a window, relative to what is tolerated."""
-        allowed = self.accounts.by_name[name].cap.most_in(8.0) * 1.1 + 17_000.0
+        allowed = self.accounts.by_name[name].cap.max_units(8.0) * 1.1 + 17_000.0
         granted = self.granted[name]
         first, used, worst_window = 0, 0.0, 0.0
         for at, units in granted:
@@ -345,13 +353,13 @@
     fleet = Fleet(monkeypatch, 60, {"small": SMALL})
     requester = fleet.names[5]
     grant = fleet.admit(requester, "small", 4000.0).unwrap()
-    fleet.vm_by_name[requester].credits.give_back(grant)
+    fleet.vm_by_name[requester].credits.refund(grant)
     fleet.send_heartbeats()
     fleet.send_heartbeats()
     for name in fleet.vm_by_name[requester].credits.budgets.owners.candidates():
-        account_bucket = fleet.vm_by_name[name].credits._bucket("small")
-        account_bucket.note(0.0, fleet.clock.monotonic())
-        assert account_bucket.level == pytest.approx(SMALL)
+        bucket = fleet.vm_by_name[name].credits._bucket("small")
+        bucket.debit(0.0, fleet.clock.monotonic())
+        assert bucket.level == pytest.approx(SMALL)
 
 
 def test_all_candidates_account_for_all_grants(monkeypatch):
@@ -362,9 +370,9 @@
     fleet.send_heartbeats()
     levels = set()
     for name in fleet.vm_by_name[fleet.names[0]].credits.budgets.owners.candidates():
-        account_bucket = fleet.vm_by_name[name].credits._bucket("small")
-        account_bucket.note(0.0, fleet.clock.monotonic())
-        levels.add(round(account_bucket.level))
+        bucket = fleet.vm_by_name[name].credits._bucket("small")
+        bucket.debit(0.0, fleet.clock.monotonic())
+        levels.add(round(bucket.level))
     assert len(levels) == 1
 
 
@@ -390,9 +398,9 @@
     monkeypatch.setattr(credits_part.budgets.owners, "ranked", lambda _: ["vm-60"])
     fleet.clock.advance(1.0)
     large = fleet.accounts.by_name["large"]
-    assert credits_part.admit(large, 500.0).err() == credit.Unchecked()
+    assert credits_part.acquire(large, 500.0).err() == credit.Unchecked()
     fleet.clock.advance(1.0)
-    assert credits_part.admit(large, 500.0).is_ok()
+    assert credits_part.acquire(large, 500.0).is_ok()
 
 
 def test_a_vm_without_an_owner_uses_its_reserve(monkeypatch):
@@ -430,8 +438,8 @@
 
 def test_an_account_has_a_bucket(monkeypatch):
     fleet = Fleet(monkeypatch, 1, {"small": SMALL})
-    account_bucket = fleet.vm_by_name["vm-0"].credits._bucket("small")
-    assert isinstance(account_bucket, bucket.Bucket)
+    bucket = fleet.vm_by_name["vm-0"].credits._bucket("small")
+    assert isinstance(bucket, token_bucket.TokenBucket)
 
 
 # Guards against a partition whose two sides both reach the platform: declarations stay
--- a/packages/mothworks_gateway/tests/test_endpoint_limits.py
+++ b/packages/mothworks_gateway/tests/test_endpoint_limits.py
@@ -24,7 +24,7 @@
         self.view = registry.Registry()
         self.endpoint = gateway_builders.endpoint("i-1")
         self.view.by_id = {"i-1": self.endpoint}
-        self.wire = fleet_builders.Wire()
+        self.network = fleet_builders.Network()
         self.limits_here = self._limits_of("vm-0")
         self.limits_there = self._limits_of("vm-1")
 
@@ -33,8 +33,8 @@
             discovery.Discovery: types.SimpleNamespace(registry=self.view),
             heartbeat.Heartbeats: gateway_builders.Heartbeats(),
         }
-        kernel = fleet_builders.kernel_of(name, ["vm-0", "vm-1"], self.wire, parts)
-        return fleet_builders.add_limits(kernel)
+        kernel = fleet_builders.make_kernel(name, ["vm-0", "vm-1"], self.network, parts)
+        return fleet_builders.add_endpoint_limits(kernel)
 
     def answer(self, per_s, sent_at, received_at, ran=True):
         """Simulate an answer; times are seconds since the start of the test."""
@@ -102,7 +102,7 @@
 def test_a_limit_is_removed_with_its_endpoint(limits):
     limits.answer(2.0, 0.1, 0.2)
     limits.view.by_id = {}
-    limits.view.changed()
+    limits.view.notify_changed()
     assert limits.per_s is None
 
 
@@ -121,7 +121,7 @@
     limits.answer(2.0, 0.3, 0.4)
     (row,) = limits.limits_here._heartbeat_fields()["limits"]
     started_later = limits._limits_of("vm-1")
-    started_later.receive([row], "vm-0")
+    started_later.merge([row], "vm-0")
     assert started_later.per_s("i-1") == 2.0
     assert limits.limits_here._heartbeat_fields()["limits"] == ()
 
@@ -130,8 +130,8 @@
     newest = endpoint_limits.NewestLimits()
     newest.add([("i-1", 2.0, 0.5, 0.4), ("i-2", 1.0, 0.1, 0.0)], now=10.0)
     newest.add([("i-1", None, 0.2, 0.1), ("i-2", 3.0, 0.6, 0.5)], now=10.0)
-    rows = {row[0]: row for row in newest.take(now=11.0)}
+    rows = {row[0]: row for row in newest.drain(now=11.0)}
     assert rows["i-1"][1] is None
     assert rows["i-1"][2] == pytest.approx(1.2)
     assert rows["i-2"][1] == 1.0
-    assert newest.take(now=11.0) == ()
+    assert newest.drain(now=11.0) == ()
--- a/packages/mothworks_gateway/tests/test_choice.py
+++ b/packages/mothworks_gateway/tests/test_endpoint_selection.py
@@ -1,23 +1,34 @@
-"""Endpoint selection: a shared prompt goes to one endpoint, unless it is full."""
+"""Endpoint selection: a shared prompt goes to one endpoint, unless it is busier."""
 
 import gateway_builders
-from mothworks_gateway import asked, choice, health, load, registry
+from mothworks_gateway import (
+    caller_request,
+    endpoint_selection,
+    health,
+    registry,
+    running_requests,
+)
 
 
 class Health:
-    def usable(self, candidates):
+    def healthy(self, candidates):
         return candidates
 
 
 def make_selection(endpoints, running=()):
     view = registry.Registry()
     view.by_id = {item.id: item for item in endpoints}
-    parts = {health.Health: Health(), load.Load: gateway_builders.Load(running)}
-    return choice.EndpointSelection(gateway_builders.kernel_with(view, parts))
+    parts = {
+        health.Health: Health(),
+        running_requests.RunningRequests: gateway_builders.RunningRequests(running),
+    }
+    return endpoint_selection.EndpointSelection(
+        gateway_builders.kernel_with_registry(view, parts)
+    )
 
 
 def prompt(*ids):
-    return tuple(asked.PromptPart(part, 100) for part in ids)
+    return tuple(caller_request.PromptPart(part, 100) for part in ids)
 
 
 def test_requests_that_share_a_prompt_go_to_one_endpoint():
@@ -31,7 +42,7 @@
     assert len(first_ids) == 1
 
 
-def test_a_full_preferred_endpoint_is_not_the_first_choice():
+def test_a_busier_preferred_endpoint_is_not_the_first_choice():
     endpoints = [gateway_builders.endpoint(f"i-{n}") for n in range(2)]
     request = gateway_builders.request(prompt=prompt("a", "own"))
     preferred = make_selection(endpoints).candidates(request).ready[0]
@@ -44,7 +55,7 @@
         gateway_builders.endpoint("i-1", models=("m",)),
         gateway_builders.endpoint("i-2", models=("n",)),
     ]
-    target = asked.Target("s", "m")
+    target = caller_request.Target("s", "m")
     candidates = make_selection(endpoints).candidates(
         gateway_builders.request(target=target)
     )
@@ -64,18 +75,18 @@
 
 def test_a_leaving_endpoint_is_no_candidate():
     leaving, staying = [gateway_builders.endpoint(f"i-{n}") for n in range(2)]
-    leaving.dismissed = "it leaves"
+    leaving.exclusion_reason = "it leaves"
     candidates = make_selection([leaving, staying]).candidates(
         gateway_builders.request()
     )
     assert candidates.all == (staying,)
 
 
-def test_a_large_batch_does_not_hide_a_full_endpoint():
+def test_a_large_batch_does_not_hide_a_busier_endpoint():
     # Endpoints have 96 batch slots, and the prefill of a dozen prompts keeps one busy.
     # One that ran nine requests more than the other, a tenth of its slots, still
     # received all requests that share a prompt, and all of their streams stalled.
-    endpoints = [gateway_builders.endpoint(f"i-{n}", places=96) for n in range(2)]
+    endpoints = [gateway_builders.endpoint(f"i-{n}", batch_slots=96) for n in range(2)]
     request = gateway_builders.request(prompt=prompt("a", "own"))
     preferred = make_selection(endpoints).candidates(request).ready[0]
     selection = make_selection(endpoints, {preferred.id: 9})
--- a/packages/mothworks_gateway/tests/test_feed_reports.py
+++ b/packages/mothworks_gateway/tests/test_feed_reports.py
@@ -23,7 +23,7 @@
 def reports(clock, monkeypatch):
     monkeypatch.setattr(plugins, "find", lambda *_: lambda *_: None)
     kernel = gateway_builders.Kernel({})
-    kernel.parts[feeding.Feeding] = feeding.Feeding(kernel)
+    kernel.parts[feeding.FeedFollowers] = feeding.FeedFollowers(kernel)
     part = feed_reports.FeedReports(kernel)
     part.feeding.add(feeding.Follower("declarations", None, None, None))
     return part
@@ -65,7 +65,7 @@
 
 
 def test_a_feed_that_other_vms_follow_is_not_logged_as_stale(reports, clock):
-    reports.feeding.follower_by_name["declarations"].follow(False)
+    reports.feeding.follower_by_name["declarations"].set_followed(False)
     clock.advance(60)
     assert report(reports) == []
 
@@ -73,7 +73,7 @@
 def test_a_stale_feed_that_is_left_to_others_does_not_count_as_answered(reports, clock):
     clock.advance(STALE_S + 1)
     report(reports)
-    reports.feeding.follower_by_name["declarations"].follow(False)
+    reports.feeding.follower_by_name["declarations"].set_followed(False)
     [line] = report(reports)
     assert line.outcome == "left to others"
 
@@ -83,15 +83,15 @@
     report(reports)
     assert gauge_value(reports.unanswered_seconds) == 0.25
     assert gauge_value(reports.followed) == 1
-    reports.feeding.follower_by_name["declarations"].follow(False)
+    reports.feeding.follower_by_name["declarations"].set_followed(False)
     report(reports)
     assert gauge_value(reports.followed) == 0
 
 
 def test_an_expired_history_counts_as_an_answer(clock):
     class Feed:
-        def wait(self, cursor, wait_s):
-            return feeding.result.Err(adapters.FeedExpired())
+        def poll(self, cursor, wait_s):
+            return feeding.result.Err(adapters.CursorExpired())
 
     follower = feeding.Follower("declarations", Feed(), None, None)
     clock.advance(5)
--- a/packages/mothworks_gateway/tests/test_moving_demand.py
+++ b/packages/mothworks_gateway/tests/test_moving_demand.py
@@ -11,7 +11,7 @@
 import pytest
 
 import scheduling_builders
-from mothworks_gateway import offers, reading
+from mothworks_gateway import placement_candidates, prefill_speed
 
 TOKENS = 1_800
 PER_S = 33.0
@@ -21,7 +21,7 @@
 @pytest.fixture
 def scheduling(monkeypatch):
     names = ["rising", "fallen", *(f"rare-{number}" for number in range(9))]
-    accelerator = scheduling_builders.accelerator_for(names, batch=96)
+    accelerator = scheduling_builders.accelerator_for(names, batch_slots=96)
     clock = scheduling_builders.Clock(monkeypatch)
     return scheduling_builders.Scheduling(clock, accelerator, HOLDING)
 
@@ -31,13 +31,17 @@
     # each other's prompts while eight endpoints were idle, because further endpoints
     # were added one per second, and each only once the last was full. After two seconds
     # three quarters of the new rate are observed.
-    scheduling.ask("rising", PER_S, TOKENS, seconds=2.0)
-    needed = PER_S * TOKENS / (reading.DEFAULT_TOKENS_PER_S * offers.PREFILL_SHARE)
+    scheduling.send_requests("rising", PER_S, TOKENS, seconds=2.0)
+    needed = (
+        PER_S
+        * TOKENS
+        / (prefill_speed.DEFAULT_TOKENS_PER_S * placement_candidates.PREFILL_SHARE)
+    )
     assert scheduling.holders("rising") >= 0.75 * needed
 
 
 def test_a_model_that_one_endpoint_suffices_for_gets_no_other(scheduling):
-    scheduling.ask("rising", 3.0, TOKENS, seconds=4.0)
+    scheduling.send_requests("rising", 3.0, TOKENS, seconds=4.0)
     assert scheduling.holders("rising") == 1
 
 
@@ -45,25 +49,25 @@
     # Half of the endpoints each: neither evicts the other's replicas again and again,
     # since each load takes seconds.
     for _ in range(16):
-        scheduling.ask("rising", 16.0, TOKENS, seconds=0.25)
-        scheduling.ask("rare-3", 16.0, TOKENS, seconds=0.25)
+        scheduling.send_requests("rising", 16.0, TOKENS, seconds=0.25)
+        scheduling.send_requests("rare-3", 16.0, TOKENS, seconds=0.25)
     assert scheduling.holders("rising") >= 2
     assert scheduling.holders("rare-3") >= 2
 
 
 def test_rarely_requested_models_stay_loaded(scheduling):
-    scheduling.ask("rising", 8.0, TOKENS, seconds=4.0)
+    scheduling.send_requests("rising", 8.0, TOKENS, seconds=4.0)
     assert all(scheduling.holders(f"rare-{number}") for number in range(9))
 
 
 def test_holders_are_determined_anew_in_each_pass(scheduling):
     # Holders are requested thousands of times in a pass and cached for it. An endpoint
     # that unloads its model between two passes must no longer be listed.
-    scheduling.ask("rising", 1.0, TOKENS, seconds=0.25)
+    scheduling.send_requests("rising", 1.0, TOKENS, seconds=0.25)
     assert scheduling.holders("rising") == 1
-    scheduling.sites[0].adapters_by_model.pop("rising")
+    scheduling.states[0].adapters_by_model.pop("rising")
     scheduling.scheduler._schedule(scheduling.declaration)
-    holder = scheduling.sites[0]
+    holder = scheduling.states[0]
     assert holder not in scheduling.placement.holders(
         scheduling_builders.target("rising")
     )
--- a/packages/mothworks_gateway/tests/test_offers.py
+++ b/packages/mothworks_gateway/tests/test_placement_candidates.py
@@ -1,12 +1,12 @@
-"""Placement candidates: which models an endpoint evicts to make room for another."""
+"""Placement candidates: which models an endpoint evicts to free memory for another."""
 
-from mothworks_gateway import offers
+from mothworks_gateway import placement_candidates
 
 
 class EndpointState:
     """Stub of an endpoint state that holds models of given sizes.
 
-    :param memory_mb_by_model: their sizes, MB.
+    :param memory_mb_by_model: their sizes, in thousands of MB.
     """
 
     def __init__(self, **memory_mb_by_model):
@@ -17,9 +17,12 @@
 
 
 def evictions(state, needed_mb, **cost_by_model):
-    options = [offers._Eviction(name, cost) for name, cost in cost_by_model.items()]
+    options = [
+        placement_candidates._Eviction(name, cost)
+        for name, cost in cost_by_model.items()
+    ]
     options.sort(key=lambda eviction: eviction.cost)
-    chosen = offers._select_evictions(state, options, needed_mb)
+    chosen = placement_candidates._select_evictions(state, options, needed_mb)
     return None if chosen is None else [eviction.model for eviction in chosen]
 
 
--- a/packages/mothworks_gateway/tests/test_scheduler.py
+++ b/packages/mothworks_gateway/tests/test_scheduler.py
@@ -6,27 +6,27 @@
 
 import gateway_builders
 from mothworks_gateway import (
-    asked,
+    caller_request,
+    declaration_types,
     declarations,
-    declared,
     demand,
     discovery,
+    endpoint_state,
+    job_execution,
     lease,
-    load,
-    offers,
-    ordering,
+    order_sender,
+    placement_candidates,
     residency,
+    running_requests,
     scheduler,
-    site_orders,
-    sites,
 )
 
-TARGET = asked.Target("s", "m")
-ACCELERATOR = declared.Accelerator(100.0, 8, 32, 10_000, 5.0, {})
+TARGET = caller_request.Target("s", "m")
+ACCELERATOR = declaration_types.Accelerator(100.0, 8, 32, 10_000, 5.0, {})
 
 
 class Demand:
-    """Stub of the demand, without late responses."""
+    """Stub of the demand, without late answers."""
 
     late = types.SimpleNamespace(rate=lambda _: 0.0)
 
@@ -56,22 +56,22 @@
     def build(loaded, loading, running):
         holders = [state(True) for _ in range(loaded)]
         holders += [state(False) for _ in range(loading)]
-        stub = types.SimpleNamespace(on_gained=[], on_waiting=[], follower=None)
+        stub = types.SimpleNamespace(on_acquired=[], on_waiting=[], follower=None)
         parts = dict.fromkeys(
             (
                 lease.Lease,
                 declarations.Declarations,
                 discovery.Discovery,
-                load.Load,
-                ordering.Ordering,
-                site_orders.SiteOrders,
+                running_requests.RunningRequests,
+                job_execution.JobExecutor,
+                order_sender.OrderSender,
                 residency.Residency,
             ),
             stub,
         )
         parts |= {
             demand.Demand: Demand(),
-            offers.Placement: Placement(holders, running),
+            placement_candidates.Placement: Placement(holders, running),
         }
         return scheduler.Scheduler(gateway_builders.Kernel(parts))
 
@@ -80,11 +80,11 @@
 
 def state(loaded):
     models = ("m",) if loaded else ()
-    endpoint_state = sites.EndpointState(
+    loaded_state = endpoint_state.EndpointState(
         gateway_builders.endpoint("i-1", models=models), ACCELERATOR
     )
-    endpoint_state.adapters_by_model = {name: set() for name in models}
-    return endpoint_state
+    loaded_state.adapters_by_model = {name: set() for name in models}
+    return loaded_state
 
 
 def needs_more(part):
@@ -104,7 +104,7 @@
     make_scheduler,
 ):
     # Forty requests run on an endpoint with a batch of 32, and the next endpoint is
-    # ready in four seconds. Until then responses begin 0.3 to 0.8 s late, unless an
+    # ready in four seconds. Until then answers begin 0.3 to 0.8 s late, unless an
     # endpoint with the weights on its disk takes over within a second.
     assert needs_more(make_scheduler(loaded=1, loading=1, running=40))
 
--- a/packages/mothworks_gateway/tests/test_unloads.py
+++ b/packages/mothworks_gateway/tests/test_unloads.py
@@ -8,7 +8,7 @@
 
 import gateway_builders
 import modelled_endpoint
-from mothworks_gateway import registry, site_orders, sites, unload_time
+from mothworks_gateway import endpoint_state, order_sender, registry, unload_time
 
 UNLOAD_S = 0.09
 SWAPS = 12
@@ -21,8 +21,8 @@
         self.now = 100.0
         self.endpoint = endpoint
         self.busy_until = 0.0
-        monkeypatch.setattr(site_orders, "time", self)
-        monkeypatch.setattr(site_orders.gevent, "sleep", self.sleep)
+        monkeypatch.setattr(order_sender, "time", self)
+        monkeypatch.setattr(order_sender.gevent, "sleep", self.sleep)
 
     def monotonic(self):
         return self.now
@@ -39,8 +39,8 @@
     clock = None
     refused = 0
 
-    def order(self, endpoint, order, valid):
-        outcome = super().order(endpoint, order, valid)
+    def order(self, endpoint, order, may_send):
+        outcome = super().order(endpoint, order, may_send)
         if outcome is modelled_endpoint.adapters.OrderOutcome.CONFLICT:
             self.refused += 1
         elif not order.load and not order.adapter:
@@ -59,14 +59,14 @@
 def test_a_load_after_an_unload_is_rarely_refused(endpoint, monkeypatch):
     # Each load was refused at 10, 45 and 100 ms before it was accepted.
     held_lease = modelled_endpoint.Lease()
-    orders = modelled_endpoint.make_site_orders(
+    orders = modelled_endpoint.make_order_sender(
         endpoint, registry.Registry(), modelled_endpoint.Peers(), held_lease
     )
     monkeypatch.setattr(orders, "_wait_until_executed", lambda *_: None)
     refused_by_swap = []
     for _ in range(SWAPS):
         endpoint.start(["one"])
-        state = sites.EndpointState(
+        state = endpoint_state.EndpointState(
             gateway_builders.endpoint("i-1", models=["one"]), endpoint.declared_as
         )
         endpoint.refused = 0
