--- a/packages/mothworks/src/mothworks/attainment.py
+++ b/packages/mothworks/src/mothworks/attainment.py
@@ -34,7 +34,7 @@
     CANCELLED = "cancelled"
 
 
-#: CountKey of a count: urgency class and verdict.
+#: Key of a count: urgency class and verdict.
 CountKey = tuple[str, Verdict]
 
 
@@ -57,11 +57,11 @@
         """Start the task that updates the metrics."""
         self.tasks.every(METRICS_INTERVAL_S, self._update_metrics)
 
-    def ended(
+    def count_answer(
         self,
         request: requests.Request,
         outcome: slots.Outcome,
-        answer_progress: progress.Progress,
+        answer_progress: progress.AnswerProgress,
     ) -> None:
         """Count a request whose response had started.
 
@@ -79,7 +79,7 @@
                 verdict = Verdict.FAILED
         self._count(request, verdict)
 
-    def refused(self, request: requests.Request, ran: bool) -> None:
+    def count_refusal(self, request: requests.Request, ran: bool) -> None:
         """Count a request that received no response from an endpoint.
 
         :param request: the request.
@@ -115,16 +115,22 @@
             self.requests_total.set(labels, count)
 
 
-def _in_target(request: requests.Request, answer_progress: progress.Progress) -> bool:
+def _in_target(
+    request: requests.Request, answer_progress: progress.AnswerProgress
+) -> bool:
     """Return whether a complete response met its caller's targets.
 
     The time to the first token is measured from the request's arrival at this
     VM, so that it includes the time in queues, which callers notice most.
     """
-    if answer_progress.begun > request.first_token_deadline:
+    if answer_progress.caller_first_token_at > request.first_token_deadline:
         return False
-    gaps = answer_progress.events - 1
+    gaps = answer_progress.event_count - 1
     if gaps < 1:
         return True
-    between_ms = (answer_progress.last - answer_progress.begun) * 1000 / gaps
+    between_ms = (
+        (answer_progress.last_token_at - answer_progress.caller_first_token_at)
+        * 1000
+        / gaps
+    )
     return between_ms <= request.caller.between_tokens_ms
--- a/packages/mothworks/src/mothworks/demand.py
+++ b/packages/mothworks/src/mothworks/demand.py
@@ -111,13 +111,13 @@
         return self.rate * self.service_s
 
 
-class Book:
+class DemandAverages:
     """Demand averages of all models and adapters of a region."""
 
     def __init__(self):
         self.averages_by_name: dict[str, Averages] = {}
 
-    def take(self, counts: Counts) -> None:
+    def add_counts(self, counts: Counts) -> None:
         """Add an entry VM's counts to the averages.
 
         :param counts: its report.
@@ -157,21 +157,21 @@
         self.membership = node_kernel.get(membership.Membership)
         self.peers = node_kernel.get(peers.Peers)
         self.count_by_name: dict[str, Count] = {}
-        self.book = Book()
+        self.averages = DemandAverages()
         self.peers.handle(Counts, self._receive)
 
     def start(self) -> None:
         """Start reporting to the planner."""
         self.tasks.every(REPORT_INTERVAL_S, self._report)
 
-    def arrived(self, name: str) -> None:
+    def count_arrival(self, name: str) -> None:
         """Count a request's arrival.
 
         :param name: the model or adapter that it asks for.
         """
         self._count(name).arrivals += 1
 
-    def ended(self, name: str, sent_at: float) -> None:
+    def count_end(self, name: str, sent_at: float) -> None:
         """Count a request that held a batch slot and ended.
 
         :param name: the model or adapter that it asked for.
@@ -194,12 +194,12 @@
         counts = _counts(self.count_by_name)
         self.count_by_name = {}
         if planner.name == self.kernel.settings.name:
-            self.book.take(counts)
+            self.averages.add_counts(counts)
         else:
             self.peers.send(planner.name, counts)
 
     def _receive(self, _: str, counts: Counts, __: typing.Any) -> None:
-        self.book.take(counts)
+        self.averages.add_counts(counts)
 
 
 def _counts(count_by_name: dict[str, Count]) -> Counts:
--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -11,8 +11,8 @@
 import result
 
 from mothworks import (
+    answer_recording,
     attainment,
-    attempts,
     caller_watch,
     catalogue,
     claim_records,
@@ -22,18 +22,18 @@
     decisions,
     demand,
     endpoints,
+    failed_attempts,
     health,
     kernel,
     outcomes,
     path_metrics,
     placement,
     plugins,
-    recorded,
     requests,
     resumption,
     retries,
     routing,
-    running,
+    running_request,
     slots,
     suspects,
 )
@@ -68,7 +68,7 @@
 
     def begin(
         self, request: requests.Request, watch: caller_watch.Watch | None = None
-    ) -> result.Result[recorded.Running, outcomes.Refusal]:
+    ) -> result.Result[answer_recording.RunningRequest, outcomes.Refusal]:
         """Send a request and wait for the first bytes of its response.
 
         :param request: the request.
@@ -77,9 +77,9 @@
         :returns: the running request, which must be closed; or the refusal.
         """
         self.retries.add_request()
-        self.demand.arrived(request.target)
+        self.demand.count_arrival(request.target)
         trace = self.decisions.open(request)
-        claim = self.claims.open(request)
+        claim = self.claims.new_claim(request)
         try:
             if claim is None:
                 started = self._try_endpoints(request, trace, watch, None)
@@ -92,8 +92,8 @@
             case result.Err(refusal):
                 self.decisions.close(request.id, f"refused: {refusal.code}")
                 ran = refusal.ran is outcomes.Ran.UNKNOWN
-                self.attainment.refused(request, ran)
-            case result.Ok(recorded.Replay()):
+                self.attainment.count_refusal(request, ran)
+            case result.Ok(answer_recording.Replay()):
                 self.decisions.close(request.id, "answered from its claim")
         return started
 
@@ -103,28 +103,30 @@
         trace: decisions.Trace,
         watch: caller_watch.Watch | None,
         claim: claiming.Claim,
-    ) -> result.Result[recorded.Running, outcomes.Refusal]:
+    ) -> result.Result[answer_recording.RunningRequest, outcomes.Refusal]:
         """Run a request with an idempotency key unless a copy runs or has run."""
-        previous = claim.find()
+        previous = claim.find_duplicate()
         if previous is not None:
             self.decisions.close(request.id, "resend")
-            return previous.map(recorded.Replay)
+            return previous.map(answer_recording.Replay)
         try:
             started = self._try_endpoints(request, trace, watch, claim)
         except BaseException:
-            claim.end(claim_records.State.UNKNOWN)
+            claim.store_outcome(claim_records.State.UNKNOWN)
             raise
         if claim.lost:
-            return claim.wait().map(recorded.Replay)
+            return claim.wait_for_winner().map(answer_recording.Replay)
         match started:
-            case result.Ok(running_request):
+            case result.Ok(active_request):
                 return result.Ok(
-                    recorded.Recorded(running_request, claim, self.claims.tasks)
+                    answer_recording.RecordedRequest(
+                        active_request, claim, self.claims.tasks
+                    )
                 )
             case result.Err(outcomes.Refusal(ran=outcomes.Ran.NO)):
-                claim.end(claim_records.State.RELEASED)
+                claim.store_outcome(claim_records.State.RELEASED)
             case result.Err(_):
-                claim.end(claim_records.State.UNKNOWN)
+                claim.store_outcome(claim_records.State.UNKNOWN)
         return started
 
     def _try_endpoints(
@@ -133,20 +135,22 @@
         trace: decisions.Trace,
         watch: caller_watch.Watch | None,
         claim: claiming.Claim | None,
-    ) -> result.Result[running.Running, outcomes.Refusal]:
+    ) -> result.Result[running_request.RunningRequest, outcomes.Refusal]:
         tried: set[str] = set()
-        refusal = attempts.no_endpoint(request)
+        refusal = failed_attempts.no_endpoint(request)
         while len(tried) < MAX_ATTEMPTS:
             candidates = self.choose_endpoints(request, tried)
             if not candidates:
                 self._trace_closed(request, trace)
                 break
             names = ", ".join(endpoint.name for endpoint in candidates)
-            trace.add("", f"considered, best first: {names}")
+            trace.add_step("", f"considered, best first: {names}")
             match self._attempt(request, candidates, watch, claim):
                 case result.Ok(started):
                     grant = started.grant
-                    trace.add(grant.endpoint.name, f"granted by {grant.owner or '-'}")
+                    trace.add_step(
+                        grant.endpoint.name, f"granted by {grant.owner or '-'}"
+                    )
                     return result.Ok(started)
                 case result.Err(failed):
                     # If an earlier attempt may have run, the caller must not read
@@ -155,7 +159,7 @@
                     if refusal.ran is outcomes.Ran.UNKNOWN:
                         ran = refusal.ran
                     refusal = attrs.evolve(failed.refusal, ran=ran)
-                    trace.add(failed.endpoint, refusal.message)
+                    trace.add_step(failed.endpoint, refusal.message)
             tried.add(failed.endpoint)
             claim_lost = claim is not None and claim.lost
             has_alternative = not claim_lost and bool(
@@ -165,50 +169,52 @@
             self._report_crash(request, failed, will_retry)
             if not will_retry:
                 break
-            self.metrics.repeated("retried")
+            self.metrics.count_repeat("retried")
         return result.Err(refusal)
 
-    def resume(self, broken: running.Running) -> bool:
+    def resume(self, broken: running_request.RunningRequest) -> bool:
         """Continue a broken stream at another endpoint; see :mod:`resumption`."""
         return self.resumption.resume(broken)
 
     def release_endpoint(
-        self, running_request: running.Running, outcome: slots.Outcome
+        self, active_request: running_request.RunningRequest, outcome: slots.Outcome
     ) -> None:
         """Release the slot of a request at its current endpoint.
 
-        :param running_request: the request.
+        :param active_request: the request.
         :param outcome: how the request ended there.
         """
-        self.demand.ended(running_request.request.target, running_request.progress.sent)
-        end = running_request.progress.summary(outcome)
-        self.metrics.ended(running_request.request.caller.urgency, end)
-        self.release(running_request.grant, end)
+        self.demand.count_end(
+            active_request.request.target, active_request.progress.sent_at
+        )
+        end = active_request.progress.summary(outcome)
+        self.metrics.count_answer_end(active_request.request.caller.urgency, end)
+        self.release(active_request.grant, end)
         match outcome:
             case slots.Outcome.OK:
-                self.suspects.ran_well(running_request.request)
+                self.suspects.clear(active_request.request)
             case slots.Outcome.CRASHED:
-                self.suspects.report(
-                    running_request.request, running_request.grant.endpoint
+                self.suspects.report_broken(
+                    active_request.request, active_request.grant.endpoint
                 )
 
-    def finish(self, running_request: running.Running) -> None:
+    def finish(self, active_request: running_request.RunningRequest) -> None:
         """Record the end of a request whose response had begun.
 
-        :param running_request: the request.
+        :param active_request: the request.
         """
-        request = running_request.request
-        waited_s = running_request.progress.begun - request.arrived
-        self.metrics.answered(request.caller.urgency, waited_s)
-        self.attainment.ended(
-            request, running_request.outcome, running_request.progress
+        request = active_request.request
+        waited_s = active_request.progress.caller_first_token_at - request.arrived
+        self.metrics.observe_first_token(request.caller.urgency, waited_s)
+        self.attainment.count_answer(
+            request, active_request.outcome, active_request.progress
         )
-        self.decisions.close(request.id, running_request.outcome.name.lower())
+        self.decisions.close(request.id, active_request.outcome.name.lower())
 
     def _report_crash(
         self,
         request: requests.Request,
-        failed: attempts.FailedAttempt,
+        failed: failed_attempts.FailedAttempt,
         will_retry: bool,
     ) -> None:
         """Report a broken connection, which may be due to a poison request."""
@@ -220,13 +226,13 @@
         if will_retry:
             # A poison request would crash the next endpoint too, so a retry waits
             # for the check of the endpoint.
-            self.suspects.broke(request, endpoint)
+            self.suspects.report_broken_and_wait(request, endpoint)
         else:
-            self.suspects.report(request, endpoint)
+            self.suspects.report_broken(request, endpoint)
 
     def _trace_closed(self, request: requests.Request, trace: decisions.Trace) -> None:
-        for name in self.placement.candidates(request.target):
-            trace.add(name, self.placement.why_closed(name) or "already tried")
+        for name in self.placement.holders(request.target):
+            trace.add_step(name, self.placement.closed_reason(name) or "already tried")
 
     def choose_endpoints(
         self, request: requests.Request, tried: set[str]
@@ -247,7 +253,7 @@
         candidates: list[catalogue.Endpoint],
         watch: caller_watch.Watch | None,
         claim: claiming.Claim | None,
-    ) -> result.Result[running.Running, attempts.FailedAttempt]:
+    ) -> result.Result[running_request.RunningRequest, failed_attempts.FailedAttempt]:
         acquired = self.suspects.check(request).and_then(
             lambda exclusive: self.acquire(request, candidates, exclusive)
         )
@@ -255,19 +261,19 @@
             case result.Ok(grant):
                 pass
             case result.Err(refusal):
-                return result.Err(attempts.before_send(refusal))
+                return result.Err(failed_attempts.before_send(refusal))
         if watch is not None and (claim or not request.repeatable):
             watch.stop()
         try:
-            claimed = claim.take() if claim else result.Ok(None)
-            sent = claimed.map_err(attempts.before_send).and_then(
+            claimed = claim.acquire() if claim else result.Ok(None)
+            sent = claimed.map_err(failed_attempts.before_send).and_then(
                 lambda _: self._send(request, grant)
             )
         except BaseException:
-            self.release(grant, slots.End(slots.Outcome.CANCELLED))
+            self.release(grant, slots.RequestEnd(slots.Outcome.CANCELLED))
             raise
         if sent.is_err():
-            self.release(grant, slots.End(sent.err_value.outcome))
+            self.release(grant, slots.RequestEnd(sent.err_value.outcome))
         name = grant.endpoint.name
         return sent.map_err(lambda failed: attrs.evolve(failed, endpoint=name))
 
@@ -293,28 +299,30 @@
 
     def _send(
         self, request: requests.Request, grant: slots.Grant
-    ) -> result.Result[running.Running, attempts.FailedAttempt]:
+    ) -> result.Result[running_request.RunningRequest, failed_attempts.FailedAttempt]:
         adapter = self.health.adapters.get(grant.endpoint.kind)
-        sent = time.monotonic()
+        sent_at = time.monotonic()
         match adapter.send(grant.endpoint, request):
             case result.Ok(answer):
                 pass
             case result.Err(failure):
-                return result.Err(attempts.from_send_failure(failure))
-        started = running.Running(request, grant, answer, self, sent)
+                return result.Err(failed_attempts.from_send_failure(failure))
+        started = running_request.RunningRequest(request, grant, answer, self, sent_at)
         try:
             started.read_start()
         except OSError as error:
             answer.close()
             return result.Err(
-                attempts.from_send_failure(endpoints.SendFailure(str(error), sent=True))
+                failed_attempts.from_send_failure(
+                    endpoints.SendFailure(str(error), sent=True)
+                )
             )
         except BaseException:
             answer.close()
             raise
         return result.Ok(started)
 
-    def release(self, grant: slots.Grant, end: slots.End) -> None:
+    def release(self, grant: slots.Grant, end: slots.RequestEnd) -> None:
         """Release a slot.
 
         :param grant: the grant that :meth:`acquire` returned.
@@ -324,7 +332,7 @@
         self.slots.release(grant, end)
 
     def _may_retry(
-        self, request: requests.Request, failed: attempts.FailedAttempt
+        self, request: requests.Request, failed: failed_attempts.FailedAttempt
     ) -> bool:
         if not failed.endpoint:
             # No owner granted a slot, so a retry would not get one either.
--- a/packages/mothworks/src/mothworks/explanations.py
+++ b/packages/mothworks/src/mothworks/explanations.py
@@ -43,7 +43,7 @@
         self.inventory = node_kernel.get(inventory.Inventory)
         self.placement = node_kernel.get(placement.Placement)
 
-    def model(self, name: str) -> answers.Outcome:
+    def explain_model(self, name: str) -> answers.Outcome:
         """Return where a model is resident, whether it takes work, and its queue.
 
         :param name: the model, adapter or service.
@@ -75,24 +75,24 @@
             omitted = len(waiting.rows) - MAX_WAITING_LISTED
             notes = (*notes, f"{omitted} more wait: show waiting where model = {name}")
         return result.Ok(
-            answers.gathered(
+            answers.merge_results(
                 self.configuration.revision, tables, [batches, waiting, moves], notes
             )
         )
 
-    def request(self, request_id: str) -> answers.Outcome:
+    def explain_request(self, request_id: str) -> answers.Outcome:
         """Return a request's trace, its steps and its positions in queues.
 
         :param request_id: the request's ID.
         """
         topics = (fan_out.Topic.TRACE, fan_out.Topic.STEPS, fan_out.Topic.WAITING)
-        trace, steps, waiting = self.fan_out.ask_each(
-            *(fan_out.Wanted(topic, request_id) for topic in topics)
+        trace, steps, waiting = self.fan_out.query_all(
+            *(fan_out.Query(topic, request_id) for topic in topics)
         )
         if not trace.rows and not waiting.rows and not trace.unanswered:
             message = (
                 f"no VM has a trace of request {request_id!r:.80}; each VM keeps "
-                f"its last {decisions.RECENT} and those that run or wait"
+                f"its last {decisions.MAX_ENDED_TRACES} and those that run or wait"
             )
             return result.Err(outcomes.invalid(message, "not_found", 404))
         tables = [
@@ -101,32 +101,32 @@
             answers.Table("waiting", row_classes.WaitingRow, waiting.rows),
         ]
         return result.Ok(
-            answers.gathered(
+            answers.merge_results(
                 self.configuration.revision, tables, [trace, steps, waiting]
             )
         )
 
     def _candidates(self, name: str) -> list[catalogue.Endpoint]:
         endpoint_by_name = self.configuration.index.endpoint_by_name
-        names = self.placement.candidates(name)
+        names = self.placement.holders(name)
         return [endpoint_by_name[item] for item in names if item in endpoint_by_name]
 
     def _query_model(
         self, name: str, candidates: list[catalogue.Endpoint]
-    ) -> list[fan_out.Gathered]:
+    ) -> list[fan_out.QueryResult]:
         """Query owners for queues, and all VMs for orders and load targets."""
         rows = [self.inventory.endpoint(endpoint) for endpoint in candidates]
         owners = frozenset(row.owner for row in rows) - {""}
         topics = fan_out.Topic
-        return self.fan_out.ask_each(
-            fan_out.Wanted(topics.BATCHES, name, owners),
-            fan_out.Wanted(topics.WAITING, name, owners),
-            fan_out.Wanted(topics.MOVES, name),
-            fan_out.Wanted(topics.PLACES, name),
+        return self.fan_out.query_all(
+            fan_out.Query(topics.BATCHES, name, owners),
+            fan_out.Query(topics.WAITING, name, owners),
+            fan_out.Query(topics.MOVES, name),
+            fan_out.Query(topics.LOAD_TARGETS, name),
         )
 
     def _replicas(
-        self, candidates: list[catalogue.Endpoint], batches: fan_out.Gathered
+        self, candidates: list[catalogue.Endpoint], batches: fan_out.QueryResult
     ) -> list[reason_rows.ReplicaRow]:
         batch_by_endpoint = {row.endpoint: row for row in batches.rows}
         return [
@@ -149,7 +149,7 @@
             endpoint=item.name,
             data_centre=item.data_centre,
             owner=row.owner,
-            takes_work=self.placement.why_closed(item.name) or "yes",
+            takes_work=self.placement.closed_reason(item.name) or "yes",
             running=batch.running,
             slots=batch.slots or item.slots,
             queued=batch.queued,
--- a/packages/mothworks/src/mothworks/local_facts.py
+++ b/packages/mothworks/src/mothworks/local_facts.py
@@ -41,29 +41,29 @@
         self.planner = node_kernel.get(planner.Planner)
         self.slots = node_kernel.get(slot_owner.SlotOwner)
         topics = fan_out.Topic
-        serve = node_kernel.get(fan_out.FanOut).serve
-        serve(topics.WAITING, row_classes.WaitingRow, self._waiting_rows)
-        serve(topics.BATCHES, row_classes.BatchRow, self._batch_rows)
-        serve(topics.ATTAINMENT, reason_rows.CountRow, self._attainment_rows)
-        serve(topics.MOVES, row_classes.MoveRow, self._order_rows)
-        serve(topics.PLACES, reason_rows.LoadTargetRow, self._load_target_rows)
-        serve(topics.TRACE, reason_rows.TraceRow, self._trace_rows)
-        serve(topics.STEPS, reason_rows.StepRow, self._step_rows)
+        register = node_kernel.get(fan_out.FanOut).register
+        register(topics.WAITING, row_classes.WaitingRow, self._waiting_rows)
+        register(topics.BATCHES, row_classes.BatchRow, self._batch_rows)
+        register(topics.ATTAINMENT, reason_rows.CountRow, self._attainment_rows)
+        register(topics.MOVES, row_classes.MoveRow, self._order_rows)
+        register(topics.LOAD_TARGETS, reason_rows.LoadTargetRow, self._load_target_rows)
+        register(topics.TRACE, reason_rows.TraceRow, self._trace_rows)
+        register(topics.STEPS, reason_rows.StepRow, self._step_rows)
 
     def _waiting_rows(self, argument: str) -> list[row_classes.WaitingRow]:
         """Return queued requests of a request ID or model; of all where empty."""
         return [
             row
-            for row in slot_rows.waiting(self.slots)
+            for row in slot_rows.queued_rows(self.slots)
             if argument in ("", row.request, row.model)
         ]
 
     def _batch_rows(self, target: str) -> list[row_classes.BatchRow]:
         """Return batches and queues of a model's endpoints; all where empty."""
-        rows = slot_rows.running(self.slots)
+        rows = slot_rows.batch_rows(self.slots)
         if not target:
             return rows
-        names = frozenset(self.placement.candidates(target))
+        names = frozenset(self.placement.holders(target))
         return [row for row in rows if row.endpoint in names]
 
     def _attainment_rows(self, _: str) -> list[reason_rows.CountRow]:
@@ -75,7 +75,9 @@
 
     def _order_rows(self, target: str) -> list[row_classes.MoveRow]:
         """Return unfinished orders of a model; all where empty."""
-        return [row for row in self.orders.under_way() if target in ("", row.model)]
+        return [
+            row for row in self.orders.unfinished_moves() if target in ("", row.model)
+        ]
 
     def _load_target_rows(self, model: str) -> list[reason_rows.LoadTargetRow]:
         """Return where a model could be loaded; empty on VMs that do not plan.
@@ -83,19 +85,19 @@
         Endpoints with the most free memory come first.
         """
         state = self.planner.state
-        demanded = state.fleet.demanded_by_name.get(model) if state else None
-        if demanded is None:
+        model_demand = state.fleet.demand_by_name.get(model) if state else None
+        if model_demand is None:
             return []
         views = sorted(
-            state.fleet.site_by_name.values(), key=lambda item: -item.free_mb
+            state.fleet.view_by_name.values(), key=lambda item: -item.free_mb
         )
         return [
             reason_rows.LoadTargetRow(
                 endpoint=view.name,
                 planner=self.kernel.settings.name,
                 free_mb=view.free_mb,
-                needed_mb=demanded.need.room_mb,
-                verdict=verdict(view, demanded.need),
+                needed_mb=model_demand.spec.required_mb,
+                verdict=load_verdict(view, model_demand.spec),
             )
             for view in views
         ]
@@ -136,30 +138,30 @@
         now_ms = round((time.monotonic() - trace.arrived) * 1000)
         running_by_endpoint = self.dispatch.policy.running_by_endpoint
         rows = []
-        for name in self.placement.candidates(trace.target):
-            reason = self.placement.why_closed(name)
+        for name in self.placement.holders(trace.target):
+            reason = self.placement.closed_reason(name)
             running = running_by_endpoint[name]
             what = reason or f"open; runs {running} of this VM's requests"
             rows.append(reason_rows.StepRow(now_ms, name, f"now {what}"))
         return rows
 
 
-def verdict(view: fleet.Site, need: fleet.Need) -> str:
+def load_verdict(view: fleet.EndpointView, spec: fleet.ModelSpec) -> str:
     """Return why a planner would not load a model on an endpoint, or ``fits``.
 
     :param view: the endpoint, as its planner sees it.
-    :param need: the model, with the memory that it requires.
+    :param spec: the model, with the memory that it requires.
     """
-    if need.key in view.loading:
+    if spec.key in view.loading:
         return "is being loaded there"
-    if need.key in view.leaving:
+    if spec.key in view.unloading:
         return "is being unloaded there"
-    if need.key in view.memory_by_key:
+    if spec.key in view.memory_by_key:
         return "is resident there"
     if not view.open:
         return "takes no new work"
-    if view.memory_mb < need.room_mb:
+    if view.memory_mb < spec.required_mb:
         return f"never fits: {view.memory_mb} MB in all"
-    if view.free_mb < need.room_mb:
-        return f"{need.room_mb - view.free_mb} MB are missing"
+    if view.free_mb < spec.required_mb:
+        return f"{spec.required_mb - view.free_mb} MB are missing"
     return "fits"
--- a/packages/mothworks/src/mothworks/orders.py
+++ b/packages/mothworks/src/mothworks/orders.py
@@ -1,8 +1,8 @@
 """Orders: executes the moves of the endpoints that this VM owns.
 
 One task per owned endpoint executes moves step by step; see
-:mod:`mothworks.moves`. The planner sends the moves and receives reports of the
-endpoints' ledgers as :class:`move_messages.Holdings`.
+:mod:`mothworks.order_execution`. The planner sends the moves and receives reports of
+    the endpoints' ledgers as :class:`move_messages.Holdings`.
 """
 
 import gevent
@@ -53,7 +53,7 @@
             "moves_total", "Orders carried out, by kind and outcome."
         )
         self.planner_name = ""
-        self.health.on_owned.append(self.update_tasks)
+        self.health.on_owned_changed.append(self.update_tasks)
         self.membership.on_change.append(self._update_planner)
         self.peers.handle(move_messages.Move, self._receive)
 
@@ -127,12 +127,12 @@
             return ledger.Holding(name, version, adapter.memory_mb, base=adapter.model)
         return None
 
-    def under_way(self) -> list[row_classes.MoveRow]:
+    def unfinished_moves(self) -> list[row_classes.MoveRow]:
         """Return the sent and queued orders of owned endpoints."""
         return [
             row
             for _, task in sorted(self.endpoint_task_by_name.items())
-            for row in task.under_way()
+            for row in task.unfinished_moves()
         ]
 
     def _accepts_orders(self, name: str) -> bool:
--- a/packages/mothworks/src/mothworks/placement_policy.py
+++ b/packages/mothworks/src/mothworks/placement_policy.py
@@ -21,7 +21,7 @@
         raise NotImplementedError
 
 
-class Batch:
+class PassMoves:
     """The moves of one planning pass.
 
     :param planned: the fleet; the moves are applied to it.
@@ -34,32 +34,32 @@
         self.moves: list[move_messages.Move] = []
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Return whether the weight store's limit permits no further load."""
         return self.loads <= 0
 
-    def load(self, site: fleet.Site, need: fleet.Need, why: str) -> None:
+    def load(self, view: fleet.EndpointView, spec: fleet.ModelSpec, why: str) -> None:
         """Add a load.
 
-        :param site: the endpoint.
-        :param need: the model or adapter.
+        :param view: the endpoint.
+        :param spec: the model or adapter.
         :param why: the reason, for the audit trail.
         """
         self.loads -= 1
-        self.fleet.load(site, need)
+        self.fleet.load(view, spec)
         move = move_messages.Move(
-            site.name, endpoints.OrderKind.LOAD, need.name, need.version, why
+            view.name, endpoints.OrderKind.LOAD, spec.name, spec.version, why
         )
         self.moves.append(move)
 
-    def unload(self, site: fleet.Site, key: tuple[str, str], why: str) -> None:
+    def unload(self, view: fleet.EndpointView, key: tuple[str, str], why: str) -> None:
         """Add an unload.
 
-        :param site: the endpoint.
+        :param view: the endpoint.
         :param key: name and version.
         :param why: the reason, for the audit trail.
         """
-        self.fleet.unload(site, key)
+        self.fleet.unload(view, key)
         self.moves.append(
-            move_messages.Move(site.name, endpoints.OrderKind.UNLOAD, *key, why)
+            move_messages.Move(view.name, endpoints.OrderKind.UNLOAD, *key, why)
         )
--- a/packages/mothworks/src/mothworks/planner.py
+++ b/packages/mothworks/src/mothworks/planner.py
@@ -67,7 +67,7 @@
         elif self.state is None:
             policy = self.policy_class(self.configuration.index.catalogue.weights)
             self.state = region_plan.RegionPlan(region, time.monotonic(), policy)
-            self.demand.book = demand.Book()
+            self.demand.averages = demand.DemandAverages()
         return self.state is not None
 
     def update_holdings(self, holdings: move_messages.Holdings) -> None:
@@ -76,7 +76,7 @@
         :param holdings: the summary of an endpoint's ledger.
         """
         if self._update_role():
-            self.state.take(holdings)
+            self.state.update_holdings(holdings)
 
     def _receive(
         self, _: str, holdings: move_messages.Holdings, __: peers.Answer
@@ -87,10 +87,10 @@
         if not self._update_role():
             return
         index = self.configuration.index
-        self.state.follow(self.configuration.revision, index, time.monotonic())
+        self.state.apply_catalogue(self.configuration.revision, index, time.monotonic())
         started_s = time.thread_time()
         moves = self.state.plan(
-            time.monotonic(), self.demand.book, self._open_endpoints()
+            time.monotonic(), self.demand.averages, self._open_endpoints()
         )
         self.pass_seconds.add({}, time.thread_time() - started_s)
         for move in moves:
@@ -99,7 +99,9 @@
     def _open_endpoints(self) -> frozenset[str]:
         """Return the endpoints that may load models and whose replicas count."""
         names = self.placement.status_by_endpoint
-        return frozenset(name for name in names if not self.placement.why_closed(name))
+        return frozenset(
+            name for name in names if not self.placement.closed_reason(name)
+        )
 
     def _send(self, move: move_messages.Move) -> None:
         endpoint = self.configuration.index.endpoint_by_name.get(move.endpoint)
--- a/packages/mothworks/src/mothworks/resumption.py
+++ b/packages/mothworks/src/mothworks/resumption.py
@@ -10,7 +10,7 @@
 import logbook
 import result
 
-from mothworks import attempts, running, slots
+from mothworks import failed_attempts, running_request, slots
 
 if typing.TYPE_CHECKING:
     from mothworks import dispatch
@@ -27,7 +27,7 @@
     def __init__(self, dispatch: "dispatch.Dispatch"):
         self.dispatch = dispatch
 
-    def resume(self, broken: running.Running) -> bool:
+    def resume(self, broken: running_request.RunningRequest) -> bool:
         """Continue a broken stream at another endpoint, if one can.
 
         :param broken: the request, whose slot was released.
@@ -45,7 +45,7 @@
             return False
         # Wait for the check of the endpoint first: a poison request would crash the
         # next endpoint too.
-        self.dispatch.suspects.broke(request, broken.grant.endpoint)
+        self.dispatch.suspects.report_broken_and_wait(request, broken.grant.endpoint)
         acquired = self.dispatch.suspects.check(request).and_then(
             lambda exclusive: self.dispatch.acquire(request, candidates, exclusive)
         )
@@ -55,22 +55,24 @@
             case _:
                 return False
 
-    def _resume_at(self, broken: running.Running, grant: slots.Grant) -> bool:
+    def _resume_at(
+        self, broken: running_request.RunningRequest, grant: slots.Grant
+    ) -> bool:
         adapter = self.dispatch.health.adapters.get(grant.endpoint.kind)
-        sent = time.monotonic()
-        offset = broken.progress.events
+        sent_at = time.monotonic()
+        offset = broken.progress.event_count
         try:
             resumed = adapter.send(grant.endpoint, broken.request, offset)
         except BaseException:
-            self.dispatch.release(grant, slots.End(slots.Outcome.CANCELLED))
+            self.dispatch.release(grant, slots.RequestEnd(slots.Outcome.CANCELLED))
             raise
         if resumed.is_err():
-            outcome = attempts.from_send_failure(resumed.err_value).outcome
-            self.dispatch.release(grant, slots.End(outcome))
+            outcome = failed_attempts.from_send_failure(resumed.err_value).outcome
+            self.dispatch.release(grant, slots.RequestEnd(outcome))
             if outcome is slots.Outcome.CRASHED:
-                self.dispatch.suspects.report(broken.request, grant.endpoint)
+                self.dispatch.suspects.report_broken(broken.request, grant.endpoint)
             return False
-        self.dispatch.metrics.repeated("resumed")
+        self.dispatch.metrics.count_repeat("resumed")
         log.info("resumed at {} after {} events", grant.endpoint.name, offset)
-        broken.attach(grant, resumed.ok_value, sent)
+        broken.attach(grant, resumed.ok_value, sent_at)
         return True
--- a/packages/mothworks/src/mothworks/running.py
+++ b/packages/mothworks/src/mothworks/running_request.py
@@ -17,19 +17,19 @@
 class Dispatch(typing.Protocol):
     """Interface of dispatch that a running request uses."""
 
-    def resume(self, running_request: "Running") -> bool:
+    def resume(self, active_request: "RunningRequest") -> bool:
         """Attach another endpoint that continues the response, if one can."""
 
     def release_endpoint(
-        self, running_request: "Running", outcome: slots.Outcome
+        self, active_request: "RunningRequest", outcome: slots.Outcome
     ) -> None:
         """Release the slot at the current endpoint."""
 
-    def finish(self, running_request: "Running") -> None:
+    def finish(self, active_request: "RunningRequest") -> None:
         """Record the end of the request."""
 
 
-class Running:
+class RunningRequest:
     """A request whose response has begun.
 
     Iterating yields the response body. :meth:`close` must always be called; it
@@ -39,7 +39,7 @@
     :param grant: the request's slot.
     :param answer: the endpoint's response.
     :param dispatch: releases slots and finds an endpoint to resume at.
-    :param sent: when the request was sent, monotonic seconds.
+    :param sent_at: when the request was sent, monotonic seconds.
     """
 
     def __init__(
@@ -48,14 +48,14 @@
         grant: slots.Grant,
         answer: endpoints.Answer,
         dispatch: Dispatch,
-        sent: float,
+        sent_at: float,
     ):
         self.request = request
         self.grant = grant
         self.answer = answer
         self.dispatch = dispatch
         self.stream = request.stream and answer.status == 200
-        self.progress = progress.Progress(self.stream, sent)
+        self.progress = progress.AnswerProgress(self.stream, sent_at)
         self.outcome = slots.Outcome.CANCELLED
         #: Names of the endpoints at which the request ran.
         self.tried = {grant.endpoint.name}
@@ -105,17 +105,20 @@
             self._detach(slots.Outcome.OK)
             return
 
-    def attach(self, grant: slots.Grant, answer: endpoints.Answer, sent: float) -> None:
+    def attach(
+        self, grant: slots.Grant, answer: endpoints.Answer, sent_at: float
+    ) -> None:
         """Continue with the response of another endpoint.
 
         :param grant: the slot there.
-        :param answer: the response, which begins after :attr:`Progress.events`.
-        :param sent: when the request was sent there, monotonic seconds.
+        :param answer: the response, which begins after
+            :attr:`AnswerProgress.event_count`.
+        :param sent_at: when the request was sent there, monotonic seconds.
         """
         self.grant = grant
         self.answer = answer
         self.tried.add(grant.endpoint.name)
-        self.progress.resume(sent)
+        self.progress.resume(sent_at)
         self._chunks = answer.chunks()
         self._attached = True
 
--- a/packages/mothworks/src/mothworks/slot_owner.py
+++ b/packages/mothworks/src/mothworks/slot_owner.py
@@ -24,7 +24,7 @@
     peers,
     placement,
     plugins,
-    queues,
+    request_queue,
     slot_messages,
 )
 
@@ -56,14 +56,14 @@
         self.batch_by_endpoint: dict[str, batches.Batch] = {}
         #: Batches that limit what this VM sends to endpoints without an owner.
         self.fallback_by_endpoint: dict[str, batches.Batch] = {}
-        self.endpoint_by_key: dict[queues.Key, str] = {}
+        self.endpoint_by_key: dict[request_queue.Key, str] = {}
         #: End of the time for which this former owner redirects, monotonic seconds.
         self.redirect_until_by_endpoint: dict[str, float] = {}
         self.has_queue = gevent.event.Event()
         self.peers.handle(slot_messages.SlotRequest, self._serve_request)
         self.peers.handle(slot_messages.SlotRelease, self._serve_release)
         self.peers.handle(slot_messages.UnknownSlots, self._serve_unknown)
-        self.health.on_owned.append(self._hand_over)
+        self.health.on_owned_changed.append(self._hand_over)
         self.membership.on_change.append(self._release_dead_entries)
 
     def start(self) -> None:
@@ -143,7 +143,7 @@
             batch.pause()
         batch.release(key, message.first_token_ms)
 
-    def running(self, endpoint: str, target: str) -> frozenset[str]:
+    def running_requests(self, endpoint: str, target: str) -> frozenset[str]:
         """Return the requests in flight for a target at an owned endpoint.
 
         :param endpoint: the endpoint's name.
@@ -210,7 +210,7 @@
             slots = endpoint.slots if endpoint else 1
             batch = batches.Batch(
                 slots,
-                self._why_closed,
+                self._closed_reason,
                 self._caller_share,
                 lambda: self._reported_running(name),
                 endpoint is not None and self._preempts(endpoint),
@@ -229,7 +229,7 @@
             # the slots, so that together they about fill the endpoint's batch.
             vms = len(self.membership.near()) + 1
             slots = max(1, math.ceil(endpoint.slots / vms))
-            fallback = batches.Batch(slots, self._why_closed, self._caller_share)
+            fallback = batches.Batch(slots, self._closed_reason, self._caller_share)
             self.fallback_by_endpoint[endpoint.name] = fallback
         return fallback
 
@@ -253,11 +253,11 @@
         report = self.health.report_by_endpoint.get(name)
         return report.running if report else None
 
-    def _why_closed(self, request: slot_messages.SlotRequest) -> str:
+    def _closed_reason(self, request: slot_messages.SlotRequest) -> str:
         withheld = self.health.withheld_by_endpoint.get(request.endpoint, frozenset())
         if request.target in withheld:
             return "not_offered"
-        return self.placement.why_closed(request.endpoint, request.target)
+        return self.placement.closed_reason(request.endpoint, request.target)
 
     def _caller_share(self, name: str) -> float:
         caller = self.configuration.index.caller_by_name.get(name)
--- a/packages/mothworks/src/mothworks/slots.py
+++ b/packages/mothworks/src/mothworks/slots.py
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen
-class End:
+class RequestEnd:
     """How a request that had a slot ended, as measured by its entry.
 
     :param outcome: how the request ended.
@@ -94,7 +94,7 @@
         self.peers.handle(slot_messages.CheckSlots, self._serve_check)
         self.peers.on_lost.append(self._recover_after_loss)
         self.membership.on_change.append(self._update_owners)
-        self.configuration.on_change.append(self._update_owners)
+        self.configuration.change_callbacks.append(self._update_owners)
 
     def acquire(
         self,
@@ -121,7 +121,7 @@
             self.waiting_bytes -= len(request.body)
             search.close()
 
-    def release(self, grant: Grant, end: End) -> None:
+    def release(self, grant: Grant, end: RequestEnd) -> None:
         """Release the slot of a request that ended.
 
         :param grant: the grant that :meth:`acquire` returned.
@@ -138,9 +138,12 @@
             )
             self._send_release(reservation, message)
 
-    def running(self, endpoint: str, target: str) -> frozenset[str]:
-        """Return the requests in flight; see :meth:`slot_owner.SlotOwner.running`."""
-        return self.owner.running(endpoint, target)
+    def running_requests(self, endpoint: str, target: str) -> frozenset[str]:
+        """Return the requests in flight.
+
+        See :meth:`slot_owner.SlotOwner.running_requests`.
+        """
+        return self.owner.running_requests(endpoint, target)
 
     def withhold(self, endpoint: str, models: frozenset[str]) -> None:
         """Grant no slots for some models; see :meth:`slot_owner.SlotOwner.withhold`."""
--- a/packages/mothworks/tests/test_attainment.py
+++ b/packages/mothworks/tests/test_attainment.py
@@ -23,10 +23,12 @@
 
 
 def make_progress(request, first_s, between_s, events=11):
-    answer_progress = progress.Progress(True, request.arrived)
-    answer_progress.begun = request.arrived + first_s
-    answer_progress.last = answer_progress.begun + between_s * (events - 1)
-    answer_progress.events = events
+    answer_progress = progress.AnswerProgress(True, request.arrived)
+    answer_progress.caller_first_token_at = request.arrived + first_s
+    answer_progress.last_token_at = (
+        answer_progress.caller_first_token_at + between_s * (events - 1)
+    )
+    answer_progress.event_count = events
     return answer_progress
 
 
@@ -42,7 +44,7 @@
 )
 def test_verdicts(counts, first_s, between_s, outcome, verdict):
     request = builders.request()
-    counts.ended(request, outcome, make_progress(request, first_s, between_s))
+    counts.count_answer(request, outcome, make_progress(request, first_s, between_s))
     assert counts.total == {("urgent", verdict): 1}
 
 
@@ -51,14 +53,14 @@
     start = time.monotonic()
     for seconds in (0, 30, 60, 90):
         monkeypatch.setattr(time, "monotonic", lambda elapsed=seconds: start + elapsed)
-        counts.refused(request, ran=False)
+        counts.count_refusal(request, ran=False)
     monkeypatch.setattr(time, "monotonic", lambda: start + 100)
     assert counts.last_minute() == {("urgent", V.REFUSED): 2}
     assert len(counts.counts_by_bucket) <= attainment.BUCKET_COUNT
 
 
 def test_sums_over_vms_and_classes():
-    rows = attainment_rows.summed(
+    rows = attainment_rows.sum_counts(
         [
             reason_rows.CountRow("urgent", V.MET, 30),
             reason_rows.CountRow("urgent", V.MET, 60),
--- a/packages/mothworks/tests/test_placement_map.py
+++ b/packages/mothworks/tests/test_placement_map.py
@@ -24,7 +24,9 @@
     vm = group.add(name, region, parts=PARTS)
     part = vm.kernel.get(placement.Placement)
     endpoints = tuple(builders.endpoint(name) for name in NAMES)
-    part.configuration.index = catalogue.Index(builders.declared(endpoints=endpoints))
+    part.configuration.index = catalogue.Index(
+        builders.make_catalogue(endpoints=endpoints)
+    )
     vm.placement = part
     vm.repair = vm.kernel.get(placement_repair.PlacementRepair)
     return vm
@@ -81,7 +83,7 @@
             "engine-2",
             "engine-3",
         }
-        assert vm.placement.candidates("newer") == ["engine-3"]
+        assert vm.placement.holders("newer") == ["engine-3"]
 
 
 def test_two_owners_that_announce_at_once_converge(group, monkeypatch):
@@ -132,7 +134,7 @@
     empty = vm.placement.digest.overall_hash()
     vm.placement.announce("engine-1", OPEN, ("menu",))
     vm.placement.configuration.index = catalogue.Index(catalogue.Catalogue())
-    for notify in vm.placement.configuration.on_change:
+    for notify in vm.placement.configuration.change_callbacks:
         notify()
     assert not vm.placement.status_by_endpoint
     assert not vm.placement.endpoints_by_model
--- a/packages/mothworks/tests/test_suspects.py
+++ b/packages/mothworks/tests/test_suspects.py
@@ -27,7 +27,10 @@
 def break_together(part, *requests, endpoint_name="engine-1"):
     endpoint = builders.endpoint(endpoint_name)
     gevent.joinall(
-        [gevent.spawn(part.broke, request, endpoint) for request in requests]
+        [
+            gevent.spawn(part.report_broken_and_wait, request, endpoint)
+            for request in requests
+        ]
     )
 
 
@@ -39,7 +42,7 @@
     poison, innocent = make_request("poison"), make_request("innocent")
     break_together(part, poison, innocent)
     assert part.check(poison).unwrap() and part.check(innocent).unwrap()
-    part.ran_well(innocent)
+    part.clear(innocent)
     assert not part.check(innocent).unwrap()
     assert [suspect.target for suspect in part.listed()] == ["menu"]
 
@@ -121,7 +124,7 @@
         bed.fake_by_endpoint[name].restart_s = 0.5
     for name in ("vm-1", "vm-2", "vm-3"):
         bed.add_node(name, "dc-1", "region-1")
-    bed.apply(builders.declared(services=(), endpoints=tuple(declared)))
+    bed.apply(builders.make_catalogue(services=(), endpoints=tuple(declared)))
     processes.wait_until(lambda: bed.all_open(names))
     poison = chat(bed, "vm-1", engine.POISON.decode())
     assert error_of(poison) == (422, "quarantined", "unknown")
--- a/packages/mothworks_fakes/src/mothworks_fakes/measure_state.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/measure_state.py
@@ -121,7 +121,7 @@
     caller = catalogue.Caller("guest", "0" * 64)
     all_requests = [_request(f"{number:032x}", caller) for number in range(REPETITIONS)]
     tracemalloc.start()
-    for request in all_requests[: decisions.RECENT]:
+    for request in all_requests[: decisions.MAX_ENDED_TRACES]:
         _record_trace(traces, request)
     memory_kb = tracemalloc.get_traced_memory()[0] / 1024
     tracemalloc.stop()
@@ -129,7 +129,7 @@
     for request in all_requests:
         _record_trace(traces, request)
     mean_us = (time.process_time() - started_s) / REPETITIONS * 1e6
-    note = f"{decisions.RECENT} ended requests of 3 steps"
+    note = f"{decisions.MAX_ENDED_TRACES} ended requests of 3 steps"
     return [
         _slope("traces of requests, memory", memory_kb, "KB a node", note),
         _slope("traces of requests, processor time", mean_us, "us a request", note),
@@ -155,9 +155,9 @@
 
 def _record_trace(traces: decisions.Decisions, request: requests.Request) -> None:
     trace = traces.open(request)
-    trace.add("", f"considered, best first: {request.id}")
-    trace.add("engine-1", "no capacity in time")
-    trace.add("engine-2", f"granted by {request.caller.name}")
+    trace.add_step("", f"considered, best first: {request.id}")
+    trace.add_step("engine-1", "no capacity in time")
+    trace.add_step("engine-2", f"granted by {request.caller.name}")
     traces.close(request.id, "ok")
 
 
--- a/packages/mothworks_fakes/src/mothworks_fakes/placement_baselines.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/placement_baselines.py
@@ -25,48 +25,50 @@
 
     def __init__(self, weights: catalogue.Weights):
         super().__init__(weights)
-        self.needs_by_endpoint: dict[str, list[fleet.Need]] = {}
+        self.specs_by_endpoint: dict[str, list[fleet.ModelSpec]] = {}
 
     def plan(self, planned: fleet.Fleet, loads: int) -> list[move_messages.Move]:
         """Load the models assigned to each endpoint; see the base class."""
-        if not self.needs_by_endpoint and all(
-            s.open for s in planned.site_by_name.values()
+        if not self.specs_by_endpoint and all(
+            s.open for s in planned.view_by_name.values()
         ):
-            self.needs_by_endpoint = self._assign_replicas(planned)
-        batch = placement_policy.Batch(planned, loads)
-        for name, needs in self.needs_by_endpoint.items():
-            site = planned.site_by_name[name]
-            for need in needs:
-                if batch.full or not site.open:
+            self.specs_by_endpoint = self._assign_replicas(planned)
+        pass_moves = placement_policy.PassMoves(planned, loads)
+        for name, specs in self.specs_by_endpoint.items():
+            view = planned.view_by_name[name]
+            for spec in specs:
+                if pass_moves.is_full or not view.open:
                     break
-                if need.key not in site.memory_by_key:
-                    batch.load(site, need, "static")
-        return batch.moves
+                if spec.key not in view.memory_by_key:
+                    pass_moves.load(view, spec, "static")
+        return pass_moves.moves
 
-    def _assign_replicas(self, planned: fleet.Fleet) -> dict[str, list[fleet.Need]]:
+    def _assign_replicas(
+        self, planned: fleet.Fleet
+    ) -> dict[str, list[fleet.ModelSpec]]:
         free_mb_by_name = {
-            name: site.memory_mb for name, site in planned.site_by_name.items()
+            name: view.memory_mb for name, view in planned.view_by_name.items()
         }
-        needs_by_endpoint = collections.defaultdict(list)
-        needs = [item.need for item in planned.demanded_by_name.values()]
-        needs = [need for need in needs if not need.base]
-        needs.sort(key=lambda need: -need.room_mb)
+        specs_by_endpoint = collections.defaultdict(list)
+        specs = [item.spec for item in planned.demand_by_name.values()]
+        specs = [spec for spec in specs if not spec.base]
+        specs.sort(key=lambda spec: -spec.required_mb)
         assigned = True
         while assigned:
             assigned = False
-            for need in needs:
+            for spec in specs:
                 candidates = [
                     name
                     for name in free_mb_by_name
-                    if free_mb_by_name[name] >= need.room_mb
-                    and need not in needs_by_endpoint[name]
+                    if free_mb_by_name[name] >= spec.required_mb
+                    and spec not in specs_by_endpoint[name]
                 ]
                 if candidates:
                     emptiest = max(candidates, key=free_mb_by_name.get)
-                    needs_by_endpoint[emptiest].append(need)
-                    free_mb_by_name[emptiest] -= need.room_mb
+                    specs_by_endpoint[emptiest].append(spec)
+                    free_mb_by_name[emptiest] -= spec.required_mb
                     assigned = True
-        return needs_by_endpoint
+        return specs_by_endpoint
 
 
 @plugins.register(plugins.PLACEMENT, "lru")
@@ -93,44 +95,48 @@
     def plan(self, planned: fleet.Fleet, loads: int) -> list[move_messages.Move]:
         """Load requested models that lack capacity; see the base class."""
         self.passes += 1
-        batch = placement_policy.Batch(planned, loads)
-        for name, item in planned.demanded_by_name.items():
+        pass_moves = placement_policy.PassMoves(planned, loads)
+        for name, item in planned.demand_by_name.items():
             requested = self.last_used_by_name[name] >= self.passes - 1
-            overloaded = planned.excess(name) > 0
-            if not requested or item.need.base or not overloaded or batch.full:
+            overloaded = planned.missing_slots(name) > 0
+            if not requested or item.spec.base or not overloaded or pass_moves.is_full:
                 continue
-            self._load(batch, item)
-        return batch.moves
-
-    def _load(self, batch: placement_policy.Batch, item: fleet.Demanded) -> None:
-        sites = [
-            site
-            for site in batch.fleet.site_by_name.values()
-            if site.open
-            and item.need.key not in site.memory_by_key
-            and site.memory_mb >= item.need.room_mb
-            and not site.loading
+            self._load(pass_moves, item)
+        return pass_moves.moves
+
+    def _load(
+        self, pass_moves: placement_policy.PassMoves, item: fleet.ModelDemand
+    ) -> None:
+        views = [
+            view
+            for view in pass_moves.fleet.view_by_name.values()
+            if view.open
+            and item.spec.key not in view.memory_by_key
+            and view.memory_mb >= item.spec.required_mb
+            and not view.loading
         ]
-        if not sites:
+        if not views:
             return
         # An endpoint with enough free memory comes first, then the one with the
         # least recently used resident.
-        site = min(sites, key=lambda site: (self._oldest_use(site, item), site.load))
+        view = min(
+            views, key=lambda view: (self._oldest_use(view, item), view.used_slots)
+        )
         residents = sorted(
-            site.memory_by_key.keys() - site.leaving,
+            view.memory_by_key.keys() - view.unloading,
             key=lambda key: (self.last_used_by_name[key[0]], key),
         )
         for key in residents:
-            if site.free_mb >= item.need.room_mb:
+            if view.free_mb >= item.spec.required_mb:
                 break
-            batch.unload(site, key, "least recently used")
-        if site.free_mb >= item.need.room_mb:
-            batch.load(site, item.need, "on demand")
+            pass_moves.unload(view, key, "least recently used")
+        if view.free_mb >= item.spec.required_mb:
+            pass_moves.load(view, item.spec, "on demand")
 
-    def _oldest_use(self, site: fleet.Site, item: fleet.Demanded) -> int:
-        if site.free_mb >= item.need.room_mb:
+    def _oldest_use(self, view: fleet.EndpointView, item: fleet.ModelDemand) -> int:
+        if view.free_mb >= item.spec.required_mb:
             return -1
-        keys = site.memory_by_key.keys() - site.leaving
+        keys = view.memory_by_key.keys() - view.unloading
         return min(
             (self.last_used_by_name[key[0]] for key in keys), default=self.passes
         )
@@ -146,62 +152,68 @@
     def __init__(self, weights: catalogue.Weights):
         super().__init__(weights)
         self.passes = 0
-        self.needs_by_endpoint: dict[str, list[fleet.Need]] = {}
+        self.specs_by_endpoint: dict[str, list[fleet.ModelSpec]] = {}
 
     def plan(self, planned: fleet.Fleet, loads: int) -> list[move_messages.Move]:
         """Move towards the latest placement; see the base class."""
         if self.passes % PASSES_PER_PLAN == 0:
-            self.needs_by_endpoint = self._recompute(planned)
+            self.specs_by_endpoint = self._recompute(planned)
         self.passes += 1
-        batch = placement_policy.Batch(planned, loads)
-        for site in planned.site_by_name.values():
-            needs = self.needs_by_endpoint.get(site.name, [])
-            keys = {need.key for need in needs}
-            for key in sorted(site.memory_by_key.keys() - site.leaving - site.loading):
-                if key not in keys and len(planned.ready(key[0])) > 1:
-                    batch.unload(site, key, "recomputed")
-            for need in needs:
-                missing = need.key not in site.memory_by_key
-                if missing and not batch.full and site.free_mb >= need.room_mb:
-                    batch.load(site, need, "recomputed")
-        return batch.moves
-
-    def _recompute(self, planned: fleet.Fleet) -> dict[str, list[fleet.Need]]:
-        sites = [site for site in planned.site_by_name.values() if site.open]
-        free_mb_by_name = {site.name: site.memory_mb for site in sites}
-        free_slots_by_name = {site.name: site.places for site in sites}
-        needs_by_endpoint = collections.defaultdict(list)
-        items = [i for i in planned.demanded_by_name.values() if not i.need.base]
-        for item in sorted(items, key=lambda item: -item.need.room_mb):
+        pass_moves = placement_policy.PassMoves(planned, loads)
+        for view in planned.view_by_name.values():
+            specs = self.specs_by_endpoint.get(view.name, [])
+            keys = {spec.key for spec in specs}
+            for key in sorted(
+                view.memory_by_key.keys() - view.unloading - view.loading
+            ):
+                if key not in keys and len(planned.ready_replicas(key[0])) > 1:
+                    pass_moves.unload(view, key, "recomputed")
+            for spec in specs:
+                missing = spec.key not in view.memory_by_key
+                if (
+                    missing
+                    and not pass_moves.is_full
+                    and view.free_mb >= spec.required_mb
+                ):
+                    pass_moves.load(view, spec, "recomputed")
+        return pass_moves.moves
+
+    def _recompute(self, planned: fleet.Fleet) -> dict[str, list[fleet.ModelSpec]]:
+        views = [view for view in planned.view_by_name.values() if view.open]
+        free_mb_by_name = {view.name: view.memory_mb for view in views}
+        free_slots_by_name = {view.name: view.batch_slots for view in views}
+        specs_by_endpoint = collections.defaultdict(list)
+        items = [i for i in planned.demand_by_name.values() if not i.spec.base]
+        for item in sorted(items, key=lambda item: -item.spec.required_mb):
             self._assign(
-                item, 1, free_mb_by_name, free_slots_by_name, needs_by_endpoint
+                item, 1, free_mb_by_name, free_slots_by_name, specs_by_endpoint
             )
         mean_free_slots = sum(free_slots_by_name.values()) / max(
             1, len(free_slots_by_name)
         )
-        for item in sorted(items, key=lambda item: -item.places):
+        for item in sorted(items, key=lambda item: -item.batch_slots):
             self._assign(
                 item,
-                int(item.places / max(1.0, mean_free_slots)),
+                int(item.batch_slots / max(1.0, mean_free_slots)),
                 free_mb_by_name,
                 free_slots_by_name,
-                needs_by_endpoint,
+                specs_by_endpoint,
             )
-        return needs_by_endpoint
+        return specs_by_endpoint
 
     def _assign(
-        self, item, count, free_mb_by_name, free_slots_by_name, needs_by_endpoint
+        self, item, count, free_mb_by_name, free_slots_by_name, specs_by_endpoint
     ) -> None:
         for _ in range(count):
             candidates = [
                 name
                 for name in free_mb_by_name
-                if free_mb_by_name[name] >= item.need.room_mb
-                and item.need not in needs_by_endpoint[name]
+                if free_mb_by_name[name] >= item.spec.required_mb
+                and item.spec not in specs_by_endpoint[name]
             ]
             if not candidates:
                 return
             name = max(candidates, key=free_slots_by_name.get)
-            needs_by_endpoint[name].append(item.need)
-            free_mb_by_name[name] -= item.need.room_mb
-            free_slots_by_name[name] -= item.places / max(1, count)
+            specs_by_endpoint[name].append(item.spec)
+            free_mb_by_name[name] -= item.spec.required_mb
+            free_slots_by_name[name] -= item.batch_slots / max(1, count)
