--- a/packages/mothworks_fakes/src/mothworks_fakes/engine_memory.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/engine_memory.py
@@ -1,8 +1,8 @@
 """An engine's accelerator memory and the orders that change it, without sockets.
 
-Loads count from their start, so that two loads that do not fit beside each
-other show in the peak. An engine that ignores fencing also runs an order
-again that arrives late or twice.
+A load allocates its memory when it starts, so that two concurrent loads that
+do not fit together show in the peak. An engine without fencing also executes
+late and duplicate copies of an order.
 """
 
 import collections.abc
@@ -12,14 +12,14 @@
 
 
 class Reply(enum.StrEnum):
-    """What an engine says to an order."""
+    """An engine's reply to an order."""
 
     DONE = "done"
-    #: The load goes on; the same order asked again says when it is done.
+    #: The load is in progress; sending the same order again polls for its end.
     LOADING = "loading"
-    #: The order carries an old fencing number.
+    #: The order carries a stale fencing token.
     FENCED = "fenced"
-    #: The order cannot be carried out.
+    #: The order cannot be executed.
     FAILED = "failed"
 
 
@@ -29,7 +29,7 @@
 
     :param name: the model or adapter.
     :param version: its version.
-    :param memory_mb: the memory that it takes, MB.
+    :param memory_mb: the memory that it occupies, MB.
     """
 
     name: str
@@ -38,18 +38,18 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """Return what tells two items apart."""
+        """Return the key that identifies the item."""
         return (self.name, self.version)
 
 
 @attrs.frozen
 class Order:
-    """An order as it arrives.
+    """One received copy of an order.
 
     :param id: the same for every copy of the order.
     :param kind: ``load``, ``unload`` or ``role``.
-    :param item: what is loaded or unloaded; its name is the new role.
-    :param fence: its fencing number.
+    :param item: what is loaded or unloaded; for ``role``, its name is the new role.
+    :param fence: its fencing token.
     """
 
     id: str
@@ -62,7 +62,7 @@
     """Memory of one engine.
 
     :param memory_mb: accelerator memory, MB.
-    :param fencing: whether orders with an old fencing number are refused.
+    :param fencing: whether orders with a stale fencing token are rejected.
     """
 
     def __init__(self, memory_mb: int, fencing: bool = True):
@@ -78,15 +78,15 @@
         self.bad_versions: set[str] = set()
 
     def place(self, item: Item) -> None:
-        """Make an item resident at once.
+        """Make an item resident immediately.
 
         :param item: the item.
         """
         self.resident_by_key[item.key] = item
-        self._note()
+        self._update_peak()
 
     def take(self, order: Order) -> Reply:
-        """Take one copy of an order; a load only begins.
+        """Execute one copy of an order; a load only starts here.
 
         :param order: the order.
         """
@@ -107,7 +107,7 @@
         return Reply.DONE
 
     def finish(self, key: tuple[str, str]) -> None:
-        """End a load.
+        """Complete a load.
 
         :param key: the item's key.
         """
@@ -116,7 +116,7 @@
             self.resident_by_key[key] = item
 
     def restart(self) -> None:
-        """Lose all memory; the fencing number is kept."""
+        """Lose all memory; the highest fencing token is retained."""
         self.resident_by_key.clear()
         self.loading_by_key.clear()
         self.done_ids.clear()
@@ -129,12 +129,12 @@
         return [key[1] for key in self.resident_by_key if key[0] == name]
 
     def items(self) -> collections.abc.Iterator[Item]:
-        """Yield everything that takes memory."""
+        """Yield everything that occupies memory."""
         yield from self.resident_by_key.values()
         yield from self.loading_by_key.values()
 
     def used_mb(self) -> int:
-        """Return the memory of residents and loads under way, MB."""
+        """Return the memory of resident items and of loads in progress, MB."""
         return sum(item.memory_mb for item in self.items())
 
     def _load(self, order: Order) -> Reply:
@@ -146,8 +146,8 @@
             return Reply.FAILED
         if key not in self.loading_by_key:
             self.loading_by_key[key] = order.item
-            self._note()
+            self._update_peak()
         return Reply.LOADING
 
-    def _note(self) -> None:
+    def _update_peak(self) -> None:
         self.peak_mb = max(self.peak_mb, self.used_mb())
