--- a/packages/mothworks_fakes/src/mothworks_fakes/platform.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/platform.py
@@ -10,7 +10,7 @@
 
 
 class VmList(web.Fake):
-    """Keeps the list; VMs are put and removed by tests or over HTTP.
+    """Stores the list; VMs are added and removed in code or over HTTP.
 
     :param port: TCP port; 0 lets the kernel choose.
     """
@@ -20,22 +20,22 @@
         self.vm_by_name: dict[str, vm_list.Vm] = {}
 
     def put(self, vm: vm_list.Vm) -> None:
-        """List a VM, or list it anew.
+        """Add a VM to the list, or replace its entry.
 
         :param vm: the VM.
         """
         self.vm_by_name[vm.name] = vm
 
     def set_state(self, name: str, state: vm_list.VmState) -> None:
-        """Change what the list says of a VM.
+        """Change the state of a listed VM.
 
         :param name: the VM's name.
-        :param state: live or leaving.
+        :param state: the new state.
         """
         self.vm_by_name[name] = attrs.evolve(self.vm_by_name[name], state=state)
 
     def serve(self, method: str, path: str, environ: dict) -> web.Reply:
-        """Answer one call; see :meth:`web.Fake.serve`."""
+        """Handle one call; see :meth:`web.Fake.serve`."""
         name = path.removeprefix("/vms").strip("/")
         match method:
             case "PUT":
@@ -47,28 +47,30 @@
 
 
 class WeightStore(web.Fake):
-    """Serves weights at a bounded rate: ``GET /weights?mb=`` takes the time.
+    """Simulates downloads of weights at a bounded rate.
+
+    ``GET /weights?mb=`` replies after the time that a load of this size takes.
 
     :param port: TCP port; 0 lets the kernel choose.
-    :param parallel: loads served at a time.
+    :param parallel: maximum number of concurrent loads.
     :param mb_per_s: rate of each load, MB/s.
     """
 
     def __init__(self, port: int = 0, parallel: int = 8, mb_per_s: float = 1000.0):
         super().__init__(port)
         self.mb_per_s = mb_per_s
-        self.places = gevent.lock.BoundedSemaphore(parallel)
+        self.load_slots = gevent.lock.BoundedSemaphore(parallel)
         self.loads = 0
         self.running = 0
         self.peak_running = 0
 
     def serve(self, method: str, path: str, environ: dict) -> web.Reply:
-        """Answer one call; see :meth:`web.Fake.serve`."""
-        megabytes = float(environ.get("QUERY_STRING", "mb=0").partition("=")[2])
+        """Handle one call; see :meth:`web.Fake.serve`."""
+        size_mb = float(environ.get("QUERY_STRING", "mb=0").partition("=")[2])
         self.loads += 1
         self.running += 1
         self.peak_running = max(self.peak_running, self.running)
-        with self.places:
-            gevent.sleep(megabytes / self.mb_per_s)
+        with self.load_slots:
+            gevent.sleep(size_mb / self.mb_per_s)
         self.running -= 1
         return web.json_reply({})
