--- a/packages/mothworks_fakes/src/mothworks_fakes/application.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/application.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service that confirms orders and counts each call."""
+"""Stand-in for an application service that echoes and counts each call."""
 
 import collections
 
@@ -8,10 +8,10 @@
 
 
 class Application(web.Fake):
-    """Answers every call with its own path, and counts calls by body.
+    """Echoes the path and body of every call, and counts calls by body.
 
     :param port: TCP port; 0 lets the kernel choose.
-    :param work_s: time that each call takes, seconds.
+    :param work_s: simulated processing time of each call, seconds.
     """
 
     def __init__(self, port: int = 0, work_s: float = 0.0):
@@ -21,14 +21,14 @@
         self.draining = False
 
     def serve(self, method: str, path: str, environ: dict) -> web.Reply:
-        """Answer one call; see :meth:`web.Fake.serve`."""
+        """Handle one call; see :meth:`web.Fake.serve`."""
         if path == "/health":
             status = "503 Service Unavailable" if self.draining else "200 OK"
             return web.json_reply({}, status)
         body = environ["wsgi.input"].read()
-        self.gates.pass_by(gates.Step.SENT)
+        self.gates.reach(gates.Step.SENT)
         self.calls_by_body[body] += 1
         gevent.sleep(self.work_s)
-        self.gates.pass_by(gates.Step.MID_ANSWER)
+        self.gates.reach(gates.Step.MID_ANSWER)
         reply = {"path": path, "echo": body.decode("utf-8", "replace")}
         return web.json_reply(reply)
--- a/packages/mothworks_fakes/src/mothworks_fakes/engine.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/engine.py
@@ -1,8 +1,8 @@
 """Stand-in for a vLLM-style engine with continuous batching.
 
-The time of a step grows with the batch, prompts are prefilled one at a time,
-and accelerator memory is counted, so that overcommitment shows. Every run
-is recorded for history checks.
+The duration of a step grows with the batch, prompts are prefilled one at a
+time, and accelerator memory is accounted for, so that tests detect
+overcommitment. Every run is recorded for history checks.
 """
 
 import collections.abc
@@ -17,23 +17,24 @@
 
 from mothworks_fakes import engine_batch, engine_memory, gates, web
 
-#: Bytes of a prompt that count as one token.
-BYTES_A_TOKEN = 4
-#: A prompt with this text crashes the engine that runs it.
+#: Bytes of the request body that count as one prompt token.
+BYTES_PER_TOKEN = 4
+#: A request whose body contains this text crashes the engine that runs it.
 POISON = b"poison"
-#: The priority that a node adds to a caller's body.
-PRIORITY = re.compile(rb',"priority":\d+}$')
+#: Matches the priority field that a node appends to a caller's body.
+PRIORITY_SUFFIX = re.compile(rb',"priority":\d+}$')
 
 
 @attrs.define
 class Speed:
-    """How fast an engine is.
-
-    :param prefill_tokens_per_s: prompt tokens a second, one prompt at a time.
-    :param step_s: time of one decoding step of a batch of one, seconds.
-    :param step_s_per_request: what each further request adds, seconds.
-    :param batch: most requests in the batch; others wait in the engine.
-    :param load_mb_per_s: rate of loading weights.
+    """Simulated performance of an engine.
+
+    :param prefill_tokens_per_s: prefill throughput; prompts are prefilled one at a
+        time.
+    :param step_s: duration of a decoding step with one request, seconds.
+    :param step_s_per_request: time that each further request adds, seconds.
+    :param batch: maximum batch size; further requests wait in the engine.
+    :param load_mb_per_s: rate of loading weights, MB/s.
     """
 
     prefill_tokens_per_s: float = 50_000.0
@@ -45,10 +46,10 @@
 
 @attrs.frozen
 class Run:
-    """A request that the engine began to run.
+    """A request that the engine started to run.
 
-    :param request_id: the id that the node sent.
-    :param body_hash: hash of the request's body.
+    :param request_id: the request id that the node sent.
+    :param body_hash: hash of the caller's body, without the node's priority.
     """
 
     request_id: str
@@ -58,9 +59,9 @@
 class Engine(web.Fake):
     """One engine.
 
-    :param memory_mb: accelerator memory.
-    :param fencing: whether orders with an old fencing number are refused.
-    :param speed: how fast it is.
+    :param memory_mb: accelerator memory, MB.
+    :param fencing: whether orders with a stale fencing token are rejected.
+    :param speed: its simulated performance.
     :param port: TCP port; 0 lets the kernel choose.
     """
 
@@ -75,24 +76,24 @@
         self.memory_mb = memory_mb
         self.memory = engine_memory.EngineMemory(memory_mb, fencing)
         self.speed = speed or Speed()
-        #: Holds one place of the weight store during a load; None for no limit.
-        self.store_places: gevent.lock.BoundedSemaphore | None = None
+        #: Limits concurrent loads from the weight store; None for no limit.
+        self.load_slots: gevent.lock.BoundedSemaphore | None = None
         self.order_ids: list[str] = []
         self.batch = engine_batch.Batch(self.speed.batch)
         self.prefill = gevent.lock.BoundedSemaphore(1)
         self.draining = False
         self.runs: list[Run] = []
         self.crashes = 0
-        #: Time that a crashed engine takes to come back, seconds.
+        #: Time that a crashed engine takes to restart, seconds.
         self.restart_s = 0.0
         self.down_until = 0.0
 
-    def immune(self, path: str) -> bool:
-        """Return whether faults spare a path; see :meth:`web.Fake.immune`."""
+    def is_exempt(self, path: str) -> bool:
+        """Return whether faults skip a path; see :meth:`web.Fake.is_exempt`."""
         return path == "/faults"
 
     def serve(self, method: str, path: str, environ: dict) -> web.Reply:
-        """Answer one call; see :meth:`web.Fake.serve`."""
+        """Handle one call; see :meth:`web.Fake.serve`."""
         if time.monotonic() < self.down_until:
             raise web.BreakConnection
         match (method, path):
@@ -109,26 +110,26 @@
         return web.json_reply({}, "404 Not Found")
 
     def place(self, name: str, memory_mb: int, version: str = "1") -> None:
-        """Make a model resident at once, as if loaded long ago.
+        """Make a model resident immediately, without the duration of a load.
 
         :param name: the model.
-        :param memory_mb: its memory.
+        :param memory_mb: its memory, MB.
         :param version: its version.
         """
         self.memory.place(engine_memory.Item(name, version, memory_mb))
 
     @property
     def peak_memory_mb(self) -> int:
-        """Return the most memory ever taken, MB."""
+        """Return the peak of allocated memory, MB."""
         return self.memory.peak_mb
 
     @property
     def running(self) -> int:
-        """Return the requests in the batch."""
+        """Return the number of requests in the batch."""
         return len(self.batch.running)
 
     def restart(self) -> None:
-        """Break every connection and lose all memory, as a new process does."""
+        """Drop every connection and all memory, as when the process restarts."""
         self.memory.restart()
         self.crash()
 
@@ -160,19 +161,19 @@
         )
         order = engine_memory.Order(fields["id"], fields["kind"], item, fields["fence"])
         self.order_ids.append(order.id)
-        loads_already = item.key in self.memory.loading_by_key
+        already_loading = item.key in self.memory.loading_by_key
         reply = self.memory.take(order)
-        if reply is engine_memory.Reply.LOADING and not loads_already:
+        if reply is engine_memory.Reply.LOADING and not already_loading:
             gevent.spawn(self._finish_load, item)
         answer = {"outcome": reply, "highest_fence": self.memory.highest_fence}
         return web.json_reply(answer)
 
     def _finish_load(self, item: engine_memory.Item) -> None:
         duration_s = item.memory_mb / self.speed.load_mb_per_s
-        if self.store_places is None:
+        if self.load_slots is None:
             gevent.sleep(duration_s)
         else:
-            with self.store_places:
+            with self.load_slots:
                 gevent.sleep(duration_s)
         self.memory.finish(item.key)
 
@@ -186,29 +187,31 @@
             message = f"{model} is not loaded"
             return web.json_reply({"error": message}, "404 Not Found")
         request_id = environ.get("HTTP_X_REQUEST_ID", "")
-        # The caller's own body, without what the node added to it.
-        body = PRIORITY.sub(b"}", body)
+        # Strip the priority that the node appended, to get the caller's own body.
+        body = PRIORITY_SUFFIX.sub(b"}", body)
         digest = hashlib.sha256(body).hexdigest()[:12]
-        self.gates.pass_by(gates.Step.SENT)
+        self.gates.reach(gates.Step.SENT)
         self.runs.append(Run(request_id, digest))
         if POISON in body:
             self.crash()
-        wanted = request.get("max_tokens") or 16
+        token_limit = request.get("max_tokens") or 16
         offset = int(environ.get("HTTP_X_RESUME_OFFSET", 0))
-        prompt_tokens = len(body) // BYTES_A_TOKEN
+        prompt_tokens = len(body) // BYTES_PER_TOKEN
         priority = request.get("priority") or 0
-        tokens = self._tokens(prompt_tokens, digest, wanted, offset, priority)
+        tokens = self._tokens(prompt_tokens, digest, token_limit, offset, priority)
         chat = path.endswith("chat/completions")
         if request.get("stream"):
-            pieces = self._stream(tokens, request_id, model, chat, _usage(request))
+            events = self._stream(
+                tokens, request_id, model, chat, _includes_usage(request)
+            )
             headers = [("Content-Type", "text/event-stream")]
             headers += [("X-Resume-Offset", str(offset))] if offset else []
-            return web.Reply("200 OK", headers, pieces)
+            return web.Reply("200 OK", headers, events)
         text = "".join(tokens)
-        return web.json_reply(_whole(text, wanted, request_id, model, chat))
+        return web.json_reply(_completion(text, token_limit, request_id, model, chat))
 
     def crash(self) -> None:
-        """Break every connection, as when the engine's process dies."""
+        """Drop every connection, as when the engine's process dies."""
         self.crashes += 1
         self.down_until = time.monotonic() + self.restart_s
         self.break_connections()
@@ -218,34 +221,34 @@
         self,
         prompt_tokens: int,
         digest: str,
-        wanted: int,
+        token_limit: int,
         offset: int,
         priority: int,
     ) -> collections.abc.Iterator[str]:
-        """Yield tokens that depend on the request, as the batch allows."""
-        seat = self.batch.enter(priority)
+        """Yield tokens derived from the request, paced by the batch."""
+        request = self.batch.add(priority)
         try:
-            seat.runs.wait()
+            request.scheduled.wait()
             self._prefill(prompt_tokens)
-            for number in range(offset, wanted):
-                if number == wanted // 2:
-                    self.gates.pass_by(gates.Step.MID_ANSWER)
-                self._step(seat, prompt_tokens + number)
+            for number in range(offset, token_limit):
+                if number == token_limit // 2:
+                    self.gates.reach(gates.Step.MID_ANSWER)
+                self._step(request, prompt_tokens + number)
                 yield f"{digest}-{number} "
         finally:
-            self.batch.leave(seat)
+            self.batch.remove(request)
 
     def _prefill(self, tokens: int) -> None:
         with self.prefill:
             gevent.sleep(tokens / self.speed.prefill_tokens_per_s)
 
-    def _step(self, seat: engine_batch.Seat, context_tokens: int) -> None:
-        seat.runs.wait()
-        if seat.preempted:
-            seat.preempted = False
+    def _step(self, request: engine_batch.EngineRequest, context_tokens: int) -> None:
+        request.scheduled.wait()
+        if request.preempted:
+            request.preempted = False
             self._prefill(context_tokens)
-        others = max(0, self.running - 1)
-        gevent.sleep(self.speed.step_s + self.speed.step_s_per_request * others)
+        other_requests = max(0, self.running - 1)
+        gevent.sleep(self.speed.step_s + self.speed.step_s_per_request * other_requests)
 
     def _stream(
         self,
@@ -253,9 +256,9 @@
         request_id: str,
         model: str,
         chat: bool,
-        usage: bool,
+        include_usage: bool,
     ) -> collections.abc.Iterator[bytes]:
-        count = 0
+        token_count = 0
         event = {"id": request_id, "created": 0, "model": model}
         for token in tokens:
             choice = {"index": 0, "finish_reason": None}
@@ -267,16 +270,18 @@
                 "model": model,
                 "choices": [choice],
             }
-            count += 1
+            token_count += 1
             yield b"data: " + orjson.dumps(event) + b"\n\n"
-        if usage:
-            event = {**event, "choices": [], "usage": _counts(count)}
+        if include_usage:
+            event = {**event, "choices": [], "usage": _usage(token_count)}
             yield b"data: " + orjson.dumps(event) + b"\n\n"
-        self.gates.pass_by(gates.Step.BEFORE_END)
+        self.gates.reach(gates.Step.BEFORE_END)
         yield b"data: [DONE]\n\n"
 
 
-def _whole(text: str, tokens: int, request_id: str, model: str, chat: bool) -> dict:
+def _completion(
+    text: str, token_count: int, request_id: str, model: str, chat: bool
+) -> dict:
     choice = {"index": 0, "finish_reason": "length"}
     if chat:
         choice["message"] = {"role": "assistant", "content": text}
@@ -288,18 +293,18 @@
         "created": 0,
         "model": model,
         "choices": [choice],
-        "usage": _counts(tokens),
+        "usage": _usage(token_count),
     }
 
 
-def _usage(request: dict) -> bool:
+def _includes_usage(request: dict) -> bool:
     options = request.get("stream_options")
     return isinstance(options, dict) and bool(options.get("include_usage"))
 
 
-def _counts(tokens: int) -> dict:
+def _usage(token_count: int) -> dict:
     return {
         "prompt_tokens": 1,
-        "completion_tokens": tokens,
-        "total_tokens": tokens + 1,
+        "completion_tokens": token_count,
+        "total_tokens": token_count + 1,
     }
--- a/packages/mothworks_fakes/src/mothworks_fakes/engine_batch.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/engine_batch.py
@@ -1,7 +1,8 @@
 """The batch of a stand-in engine, with priorities and preemption.
 
-A request of higher priority takes the place of the last one of the lowest
-priority. That one waits, and its context is computed again when it goes on.
+A waiting request of higher priority preempts the latest running request of
+the lowest priority. The preempted request waits, and its context is
+recomputed when it resumes.
 """
 
 import itertools
@@ -11,76 +12,77 @@
 
 
 @attrs.define(eq=False)
-class Seat:
-    """One request in the engine.
+class EngineRequest:
+    """One request in the engine, running or waiting.
 
-    :param priority: lower goes first.
-    :param number: order of arrival.
-    :param runs: set while the request is in the batch.
-    :param preempted: whether it lost its place since it last ran.
+    :param priority: a lower value is scheduled first.
+    :param number: sequence number of its arrival.
+    :param scheduled: set while the request is in the batch.
+    :param preempted: whether it was preempted since its last step.
     """
 
     priority: int
     number: int
-    runs: gevent.event.Event = attrs.field(factory=gevent.event.Event)
+    scheduled: gevent.event.Event = attrs.field(factory=gevent.event.Event)
     preempted: bool = False
 
     @property
     def order(self) -> tuple[int, int]:
-        """Return the order of service."""
+        """Return the sort key of scheduling: priority, then arrival."""
         return (self.priority, self.number)
 
 
 class Batch:
-    """A bounded batch.
+    """A bounded batch and its waiting queue.
 
-    :param size: most requests in it.
+    :param size: maximum number of running requests.
     """
 
     def __init__(self, size: int):
         self.size = size
         self.numbers = itertools.count()
-        self.running: list[Seat] = []
-        self.waiting: list[Seat] = []
+        self.running: list[EngineRequest] = []
+        self.waiting: list[EngineRequest] = []
         self.preemptions = 0
 
-    def enter(self, priority: int) -> Seat:
-        """Take a place, or wait for one.
+    def add(self, priority: int) -> EngineRequest:
+        """Queue a request, and schedule it if a slot is free or can be preempted.
 
-        :param priority: lower goes first.
+        :param priority: a lower value is scheduled first.
+        :returns: the request; its ``scheduled`` event is set while it runs.
         """
-        seat = Seat(priority, next(self.numbers))
-        self.waiting.append(seat)
-        self._fill()
-        return seat
+        request = EngineRequest(priority, next(self.numbers))
+        self.waiting.append(request)
+        self._schedule()
+        return request
 
-    def leave(self, seat: Seat) -> None:
-        """Give a place back.
+    def remove(self, request: EngineRequest) -> None:
+        """Remove a request and schedule waiting ones.
 
-        :param seat: what :meth:`enter` returned.
+        :param request: what :meth:`add` returned.
         """
-        if seat in self.running:
-            self.running.remove(seat)
+        if request in self.running:
+            self.running.remove(request)
         else:
-            self.waiting.remove(seat)
-        self._fill()
+            self.waiting.remove(request)
+        self._schedule()
 
-    def _fill(self) -> None:
+    def _schedule(self) -> None:
         while self.waiting:
-            first = min(self.waiting, key=lambda seat: seat.order)
-            if len(self.running) >= self.size and not self._preempt(first.priority):
+            candidate = min(self.waiting, key=lambda request: request.order)
+            if len(self.running) >= self.size and not self._preempt(candidate.priority):
                 return
-            self.waiting.remove(first)
-            self.running.append(first)
-            first.runs.set()
+            self.waiting.remove(candidate)
+            self.running.append(candidate)
+            candidate.scheduled.set()
 
     def _preempt(self, priority: int) -> bool:
-        last = max(self.running, key=lambda seat: seat.order)
-        if last.priority <= priority:
+        victim = max(self.running, key=lambda request: request.order)
+        if victim.priority <= priority:
             return False
-        self.running.remove(last)
-        self.waiting.append(last)
-        last.runs.clear()
-        last.preempted = True
+        self.running.remove(victim)
+        self.waiting.append(victim)
+        victim.scheduled.clear()
+        victim.preempted = True
         self.preemptions += 1
         return True
--- a/packages/mothworks_fakes/src/mothworks_fakes/gates.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/gates.py
@@ -1,7 +1,8 @@
-"""Gates: a test stops a stand-in at a step, makes a fault, and lets it go on.
+"""Gates: a test blocks a stand-in at a step, injects a fault, and unblocks it.
 
-A stand-in passes a gate at each of its steps. Where a test has closed the
-gate of that step, the first task that comes there waits; all others pass.
+A stand-in reports each of its steps. If a test has closed the gate of that
+step, the first task that reaches it blocks until the test opens the gate; all
+other tasks continue.
 """
 
 import enum
@@ -10,29 +11,29 @@
 
 
 class Step(enum.StrEnum):
-    """Steps of a request that stand-ins can see."""
+    """Steps of a request that stand-ins observe."""
 
-    #: The object API received a claim and has not written it.
+    #: The object API received a claim and has not yet written it.
     BEFORE_CLAIM = "before claim"
-    #: The object API wrote a claim and has not replied.
+    #: The object API wrote a claim and has not yet replied.
     AFTER_CLAIM = "after claim"
-    #: The endpoint received the request and has not run it.
+    #: The endpoint received the request and has not yet run it.
     SENT = "sent"
-    #: The endpoint has sent half of the answer.
+    #: The endpoint has generated half of the answer.
     MID_ANSWER = "mid-answer"
-    #: The endpoint has sent all but the end of the answer.
+    #: The endpoint has sent the whole answer but its end marker.
     BEFORE_END = "before end"
 
 
 class Gate:
-    """A place where one task waits."""
+    """Blocks the first task that reaches a step."""
 
     def __init__(self):
         self.reached = gevent.event.Event()
         self.opened = gevent.event.Event()
 
-    def stand(self) -> None:
-        """Wait here if no task did before."""
+    def wait(self) -> None:
+        """Block until the gate opens; only the first task blocks."""
         if self.reached.is_set():
             return
         self.reached.set()
@@ -48,16 +49,16 @@
     def close(self, step: Step) -> Gate:
         """Close the gate of a step and return it.
 
-        :param step: where the next task shall wait.
+        :param step: the step at which the next task blocks.
         """
         gate = self.gate_by_step[step] = Gate()
         return gate
 
-    def pass_by(self, step: Step) -> None:
-        """Go through a step, waiting where its gate is closed.
+    def reach(self, step: Step) -> None:
+        """Report that a task reached a step; block if its gate is closed.
 
         :param step: the step.
         """
         gate = self.gate_by_step.get(step)
         if gate is not None:
-            gate.stand()
+            gate.wait()
--- a/packages/mothworks_fakes/src/mothworks_fakes/object_api.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/object_api.py
@@ -1,4 +1,7 @@
-"""Stand-in for the platform's object API: versions, conditions, watches."""
+"""Stand-in for the platform's object API.
+
+It supports versions, conditional writes and watches.
+"""
 
 import collections
 import urllib.parse
@@ -9,9 +12,9 @@
 
 from mothworks_fakes import gates, web
 
-#: Longest value, as on the platform.
-MOST_BYTES = 1_000_000
-#: How the keys of claims start; gates stop writes of these.
+#: Maximum size of an object, as on the platform.
+MAX_OBJECT_BYTES = 1_000_000
+#: Key prefix of claims; gates block only writes of claims.
 CLAIM_PREFIX = "claims/"
 
 
@@ -19,7 +22,7 @@
 class Item:
     """A stored object.
 
-    :param revision: the store's revision at the last write.
+    :param revision: the store's revision at the object's last write.
     :param body: its content.
     """
 
@@ -28,13 +31,13 @@
 
 
 class ObjectApi(web.Fake):
-    """Keeps objects in memory.
+    """Stores objects in memory.
 
-    Clients may be told apart by the first part of their base URL's path,
+    Clients may be identified by the path of their base URL,
     ``/clients/<name>``, so that a test can cut one of them off.
 
     :param port: TCP port; 0 lets the kernel choose.
-    :param seed: seed of the faults' randomness.
+    :param seed: seed of the random faults.
     """
 
     def __init__(self, port: int = 0, seed: int = 0):
@@ -44,17 +47,17 @@
         self.changes: list[tuple[int, str]] = []
         self.changed = gevent.event.Event()
         self.reads = 0
-        #: Reads by the first part of the key.
+        #: Number of reads by the first segment of the key.
         self.reads_by_kind: collections.Counter[str] = collections.Counter()
         self.writes = 0
-        #: Share of reads that return what the object was before.
+        #: Fraction of reads that return the previous version of the object.
         self.stale_reads = 0.0
-        #: Names of clients that the network has cut off.
+        #: Names of clients whose calls fail, as when the network is partitioned.
         self.cut_off: set[str] = set()
         self.previous_by_key: dict[str, Item | None] = {}
 
     def serve(self, method: str, path: str, environ: dict) -> web.Reply:
-        """Answer one call; see :meth:`web.Fake.serve`."""
+        """Handle one call; see :meth:`web.Fake.serve`."""
         query = dict(urllib.parse.parse_qsl(environ.get("QUERY_STRING", "")))
         if path.startswith("/clients/"):
             client, _, rest = path.removeprefix("/clients/").partition("/")
@@ -101,28 +104,28 @@
     def _put(self, key: str, environ: dict) -> web.Reply:
         self.writes += 1
         body = environ["wsgi.input"].read()
-        if len(body) > MOST_BYTES:
+        if len(body) > MAX_OBJECT_BYTES:
             return web.json_reply({}, "413 Content Too Large")
-        self._pass_by(gates.Step.BEFORE_CLAIM, key)
+        self._reach(gates.Step.BEFORE_CLAIM, key)
         if not self._condition_holds(key, environ):
             return web.json_reply({}, "412 Precondition Failed")
-        self._record(key)
+        self._record_change(key)
         self.item_by_key[key] = Item(self.revision, body)
         version = str(self.revision)
-        self._pass_by(gates.Step.AFTER_CLAIM, key)
+        self._reach(gates.Step.AFTER_CLAIM, key)
         return web.Reply("200 OK", [("ETag", version)], [b"{}"])
 
     def _delete(self, key: str, environ: dict) -> web.Reply:
         self.writes += 1
         if not self._condition_holds(key, environ):
             return web.json_reply({}, "412 Precondition Failed")
-        self._record(key)
+        self._record_change(key)
         del self.item_by_key[key]
         return web.json_reply({})
 
-    def _pass_by(self, step: gates.Step, key: str) -> None:
+    def _reach(self, step: gates.Step, key: str) -> None:
         if key.startswith(CLAIM_PREFIX):
-            self.gates.pass_by(step)
+            self.gates.reach(step)
 
     def _condition_holds(self, key: str, environ: dict) -> bool:
         item = self.item_by_key.get(key)
@@ -130,7 +133,7 @@
             return item is None
         return item is not None and environ.get("HTTP_IF_MATCH") == str(item.revision)
 
-    def _record(self, key: str) -> None:
+    def _record_change(self, key: str) -> None:
         self.revision += 1
         self.previous_by_key[key] = self.item_by_key.get(key)
         self.changes.append((self.revision, key))
@@ -142,12 +145,12 @@
         self._count_read(prefix)
         cursor = int(query.get("cursor") or self.revision)
         with gevent.Timeout(float(query["wait"]), False):
-            while not self._keys_after(prefix, cursor):
+            while not self._keys_changed_after(prefix, cursor):
                 self.changed.wait()
-        keys = self._keys_after(prefix, cursor)
+        keys = self._keys_changed_after(prefix, cursor)
         return web.json_reply({"cursor": str(self.revision), "keys": keys})
 
-    def _keys_after(self, prefix: str, cursor: int) -> list[str]:
+    def _keys_changed_after(self, prefix: str, cursor: int) -> list[str]:
         keys = []
         for revision, key in reversed(self.changes):
             if revision <= cursor:
--- a/packages/mothworks_fakes/src/mothworks_fakes/web.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/web.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a small WSGI server and its fault knobs."""
+"""Base of the stand-ins: a small WSGI server with fault injection."""
 
 import collections.abc
 import random
@@ -18,16 +18,16 @@
 
 @attrs.define
 class Faults:
-    """Knobs that make a stand-in fail; set in code or by ``PUT /faults``.
+    """Faults to inject into a stand-in; set in code or by ``PUT /faults``.
 
-    :param outage: every call is refused with 503.
-    :param delay_s: time before a call is served, seconds.
-    :param lost_reply: share of calls that take effect, but whose connection
+    :param outage: every call fails with 503.
+    :param delay_s: delay before a call is handled, seconds.
+    :param lost_reply: fraction of calls that take effect, but whose connection
         breaks before the reply.
-    :param dropped: share of calls whose connection breaks before they take
+    :param dropped: fraction of calls whose connection breaks before they take
         effect.
-    :param only: faults touch only paths that start so.
-    :param writes_only: faults touch only calls that are no GET.
+    :param only: faults affect only paths with this prefix.
+    :param writes_only: faults affect only calls other than GET.
     """
 
     outage: bool = False
@@ -40,11 +40,11 @@
 
 @attrs.frozen
 class Reply:
-    """What a stand-in answers.
+    """A stand-in's reply.
 
-    :param status: status and reason.
+    :param status: status code and reason phrase.
     :param headers: the headers.
-    :param body: the body's pieces.
+    :param body: the body's chunks.
     """
 
     status: str
@@ -53,10 +53,10 @@
 
 
 def json_reply(value: typing.Any, status: str = "200 OK") -> Reply:
-    """Return a reply of plain values.
+    """Return a JSON reply.
 
-    :param value: maps, lists, texts and numbers.
-    :param status: status and reason.
+    :param value: a JSON-serialisable value.
+    :param status: status code and reason phrase.
     """
     return Reply(status, [("Content-Type", "application/json")], [orjson.dumps(value)])
 
@@ -71,8 +71,8 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def handle_error(self, kind, value, trace):
-        # The server would send a 500 before it closes; a process that dies
-        # sends nothing.
+        # By default the server sends a 500 before it closes the connection, but a
+        # process that dies sends nothing.
         if isinstance(value, (BreakConnection, gevent.GreenletExit)):
             self.close_connection = True
             return
@@ -83,7 +83,7 @@
     """Base of the stand-ins.
 
     :param port: TCP port; 0 lets the kernel choose.
-    :param seed: seed of the faults' randomness.
+    :param seed: seed of the random faults.
     """
 
     def __init__(self, port: int = 0, seed: int = 0):
@@ -103,21 +103,21 @@
         self.url = f"http://127.0.0.1:{self.port}"
 
     def start(self) -> "Fake":
-        """Serve until :meth:`stop`; returns the stand-in itself."""
+        """Start serving, until :meth:`stop`; return the stand-in itself."""
         self.server.start()
         return self
 
     def stop(self) -> None:
-        """Close the listener and break every connection."""
+        """Close the listener and drop every connection."""
         self.server.stop(timeout=0)
         self.break_connections()
 
     def break_connections(self) -> None:
-        """Break every connection, as when the process dies and restarts."""
+        """Drop every connection, as when the process dies and restarts."""
         self.pool.kill(block=False)
 
     def serve(self, method: str, path: str, environ: dict) -> Reply:
-        """Answer one call; each stand-in has its own.
+        """Handle one call; each stand-in implements this.
 
         :param method: the HTTP method.
         :param path: the path.
@@ -125,8 +125,8 @@
         """
         raise NotImplementedError
 
-    def immune(self, path: str) -> bool:
-        """Return whether faults spare a path.
+    def is_exempt(self, path: str) -> bool:
+        """Return whether a path is exempt from faults.
 
         :param path: the path.
         """
@@ -134,18 +134,18 @@
 
     def _application(self, environ: dict, start_response: typing.Callable) -> Body:
         path = environ["PATH_INFO"]
-        reply = self._faulty(path, environ)
+        reply = self._serve_with_faults(path, environ)
         start_response(reply.status, reply.headers)
         return reply.body
 
-    def _faulty(self, path: str, environ: dict) -> Reply:
+    def _serve_with_faults(self, path: str, environ: dict) -> Reply:
         method = environ["REQUEST_METHOD"]
         if path == "/faults":
-            return self._set_faults(environ)
+            return self._configure_faults(environ)
         faults = self.faults
-        spared = not path.startswith(faults.only)
-        spared = spared or (faults.writes_only and method == "GET")
-        if spared or self.immune(path):
+        unaffected = not path.startswith(faults.only)
+        unaffected = unaffected or (faults.writes_only and method == "GET")
+        if unaffected or self.is_exempt(path):
             return self.serve(method, path, environ)
         if faults.delay_s:
             gevent.sleep(faults.delay_s)
@@ -158,7 +158,7 @@
             raise BreakConnection
         return reply
 
-    def _set_faults(self, environ: dict) -> Reply:
+    def _configure_faults(self, environ: dict) -> Reply:
         if environ["REQUEST_METHOD"] == "PUT":
             changed = orjson.loads(environ["wsgi.input"].read())
             self.faults = attrs.evolve(self.faults, **changed)
