--- a/packages/mothworks_fakes/src/mothworks_fakes/callers.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/callers.py
@@ -1,6 +1,6 @@
-"""A caller that does what callers do: it sends again until it has an answer.
+"""A caller that retries each request until it has a final answer.
 
-It keeps one story for each request, from which history checks judge.
+It records every attempt of a request, and checks the recorded history.
 """
 
 import collections.abc
@@ -15,33 +15,33 @@
 
 from mothworks_fakes import history
 
-#: Times that a caller sends the same request.
-MOST_SENDS = 60
-#: Pause of a caller before it sends again, seconds.
-RESEND_S = 0.3
-#: Longest silence that a caller accepts, seconds.
-PATIENCE_S = 20.0
+#: Maximum number of attempts of a request.
+MAX_ATTEMPTS = 60
+#: Delay before a retry, seconds.
+RETRY_DELAY_S = 0.3
+#: Maximum time without received data, seconds.
+READ_TIMEOUT_S = 20.0
 
-_BROKEN = (OSError, geventhttpclient.response.HTTPParseError)
+_CONNECTION_ERRORS = (OSError, geventhttpclient.response.HTTPParseError)
 
 
 class Kind(enum.StrEnum):
-    """What is asked for."""
+    """Kind of a request."""
 
-    #: A streamed answer of a model, repeatable.
+    #: A streamed completion of a model; it may run more than once.
     STREAM = "stream"
     #: A call of a service that may run at most once.
     ORDER = "order"
 
 
 @attrs.frozen
-class Ask:
+class Request:
     """One request of a caller.
 
-    :param kind: what is asked for.
+    :param kind: the kind of the request.
     :param target: the model or service.
-    :param number: makes body and idempotency key unique.
-    :param tokens: tokens of a stream.
+    :param number: unique number; makes body and idempotency key unique.
+    :param tokens: number of tokens of a stream.
     """
 
     kind: Kind
@@ -51,14 +51,14 @@
 
     @property
     def path(self) -> str:
-        """Return the path on a node."""
+        """Return the path of the call."""
         if self.kind is Kind.ORDER:
             return f"/services/{self.target}/confirm"
         return "/v1/chat/completions"
 
     @property
     def body(self) -> bytes:
-        """Return the body, the same for each sending."""
+        """Return the body, which is the same in each attempt."""
         messages = [{"role": "user", "content": f"request {self.number}"}]
         return orjson.dumps(
             {
@@ -71,22 +71,22 @@
 
     @property
     def digest(self) -> str:
-        """Return the body's hash, as engines write it into tokens."""
+        """Return the hash of the body, which engines write into each token."""
         return hashlib.sha256(self.body).hexdigest()[:12]
 
 
 @attrs.define
-class Answer:
-    """What the caller got from one sending.
-
-    :param url: the node asked.
-    :param status: the HTTP status; 0 where the connection broke.
-    :param ran: what a refusal said about running.
-    :param body: the body as far as it came.
-    :param retry: whether a refusal said when to send the request again.
-    :param request_id: the id that the node gave this sending.
-    :param runs: runs that the endpoints had seen by then: of an order, of all
-        its sendings; of a stream, which has no key, of this sending.
+class Attempt:
+    """The result of one attempt.
+
+    :param url: base URL of the node that received it.
+    :param status: the HTTP status; 0 if the connection broke.
+    :param ran: what a refusal states about whether the request ran.
+    :param retry: whether the response has a ``Retry-After`` header.
+    :param request_id: the request id that the node assigned to this attempt.
+    :param body: the received body; may be incomplete if the connection broke.
+    :param runs: runs that the endpoints have started by then: for an order, of
+        all attempts; for a stream, which has no idempotency key, of this attempt.
     """
 
     url: str
@@ -99,62 +99,67 @@
 
 
 @attrs.define
-class Story:
-    """What happened to one request.
+class RequestHistory:
+    """The history of one request.
 
-    :param ask: the request.
-    :param answers: the caller's answers, in order.
+    :param request: the request.
+    :param attempts: its attempts, in order.
     """
 
-    ask: Ask
-    answers: list[Answer] = attrs.field(factory=list)
+    request: Request
+    attempts: list[Attempt] = attrs.field(factory=list)
 
-    def is_over(self) -> bool:
-        """Return whether the last answer is final."""
-        if not self.answers:
+    def is_final(self) -> bool:
+        """Return whether the last attempt is final."""
+        if not self.attempts:
             return False
-        last = self.answers[-1]
-        if self.ask.kind is Kind.ORDER:
+        last = self.attempts[-1]
+        if self.request.kind is Kind.ORDER:
             return last.status == 200 or (last.ran == "unknown" and not last.retry)
         return last.status == 200 and last.body.endswith(b"[DONE]\n\n")
 
     def check(self) -> list[str]:
-        """Return what the story violates."""
+        """Return the violations in this history."""
         violations = [
-            f"{self.ask}: {answer.url} said ran: no after {answer.runs} runs"
-            for answer in self.answers
-            if answer.ran == "no" and answer.runs
+            f"{self.request}: {attempt.url} states ran: no after {attempt.runs} runs"
+            for attempt in self.attempts
+            if attempt.ran == "no" and attempt.runs
         ]
-        if not self.is_over():
-            last = self.answers[-1] if self.answers else None
-            return [*violations, f"{self.ask}: no final answer, last {last}"]
-        if self.ask.kind is Kind.ORDER:
-            return violations + self._check_order(self.answers[-1])
-        return violations + self._check_stream(self.answers[-1])
-
-    def _check_order(self, answer: Answer) -> list[str]:
+        if not self.is_final():
+            last = self.attempts[-1] if self.attempts else None
+            return [
+                *violations,
+                f"{self.request}: no final answer; last attempt: {last}",
+            ]
+        if self.request.kind is Kind.ORDER:
+            return violations + self._check_order(self.attempts[-1])
+        return violations + self._check_stream(self.attempts[-1])
+
+    def _check_order(self, attempt: Attempt) -> list[str]:
         violations = []
-        if answer.runs > 1:
-            violations.append(f"{self.ask}: the order ran {answer.runs} times")
-        if answer.status == 200 and answer.runs != 1:
-            violations.append(f"{self.ask}: an answer after {answer.runs} runs")
-        if answer.status == 200:
-            echo = orjson.loads(answer.body).get("echo", "")
-            if echo.encode() != self.ask.body:
-                violations.append(f"{self.ask}: the answer of another order")
+        if attempt.runs > 1:
+            violations.append(f"{self.request}: the order ran {attempt.runs} times")
+        if attempt.status == 200 and attempt.runs != 1:
+            violations.append(f"{self.request}: answered after {attempt.runs} runs")
+        if attempt.status == 200:
+            echo = orjson.loads(attempt.body).get("echo", "")
+            if echo.encode() != self.request.body:
+                violations.append(
+                    f"{self.request}: received the answer to another order"
+                )
         return violations
 
-    def _check_stream(self, answer: Answer) -> list[str]:
+    def _check_stream(self, attempt: Attempt) -> list[str]:
         record = history.Record(
-            number=self.ask.number,
+            number=self.request.number,
             traffic="stream",
-            url=answer.url,
-            digest=self.ask.digest,
+            url=attempt.url,
+            digest=self.request.digest,
             due_s=0.0,
-            wanted_tokens=self.ask.tokens,
-            status=answer.status,
+            wanted_tokens=self.request.tokens,
+            status=attempt.status,
         )
-        record.take_stream(answer.body)
+        record.take_stream(attempt.body)
         return history.check_answers([record])
 
 
@@ -167,51 +172,51 @@
     def __init__(self, key: str):
         self.key = key
 
-    def ask(
+    def send_until_final(
         self,
-        story: Story,
+        request_history: RequestHistory,
         next_url: collections.abc.Callable[[], str],
-        count_runs: collections.abc.Callable[[Ask, str], int],
+        count_runs: collections.abc.Callable[[Request, str], int],
     ) -> None:
         """Send a request until it has a final answer.
 
-        :param story: the request; its answers are added here.
-        :param next_url: returns the node for the next sending.
-        :param count_runs: returns the runs of a request, see :class:`Answer`.
+        :param request_history: the request's history; the attempts are added to it.
+        :param next_url: returns the base URL for the next attempt.
+        :param count_runs: returns the runs of a request, see :class:`Attempt`.
         """
-        for _ in range(MOST_SENDS):
-            answer = self.send(story.ask, next_url())
-            answer.runs = count_runs(story.ask, answer.request_id)
-            story.answers.append(answer)
-            if story.is_over():
+        for _ in range(MAX_ATTEMPTS):
+            attempt = self.send(request_history.request, next_url())
+            attempt.runs = count_runs(request_history.request, attempt.request_id)
+            request_history.attempts.append(attempt)
+            if request_history.is_final():
                 return
-            gevent.sleep(RESEND_S)
+            gevent.sleep(RETRY_DELAY_S)
 
-    def send(self, ask: Ask, url: str) -> Answer:
+    def send(self, request: Request, url: str) -> Attempt:
         """Send a request once.
 
-        :param ask: the request.
+        :param request: the request.
         :param url: the node's base URL.
         """
         headers = {
             "Authorization": f"Bearer {self.key}",
             "Content-Type": "application/json",
         }
-        if ask.kind is Kind.ORDER:
-            headers["Idempotency-Key"] = f"order-{ask.number}"
-        http = geventhttpclient.HTTPClient.from_url(url, network_timeout=PATIENCE_S)
-        answer = Answer(url)
+        if request.kind is Kind.ORDER:
+            headers["Idempotency-Key"] = f"order-{request.number}"
+        http = geventhttpclient.HTTPClient.from_url(url, network_timeout=READ_TIMEOUT_S)
+        attempt = Attempt(url)
         try:
-            reply = http.post(ask.path, ask.body, headers)
-            answer.ran = reply.get("mothworks-ran", "")
-            answer.retry = "retry-after" in reply
-            answer.request_id = reply.get("x-request-id", "")
-            answer.body = bytes(reply.read())
-            answer.status = reply.status_code
-        except _BROKEN:
-            # A connection that broke leaves status 0; what came of the body
-            # is of no use to a caller who cannot tell how it would go on.
+            response = http.post(request.path, request.body, headers)
+            attempt.ran = response.get("mothworks-ran", "")
+            attempt.retry = "retry-after" in response
+            attempt.request_id = response.get("x-request-id", "")
+            attempt.body = bytes(response.read())
+            attempt.status = response.status_code
+        except _CONNECTION_ERRORS:
+            # A broken connection leaves status 0; a caller cannot use an incomplete
+            # body, because it does not know the rest.
             pass
         finally:
             http.close()
-        return answer
+        return attempt
--- a/packages/mothworks_fakes/src/mothworks_fakes/soak.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/soak.py
@@ -1,9 +1,10 @@
-"""Soak: many callers, random faults on real processes, checked histories.
+"""Soak test: many callers, random faults in real processes, checked histories.
 
-``python -m mothworks_fakes.soak --seconds 120 --seed 1`` prints each fault as
-it is made, and at the end every broken promise; it exits with 1 if there is
-one. The faults come from the seed; how they meet the requests does not, so
-a red run names a story and not an exact repetition.
+``python -m mothworks_fakes.soak --seconds 120 --seed 1`` prints each fault when
+it is injected, and at the end every violation; it exits with 1 if there is
+one. The seed determines the faults but not their timing relative to the
+requests, so a failed run shows the history of a request but is not exactly
+reproducible.
 """
 
 import collections
@@ -29,26 +30,26 @@
 NODES = 6
 ENGINES = 4
 INSTANCES = 2
-#: Callers that each have one request under way.
+#: Number of callers, each with one request at a time.
 CALLERS = 24
 #: Pause between a caller's requests, seconds.
-THINK_S = 0.05
-#: Shortest and longest time between faults, seconds.
-BETWEEN_FAULTS_S = (0.5, 3.0)
-#: Shortest and longest time that a fault lasts, seconds.
-FAULT_S = (0.5, 4.0)
-#: Nodes that stay untouched, so that callers always find one.
-SPARED = 2
-#: Seconds between reads of every node's revision.
-WATCH_S = 0.25
-#: Share of requests that are orders.
-ORDER_SHARE = 0.4
+THINK_TIME_S = 0.05
+#: Minimum and maximum time between faults, seconds.
+FAULT_INTERVAL_S = (0.5, 3.0)
+#: Minimum and maximum duration of a fault, seconds.
+FAULT_DURATION_S = (0.5, 4.0)
+#: Minimum number of nodes without a fault, so that callers can reach one.
+MIN_HEALTHY_NODES = 2
+#: Interval of polling every node's revision, seconds.
+REVISION_POLL_S = 0.25
+#: Fraction of requests that are orders.
+ORDER_FRACTION = 0.4
 
 
 class Soak:
-    """One run.
+    """One run of the soak test.
 
-    :param bed: the stand-ins; nodes are added here.
+    :param bed: the stand-ins; the nodes are added to it.
     :param seed: seed of faults and requests.
     """
 
@@ -56,34 +57,36 @@
         self.bed = bed
         self.random = random.Random(seed)
         self.numbers = itertools.count(1)
-        self.stories: list[callers.Story] = []
+        self.histories: list[callers.RequestHistory] = []
         self.revisions_by_start: dict[str, list[int]] = collections.defaultdict(list)
         self.starts = itertools.count(1)
         self.start_by_vm: dict[str, int] = {}
-        self.hurt: set[str] = set()
+        self.faulty_vms: set[str] = set()
         self.declared = self._declare()
         self.revision = 0
-        self.over = False
+        self.stopping = False
 
     def run(self, seconds: float) -> list[str]:
         """Run for a time and return every violation.
 
-        :param seconds: how long faults are made.
+        :param seconds: duration of the fault injection, seconds.
         """
-        for place in range(NODES):
-            self._start(f"vm-{place}")
+        for index in range(NODES):
+            self._start(f"vm-{index}")
         self.revision = self.bed.apply(self.declared)
         self._settle()
-        asking = [gevent.spawn(self._ask_on) for _ in range(CALLERS)]
-        watching = gevent.spawn(self._watch_revisions)
-        faults = gevent.spawn(self._make_faults, time.monotonic() + seconds)
-        faults.get()
-        self.over = True
-        gevent.joinall(asking, raise_error=True)
+        senders = [gevent.spawn(self._send_requests) for _ in range(CALLERS)]
+        watcher = gevent.spawn(self._watch_revisions)
+        injector = gevent.spawn(self._inject_faults, time.monotonic() + seconds)
+        injector.get()
+        self.stopping = True
+        gevent.joinall(senders, raise_error=True)
         self._settle()
-        watching.kill()
+        watcher.kill()
         violations = [
-            violation for story in self.stories for violation in story.check()
+            violation
+            for request_history in self.histories
+            for violation in request_history.check()
         ]
         engines = list(self.bed.engines())
         return [
@@ -92,16 +95,18 @@
             *history.check_memory(engines),
         ]
 
-    def _ask_on(self) -> None:
+    def _send_requests(self) -> None:
         caller = callers.Caller(CALLER_KEY)
-        while not self.over:
-            order = self.random.random() < ORDER_SHARE
+        while not self.stopping:
+            order = self.random.random() < ORDER_FRACTION
             kind = callers.Kind.ORDER if order else callers.Kind.STREAM
             target = SERVICE if order else self.random.choice(MODELS)
-            story = callers.Story(callers.Ask(kind, target, next(self.numbers)))
-            self.stories.append(story)
-            caller.ask(story, self._any_url, self.bed.count_runs)
-            gevent.sleep(THINK_S)
+            request_history = callers.RequestHistory(
+                callers.Request(kind, target, next(self.numbers))
+            )
+            self.histories.append(request_history)
+            caller.send_until_final(request_history, self._any_url, self.bed.count_runs)
+            gevent.sleep(THINK_TIME_S)
 
     def _any_url(self) -> str:
         return self.random.choice(list(self.bed.node_by_name.values())).url
@@ -113,10 +118,10 @@
                 shown = self.bed.operator(node).get("catalogue")
                 if shown.is_ok():
                     self.revisions_by_start[start].append(shown.ok()["revision"])
-            gevent.sleep(WATCH_S)
+            gevent.sleep(REVISION_POLL_S)
 
-    def _make_faults(self, until: float) -> None:
-        makers = (
+    def _inject_faults(self, deadline: float) -> None:
+        injectors = (
             self._kill_node,
             self._kill_node,
             self._pause_node,
@@ -127,62 +132,64 @@
             self._slow_api,
             self._change_configuration,
         )
-        while time.monotonic() < until:
-            maker = self.random.choice(makers)
-            gevent.spawn(maker)
-            gevent.sleep(self.random.uniform(*BETWEEN_FAULTS_S))
-        processes.wait_until(lambda: not self.hurt, timeout_s=120.0)
+        while time.monotonic() < deadline:
+            injector = self.random.choice(injectors)
+            gevent.spawn(injector)
+            gevent.sleep(self.random.uniform(*FAULT_INTERVAL_S))
+        processes.wait_until(lambda: not self.faulty_vms, timeout_s=120.0)
 
     def _kill_node(self) -> None:
-        with _Hurt(self) as name:
+        with _FaultTarget(self) as name:
             if name:
-                _say(f"kill {name}")
+                _log(f"kill {name}")
                 self.bed.node_by_name[name].kill()
-                self._wait()
+                self._wait_fault()
                 self._start(name)
 
     def _pause_node(self) -> None:
-        with _Hurt(self) as name:
+        with _FaultTarget(self) as name:
             if name:
-                _say(f"pause {name}")
+                _log(f"pause {name}")
                 self.bed.node_by_name[name].pause()
-                self._wait()
+                self._wait_fault()
                 self.bed.node_by_name[name].resume()
 
     def _stop_node(self) -> None:
-        with _Hurt(self) as name:
+        with _FaultTarget(self) as name:
             if name:
-                _say(f"stop {name}")
+                _log(f"stop {name}")
                 code = self.bed.node_by_name[name].stop()
-                _say(f"{name} ended with code {code}")
+                _log(f"{name} ended with code {code}")
                 self._start(name)
 
     def _break_endpoint(self) -> None:
         name = self.random.choice(sorted(self.bed.fake_by_endpoint))
-        _say(f"break connections of {name}")
+        _log(f"break connections of {name}")
         self.bed.fake_by_endpoint[name].break_connections()
 
     def _fail_api(self) -> None:
-        _say("object API outage")
+        _log("object API outage")
         self._with_api_faults(outage=True)
 
     def _lose_replies(self) -> None:
-        _say("object API loses replies")
+        _log("object API loses replies")
         self._with_api_faults(lost_reply=0.4)
 
     def _slow_api(self) -> None:
-        _say("object API is slow")
+        _log("object API is slow")
         self._with_api_faults(delay_s=0.3)
 
-    def _with_api_faults(self, **knobs) -> None:
+    def _with_api_faults(self, **faults) -> None:
         api = self.bed.object_api
-        calm = {"outage": False, "lost_reply": 0.0, "delay_s": 0.0}
-        api.faults = attrs.evolve(api.faults, **knobs)
-        self._wait()
-        api.faults = attrs.evolve(api.faults, **{name: calm[name] for name in knobs})
+        no_faults = {"outage": False, "lost_reply": 0.0, "delay_s": 0.0}
+        api.faults = attrs.evolve(api.faults, **faults)
+        self._wait_fault()
+        api.faults = attrs.evolve(
+            api.faults, **{name: no_faults[name] for name in faults}
+        )
 
     def _change_configuration(self) -> None:
-        _say("change of configuration")
+        _log("change of configuration")
         share = round(self.random.uniform(0.5, 1.0), 3)
         changed_callers = tuple(
             attrs.evolve(item, share=share) for item in self.declared.callers
@@ -193,8 +200,8 @@
         if current.is_ok():
             self.bed.put_catalogue(node, self.declared, current.ok()["revision"])
 
-    def _wait(self) -> None:
-        gevent.sleep(self.random.uniform(*FAULT_S))
+    def _wait_fault(self) -> None:
+        gevent.sleep(self.random.uniform(*FAULT_DURATION_S))
 
     def _start(self, name: str) -> None:
         data_centre = _data_centre(int(name.removeprefix("vm-")))
@@ -215,13 +222,13 @@
     def _declare(self) -> catalogue.Catalogue:
         engines = [
             testbed.engine_endpoint(
-                f"engine-{place}", _data_centre(place), fencing=place % 2 == 0
+                f"engine-{index}", _data_centre(index), fencing=index % 2 == 0
             )
-            for place in range(ENGINES)
+            for index in range(ENGINES)
         ]
         instances = [
-            testbed.service_endpoint(f"orders-{place}", _data_centre(place), SERVICE)
-            for place in range(INSTANCES)
+            testbed.service_endpoint(f"orders-{index}", _data_centre(index), SERVICE)
+            for index in range(INSTANCES)
         ]
         return catalogue.Catalogue(
             data_centres=tuple(
@@ -238,8 +245,10 @@
         )
 
 
-class _Hurt:
-    """Holds one node that is hurt, so that no other fault touches it.
+class _FaultTarget:
+    """Reserves a node for one fault, so that no other fault affects it.
+
+    Entering returns the node's name, or None if too few nodes are healthy.
 
     :param soak: the run.
     """
@@ -249,20 +258,20 @@
         self.name: str | None = None
 
     def __enter__(self) -> str | None:
-        whole = sorted(set(self.soak.bed.node_by_name) - self.soak.hurt)
-        if len(whole) > SPARED:
-            self.name = self.soak.random.choice(whole)
-            self.soak.hurt.add(self.name)
+        healthy_vms = sorted(set(self.soak.bed.node_by_name) - self.soak.faulty_vms)
+        if len(healthy_vms) > MIN_HEALTHY_NODES:
+            self.name = self.soak.random.choice(healthy_vms)
+            self.soak.faulty_vms.add(self.name)
         return self.name
 
     def __exit__(self, *_) -> None:
-        self.soak.hurt.discard(self.name)
+        self.soak.faulty_vms.discard(self.name)
 
 
 def run(*, seconds: float = 60.0, seed: int = 1) -> None:
-    """Run the soak and print what it found.
+    """Run the soak test and print the violations.
 
-    :param seconds: how long faults are made.
+    :param seconds: duration of the fault injection, seconds.
     :param seed: seed of faults and requests.
     """
     with tempfile.TemporaryDirectory() as folder:
@@ -277,23 +286,25 @@
 
 
 def _report(soak: Soak, violations: list[str]) -> None:
-    sends = sum(len(story.answers) for story in soak.stories)
+    attempts = sum(len(request_history.attempts) for request_history in soak.histories)
     unknown = sum(
-        story.answers[-1].ran == "unknown" for story in soak.stories if story.answers
+        request_history.attempts[-1].ran == "unknown"
+        for request_history in soak.histories
+        if request_history.attempts
     )
     print(
-        f"{len(soak.stories)} requests, {sends} sendings, {unknown} orders ended "
-        f"as unknown, {len(violations)} violations"
+        f"{len(soak.histories)} requests, {attempts} attempts, {unknown} orders with "
+        f"an unknown outcome, {len(violations)} violations"
     )
     for violation in violations:
         print("VIOLATION", violation)
 
 
-def _data_centre(place: int) -> str:
-    return DATA_CENTRES[place % len(DATA_CENTRES)]
+def _data_centre(index: int) -> str:
+    return DATA_CENTRES[index % len(DATA_CENTRES)]
 
 
-def _say(text: str) -> None:
+def _log(text: str) -> None:
     print(f"{time.strftime('%H:%M:%S')} {text}", flush=True)
 
 
--- a/packages/mothworks_fakes/src/mothworks_fakes/testbed.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/testbed.py
@@ -1,4 +1,7 @@
-"""A whole deployment on one machine: stand-ins here, nodes as processes."""
+"""A whole deployment on one machine.
+
+The stand-ins run in this process, each node in its own.
+"""
 
 import collections.abc
 import hashlib
@@ -24,18 +27,18 @@
 
 
 def key_hash(key: str) -> str:
-    """Return the hash that catalogue and settings hold for a key.
+    """Return the hash by which catalogue and settings identify a key.
 
-    :param key: the key.
+    :param key: the API key.
     """
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def engine_endpoint(name: str, data_centre: str, **changes) -> catalogue.Endpoint:
-    """Return the declaration of an engine; starting it gives it its port.
+    """Return the declaration of an engine; its port is set when it starts.
 
     :param name: its name.
-    :param data_centre: where it runs.
+    :param data_centre: its data centre.
     :param changes: further fields of :class:`catalogue.Endpoint`.
     """
     fields = {
@@ -51,10 +54,10 @@
 
 
 def service_endpoint(name: str, data_centre: str, service: str) -> catalogue.Endpoint:
-    """Return the declaration of a service's instance; see :func:`engine_endpoint`.
+    """Return the declaration of a service instance; see :func:`engine_endpoint`.
 
     :param name: its name.
-    :param data_centre: where it runs.
+    :param data_centre: its data centre.
     :param service: the service.
     """
     return engine_endpoint(
@@ -68,16 +71,17 @@
 
 
 class Testbed:
-    """Object API, VM list, endpoints and nodes.
+    """Object API, VM list, endpoints and nodes of one deployment.
 
-    :param folder: where settings and logs of the nodes go.
+    :param folder: folder of the nodes' settings and logs.
     """
 
     __test__ = False
 
     def __init__(self, folder: pathlib.Path):
         self.folder = folder
-        # Ports of one test's dead nodes are given to another test's.
+        # A unique name: the kernel may reassign the ports of one test's stopped
+        # nodes to the nodes of another test.
         self.deployment = uuid.uuid4().hex
         self.object_api = object_api.ObjectApi().start()
         self.vm_list = platform.VmList().start()
@@ -85,7 +89,7 @@
         self.node_by_name: dict[str, processes.NodeProcess] = {}
 
     def add(self, declared: catalogue.Endpoint) -> catalogue.Endpoint:
-        """Start whatever stands in for an endpoint; see :meth:`add_engine`.
+        """Start the stand-in of an endpoint; see :meth:`add_engine`.
 
         :param declared: the endpoint; its port is replaced.
         """
@@ -99,7 +103,7 @@
         """Start an engine and return its declaration with the port in use.
 
         :param declared: the endpoint; its port is replaced.
-        :param speed: how fast the engine is.
+        :param speed: the simulated performance of the engine.
         """
         fake = engine.Engine(declared.memory_mb, declared.fencing, speed)
         return self._add_fake(declared, fake)
@@ -119,12 +123,12 @@
         module: str = "mothworks",
         **changes,
     ) -> processes.NodeProcess:
-        """Start a node and put it on the VM list.
+        """Start a node and add it to the VM list.
 
         :param name: the VM's name.
-        :param data_centre: where it runs.
-        :param region: that data centre's region.
-        :param module: the program, see :class:`processes.NodeProcess`.
+        :param data_centre: its data centre.
+        :param region: the data centre's region.
+        :param module: the module to run, see :class:`processes.NodeProcess`.
         :param changes: further fields of :class:`settings.Settings`.
         """
         checked = settings.Settings(
@@ -161,14 +165,14 @@
         return node
 
     def operator(self, node: processes.NodeProcess) -> client.Client:
-        """Return an operator's client of a node.
+        """Return a client that calls a node as an operator.
 
-        :param node: the node to ask.
+        :param node: the node.
         """
         return client.Client(node.url, OPERATOR_KEY)
 
     def apply(self, declared: catalogue.Catalogue, revision: int = 0) -> int:
-        """Put a catalogue in force through the first node.
+        """Apply a catalogue through the first node.
 
         :param declared: the catalogue.
         :param revision: the revision that it replaces.
@@ -180,9 +184,9 @@
     def put_catalogue(
         self, node: processes.NodeProcess, declared: catalogue.Catalogue, revision: int
     ) -> result.Result[dict, client.CallError]:
-        """Put a catalogue in force through a node.
+        """Apply a catalogue through a node.
 
-        :param node: the node to ask.
+        :param node: the node.
         :param declared: the catalogue.
         :param revision: the revision that it replaces.
         """
@@ -200,20 +204,20 @@
                 yield fake
 
     def all_open(self, names: collections.abc.Iterable[str]) -> bool:
-        """Return whether every node knows that endpoints take new work.
+        """Return whether every node shows all the given endpoints as open.
 
-        :param names: the endpoints.
+        :param names: the endpoint names.
         """
-        wanted = set(names)
+        expected = set(names)
         for node in self.node_by_name.values():
             shown = self.operator(node).get("show/endpoints").unwrap_or([])
             open_names = {row["endpoint"] for row in shown if row["state"] == "open"}
-            if not wanted <= open_names:
+            if not expected <= open_names:
                 return False
         return True
 
     def all_know_all(self) -> bool:
-        """Return whether every node knows every other, and no more."""
+        """Return whether every node lists exactly the nodes of this testbed."""
         names = set(self.node_by_name)
         for node in self.node_by_name.values():
             shown = self.operator(node).get("show/peers").unwrap_or([])
@@ -221,15 +225,15 @@
                 return False
         return True
 
-    def count_runs(self, ask: callers.Ask, request_id: str) -> int:
-        """Return how often a request began to run, at all endpoints.
+    def count_runs(self, request: callers.Request, request_id: str) -> int:
+        """Return how often all endpoints together started to run a request.
 
-        :param ask: the request; orders are counted by their body.
-        :param request_id: the id of one sending; streams are counted by it.
+        :param request: the request; orders are counted by their body.
+        :param request_id: the id of one attempt; streams are counted by it.
         """
-        if ask.kind is callers.Kind.ORDER:
+        if request.kind is callers.Kind.ORDER:
             return sum(
-                fake.calls_by_body[ask.body]
+                fake.calls_by_body[request.body]
                 for fake in self.fake_by_endpoint.values()
                 if isinstance(fake, application.Application)
             )
@@ -238,14 +242,14 @@
         )
 
     def all_resident(self, declared: catalogue.Catalogue) -> bool:
-        """Return whether every node knows an endpoint for each model.
+        """Return whether every node shows an endpoint for each model.
 
-        :param declared: the catalogue in force.
+        :param declared: the catalogue that is applied.
         """
-        wanted = {model.name for model in declared.models}
+        expected = {model.name for model in declared.models}
         for node in self.node_by_name.values():
             shown = self.operator(node).get("show/models").unwrap_or([])
-            if not wanted <= {row["model"] for row in shown if row["endpoints"]}:
+            if not expected <= {row["model"] for row in shown if row["endpoints"]}:
                 return False
         return True
 
--- a/packages/mothworks_fakes/src/mothworks_fakes/trial.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/trial.py
@@ -1,8 +1,8 @@
-"""One cell of the fault matrix: a request, a step, and the faults made there.
+"""One case of the fault matrix: a request, a step, and the faults injected there.
 
-The request is stopped at a step by a gate in a stand-in, the faults are
-made, the gate opens, and the caller sends the request again through other
-VMs until it has a final answer.
+A gate in a stand-in blocks the request at the step, the faults are injected,
+the gate opens, and the caller retries the request through other VMs until it
+has a final answer.
 """
 
 import collections.abc
@@ -26,20 +26,20 @@
 DATA_CENTRE_BY_VM = {ENTRY: "dc-entry", OWNER: "dc-owner", OTHER: "dc-other"}
 ENGINES = ("engine-1", "engine-2")
 INSTANCE = "orders-1"
-#: Longest wait for a step to be reached, seconds.
-REACH_S = 20.0
-#: Longest wait for the deployment to be whole again, seconds.
-SETTLE_S = 60.0
-#: Time that a paused VM stays paused, and an outage lasts, seconds.
-FAULT_S = 1.5
-#: Time that a cut lasts, seconds: enough for a VM to be declared dead.
-CUT_S = 6.0
+#: Maximum time for the request to reach the step, seconds.
+STEP_TIMEOUT_S = 20.0
+#: Maximum time for the deployment to recover, seconds.
+RECOVERY_TIMEOUT_S = 60.0
+#: Duration of a VM's pause and of an object API fault, seconds.
+FAULT_DURATION_S = 1.5
+#: Duration of a network partition, long enough that a VM is declared dead, seconds.
+PARTITION_DURATION_S = 6.0
 
-Mend = collections.abc.Callable[[], object]
+Repair = collections.abc.Callable[[], object]
 
 
 class Fault(enum.StrEnum):
-    """What goes wrong."""
+    """A fault to inject."""
 
     KILL_ENTRY = "kill entry"
     KILL_OWNER = "kill owner"
@@ -49,7 +49,7 @@
     STOP_OWNER = "stop owner"
     #: Entry and owner cannot reach each other; both reach the third VM.
     CUT_ENTRY_OWNER = "cut entry from owner"
-    #: The owner reaches no other VM, but endpoints and object API.
+    #: The owner reaches no other VM, but still reaches endpoints and object API.
     ISOLATE_OWNER = "isolate owner"
     CRASH_ENDPOINT = "crash endpoint"
     OBJECT_API_OUTAGE = "object api outage"
@@ -58,9 +58,9 @@
 
 
 class Trial:
-    """A small deployment in which one cell after another is tried.
+    """A small deployment that runs the cases of the fault matrix in turn.
 
-    :param bed: the stand-ins; nodes are added here.
+    :param bed: the stand-ins; the nodes are added to it.
     """
 
     __test__ = False
@@ -89,7 +89,7 @@
         self.settle()
 
     def settle(self) -> None:
-        """Wait until every node serves every endpoint again."""
+        """Wait until every node is ready and shows every peer, endpoint and model."""
         nodes = self.bed.node_by_name
         names = [item.name for item in self.declared.endpoints]
         processes.wait_until(
@@ -99,52 +99,54 @@
                 and self.bed.all_open(names)
                 and self.bed.all_resident(self.declared)
             ),
-            timeout_s=SETTLE_S,
+            timeout_s=RECOVERY_TIMEOUT_S,
         )
 
     def play(
         self, kind: callers.Kind, step: gates.Step, faults: tuple[Fault, ...]
-    ) -> callers.Story:
-        """Try one cell and mend the deployment afterwards.
+    ) -> callers.RequestHistory:
+        """Run one case and repair the deployment afterwards.
 
-        :param kind: what is asked for.
-        :param step: where the faults are made.
-        :param faults: what goes wrong there, all at once.
+        :param kind: the kind of the request.
+        :param step: the step at which the faults are injected.
+        :param faults: the faults, all injected at this step.
         """
         target = SERVICE if kind is callers.Kind.ORDER else MODEL
-        story = callers.Story(callers.Ask(kind, target, next(self.numbers)))
+        request_history = callers.RequestHistory(
+            callers.Request(kind, target, next(self.numbers))
+        )
         gate = self._close_gate(kind, step)
         vms = itertools.cycle((ENTRY, OTHER, OWNER))
-        asking = gevent.spawn(
-            self.caller.ask,
-            story,
+        sender = gevent.spawn(
+            self.caller.send_until_final,
+            request_history,
             lambda: self.bed.node_by_name[next(vms)].url,
             self.bed.count_runs,
         )
-        with gevent.Timeout(REACH_S, TimeoutError(f"{step} was not reached")):
+        with gevent.Timeout(STEP_TIMEOUT_S, TimeoutError(f"{step} was not reached")):
             gate.reached.wait()
-        mends = [self._make(fault) for fault in faults]
+        repairs = [self._inject(fault) for fault in faults]
         gate.opened.set()
-        for mend in mends:
-            mend()
-        asking.get()
+        for repair in repairs:
+            repair()
+        sender.get()
         self._restart_missing()
         self.settle()
-        return story
+        return request_history
 
     def _close_gate(self, kind: callers.Kind, step: gates.Step) -> gates.Gate:
         if step in (gates.Step.BEFORE_CLAIM, gates.Step.AFTER_CLAIM):
             return self.bed.object_api.gates.close(step)
         if kind is callers.Kind.ORDER:
             return self.bed.fake_by_endpoint[INSTANCE].gates.close(step)
-        # Either engine may get the request, so one gate stands at both.
+        # Either engine may receive the request, so both share one gate.
         gate = gates.Gate()
         for name in ENGINES:
             self.bed.fake_by_endpoint[name].gates.gate_by_step[step] = gate
         return gate
 
-    def _make(self, fault: Fault) -> Mend:
-        """Make a fault and return the function that mends it."""
+    def _inject(self, fault: Fault) -> Repair:
+        """Inject a fault and return the function that repairs it."""
         node_by_name = self.bed.node_by_name
         api = self.bed.object_api
         match fault:
@@ -167,31 +169,31 @@
             case Fault.CRASH_ENDPOINT:
                 for fake in self.bed.fake_by_endpoint.values():
                     fake.break_connections()
-                return _nothing
+                return _no_repair
             case Fault.OBJECT_API_OUTAGE:
                 api.faults.outage = True
             case Fault.OBJECT_API_LOST_REPLY:
                 api.faults.lost_reply = 0.5
             case Fault.OBJECT_API_SLOW:
                 api.faults.delay_s = 0.5
-        return self._mend_api
+        return self._repair_api
 
-    def _cut(self, vm: str, others: list[str]) -> Mend:
+    def _cut(self, vm: str, others: list[str]) -> Repair:
         node_by_name = self.bed.node_by_name
         node_by_name[vm].cut(others)
         for other in others:
             node_by_name[other].cut([vm])
 
-        def mend() -> None:
-            gevent.sleep(CUT_S)
+        def repair() -> None:
+            gevent.sleep(PARTITION_DURATION_S)
             for name in (vm, *others):
                 if node_by_name[name].is_running():
                     node_by_name[name].cut([])
 
-        return mend
+        return repair
 
-    def _mend_api(self) -> None:
-        gevent.sleep(FAULT_S)
+    def _repair_api(self) -> None:
+        gevent.sleep(FAULT_DURATION_S)
         self.bed.object_api.faults = attrs.evolve(
             self.bed.object_api.faults, outage=False, lost_reply=0.0, delay_s=0.0
         )
@@ -216,20 +218,20 @@
         return self.bed.add_application(declared)
 
 
-def _kill(node: processes.NodeProcess) -> Mend:
+def _kill(node: processes.NodeProcess) -> Repair:
     node.kill()
-    return _nothing
+    return _no_repair
 
 
-def _pause(node: processes.NodeProcess) -> Mend:
+def _pause(node: processes.NodeProcess) -> Repair:
     node.pause()
 
-    def mend() -> None:
-        gevent.sleep(FAULT_S)
+    def repair() -> None:
+        gevent.sleep(FAULT_DURATION_S)
         node.resume()
 
-    return mend
+    return repair
 
 
-def _nothing() -> None:
-    """Mend nothing: the fault is over at once, or a restart mends it."""
+def _no_repair() -> None:
+    """Repair nothing: the fault is already over, or a restart repairs it."""
