--- a/packages/mothworks_fakes/src/mothworks_fakes/cut_node.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/cut_node.py
@@ -1,8 +1,9 @@
-"""A node whose network a test can cut: ``python -m mothworks_fakes.cut_node``.
+"""A node that a test can partition: ``python -m mothworks_fakes.cut_node``.
 
-It is the ordinary node with one plug-in more, which drops datagrams to and
-from some VMs and refuses and closes connections with them. ``PUT /cuts`` with
-a JSON list of VM names sets which; an empty list heals the network.
+It is the ordinary node with plug-ins that simulate a network partition: they
+drop datagrams to and from some VMs, close connections to them and reject new
+ones. ``PUT /cuts`` with a JSON list of VM names sets which VMs are cut off; an
+empty list heals the partition.
 """
 
 import orjson
@@ -11,10 +12,10 @@
 
 
 class CutSocket:
-    """A datagram socket that loses what goes to or comes from cut VMs.
+    """A datagram socket that drops datagrams to and from cut VMs.
 
     :param sock: the node's socket.
-    :param is_cut: tells whether an address is that of a cut VM.
+    :param is_cut: returns whether an address is that of a cut VM.
     """
 
     def __init__(self, sock, is_cut):
@@ -22,19 +23,19 @@
         self.is_cut = is_cut
 
     def sendto(self, data: bytes, address: tuple) -> int:
-        """Send a datagram, or lose it.
+        """Send a datagram, or drop it silently.
 
         :param data: its content.
-        :param address: where to.
+        :param address: its destination.
         """
         if self.is_cut(address):
             return len(data)
         return self.sock.sendto(data, address)
 
     def recvfrom(self, size: int) -> tuple[bytes, tuple]:
-        """Wait for the next datagram that is not lost.
+        """Receive the next datagram that is not dropped.
 
-        :param size: longest datagram, bytes.
+        :param size: maximum datagram size, bytes.
         """
         while True:
             data, address = self.sock.recvfrom(size)
@@ -48,7 +49,7 @@
 
 @plugins.register(plugins.PART, "cuts")
 class Cuts(kernel.Part):
-    """Cuts the connections with some VMs.
+    """Simulates a network partition from some VMs.
 
     :param node_kernel: the node's kernel.
     """
@@ -66,28 +67,29 @@
     def is_cut(self, address: tuple) -> bool:
         """Return whether an address is that of a cut VM.
 
-        :param address: IP number and port.
+        :param address: IP address and port.
         """
-        found = (self.membership.find(name) for name in self.cut_vms)
+        cut_members = (self.membership.find(name) for name in self.cut_vms)
         return any(
             member is not None and (member.address, member.peer_port) == address
-            for member in found
+            for member in cut_members
         )
 
     def connect(self, address: tuple, timeout_s: float):
-        """Open a connection to a peer, unless it is cut.
+        """Open a connection to a peer; time out if the peer is cut off.
 
-        :param address: IP number and port.
-        :param timeout_s: longest wait, seconds.
+        :param address: IP address and port.
+        :param timeout_s: maximum wait, seconds.
+        :raises TimeoutError: if the peer is cut off.
         """
         if self.is_cut(address):
-            raise TimeoutError("the network is cut")
+            raise TimeoutError("the peer is cut off")
         return self.connect_uncut(address, timeout_s)
 
     def cut(self, names: frozenset[str]) -> None:
-        """Cut the connections with some VMs, and only with these.
+        """Set the VMs that are cut off; connections to other VMs work again.
 
-        :param names: the VMs.
+        :param names: the names of the VMs.
         """
         self.cut_vms = names
         for name, link in list(self.peers.link_by_vm.items()):
@@ -106,9 +108,9 @@
         self.cuts = node_kernel.get(Cuts)
 
     def serve(self, call: calls.Call) -> calls.Reply:
-        """Set what is cut.
+        """Set the VMs that are cut off.
 
-        :param call: the call; its body is a JSON list of names.
+        :param call: the call; its body is a JSON list of VM names.
         """
         names = orjson.loads(call.body().unwrap())
         self.cuts.cut(frozenset(names))
--- a/packages/mothworks_fakes/src/mothworks_fakes/pass_through.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/pass_through.py
@@ -1,7 +1,7 @@
-"""A plain pass-through in front of one engine, as the measure of comparison.
+"""A minimal proxy in front of one engine, the baseline of measurements.
 
-It does the least that a WSGI application can: send the body on, yield what
-comes back. ``python -m mothworks_fakes.pass_through PORT``
+It does the minimum that a WSGI proxy needs: it forwards the body and streams
+the response. Start it with ``python -m mothworks_fakes.pass_through PORT``.
 """
 
 import collections.abc
@@ -13,7 +13,7 @@
 
 
 def run(engine_port: int) -> None:
-    """Serve until killed.
+    """Run the proxy until it is killed.
 
     :param engine_port: the engine's port on this machine.
     """
--- a/packages/mothworks_fakes/src/mothworks_fakes/processes.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/processes.py
@@ -1,6 +1,6 @@
-"""Starts and stops the project's own programs as processes, for tests.
+"""Starts and stops nodes as processes, for tests and measurements.
 
-Only tools use this module; a node itself never starts a process.
+Only test tools use this module; a node itself never starts a process.
 """
 
 import os
@@ -16,19 +16,19 @@
 
 from mothworks import documents, settings
 
-#: Signals that pause a process, as a VM that is moved, and wake it.
+#: Signals that suspend a process, as when its VM is migrated, and resume it.
 PAUSE = signal.SIGSTOP
 RESUME = signal.SIGCONT
-#: Time for a process to end by itself, seconds.
-STOP_S = 70.0
+#: Maximum duration of a graceful shutdown, seconds.
+STOP_TIMEOUT_S = 70.0
 
 
 class NodeProcess:
-    """A node in a process of its own.
+    """A node that runs in its own process.
 
-    :param checked: its settings; the kernel chooses ports that are 0.
-    :param folder: where its settings file and log go.
-    :param module: the program, ``mothworks`` or one that adds plug-ins to it.
+    :param checked: its validated settings; the kernel chooses ports that are 0.
+    :param folder: folder of its settings file and log.
+    :param module: module to run: ``mothworks``, or one that adds plug-ins to it.
     """
 
     def __init__(
@@ -43,8 +43,8 @@
         self.log_path = folder / f"{checked.name}.log"
         self.log = self.log_path.open("ab")
         command = [sys.executable, "-m", module, "--settings", str(path)]
-        # The node imports the same sources as this process, also where
-        # another checkout is installed.
+        # The node must import the same sources as this process, even if another
+        # checkout is installed.
         environment = {**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)}
         self.process = gevent.subprocess.Popen(
             [*command, "--announce"],
@@ -61,7 +61,7 @@
         self.url = f"http://{checked.address}:{self.port}"
 
     def is_ready(self) -> bool:
-        """Return whether the node says that it is ready."""
+        """Return whether the node reports that it is ready."""
         try:
             client = geventhttpclient.HTTPClient.from_url(self.url)
             return client.get("/readyz").status_code == 200
@@ -69,48 +69,52 @@
             return False
 
     def cut(self, vms: list[str]) -> None:
-        """Cut the network between this node and others, and only these.
+        """Set the VMs from which this node is partitioned.
 
-        :param vms: the other nodes' names; an empty list heals the network.
-            The node must run ``mothworks_fakes.cut_node``.
+        :param vms: the other nodes' names, which replace the previous ones; an
+            empty list heals the partition. The node must run
+            ``mothworks_fakes.cut_node``.
         """
         client = geventhttpclient.HTTPClient.from_url(self.url)
         if client.request("PUT", "/cuts", orjson.dumps(vms)).status_code != 200:
-            raise RuntimeError(f"{self.settings.name} did not take the cut")
+            raise RuntimeError(f"{self.settings.name} rejected the network cut")
 
     def is_running(self) -> bool:
-        """Return whether the process has not ended."""
+        """Return whether the process is still running."""
         return self.process.poll() is None
 
     def kill(self) -> None:
-        """End the process at once, as when its VM fails."""
+        """Kill the process, as when its VM fails."""
         self.process.kill()
         self.process.wait()
         self.log.close()
 
     def pause(self) -> None:
-        """Stop the process from running, as when its VM is suspended."""
+        """Suspend the process, as when its VM is suspended."""
         self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let a paused process run on; it does not know that it was paused."""
+        """Resume a paused process, which is not notified of the pause."""
         self.process.send_signal(signal.SIGCONT)
 
     def stop(self) -> int:
         """Shut the node down gracefully and return its exit code."""
         self.process.terminate()
         try:
-            return self.process.wait(timeout=STOP_S)
+            return self.process.wait(timeout=STOP_TIMEOUT_S)
         finally:
             self.kill()
 
 
 def wait_until(condition, timeout_s: float = 20.0) -> None:
-    """Wait for a condition; raises where it does not come true.
+    """Poll a condition until it is true.
 
     :param condition: called without arguments until it returns a true value.
-    :param timeout_s: longest wait, seconds.
+    :param timeout_s: maximum wait, seconds.
+    :raises TimeoutError: if the condition stays false.
     """
-    with gevent.Timeout(timeout_s, TimeoutError(f"waited {timeout_s:g} s in vain")):
+    with gevent.Timeout(
+        timeout_s, TimeoutError(f"condition is still false after {timeout_s:g} s")
+    ):
         while not condition():
             gevent.sleep(0.02)
