--- a/packages/mothworks_fakes/src/mothworks_fakes/arrivals.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/arrivals.py
@@ -1,8 +1,8 @@
-"""Arrivals of an open-loop load: Poisson processes whose rate changes.
+"""Arrivals of an open-loop load: Poisson processes with a varying rate.
 
-A schedule is drawn before the run from a seed, so that two runs with the
+The schedule is drawn from a seed before the run, so that two runs with the
 same seed send the same requests at the same times, however slow the system
-under load is.
+under test is.
 """
 
 import random
@@ -12,11 +12,11 @@
 
 @attrs.frozen
 class Burst:
-    """A time during which the rate is higher.
+    """A period during which the rate is multiplied.
 
     :param start_s: its start, seconds from the run's start.
-    :param length_s: how long it lasts, seconds.
-    :param factor: what the rate is multiplied by.
+    :param length_s: its duration, seconds.
+    :param factor: factor of the rate.
     """
 
     start_s: float
@@ -26,15 +26,15 @@
 
 @attrs.frozen
 class Traffic:
-    """One kind of requests.
+    """A class of requests and its arrival rate.
 
     :param name: its name in reports.
     :param key: the caller's key.
     :param model: the model or adapter.
-    :param rate_per_s: mean requests a second outside bursts.
+    :param rate_per_s: mean number of requests per second outside bursts.
     :param tokens: tokens that each request generates.
-    :param prompt_bytes: length of each prompt.
-    :param bursts: times of higher rate.
+    :param prompt_bytes: length of each prompt, bytes.
+    :param bursts: periods of another rate.
     """
 
     name: str
@@ -46,7 +46,7 @@
     bursts: tuple[Burst, ...] = ()
 
     def rate_at(self, second: float) -> float:
-        """Return the rate at a time.
+        """Return the rate at a time, requests per second.
 
         :param second: seconds from the run's start.
         """
@@ -56,8 +56,8 @@
                 rate *= burst.factor
         return rate
 
-    def highest_rate(self) -> float:
-        """Return a rate that is never exceeded."""
+    def max_rate(self) -> float:
+        """Return an upper bound of the rate, requests per second."""
         factors = [burst.factor for burst in self.bursts if burst.factor > 1]
         rate = self.rate_per_s
         for factor in factors:
@@ -67,11 +67,11 @@
 
 @attrs.frozen
 class Arrival:
-    """One request that is to be sent.
+    """A scheduled request.
 
     :param number: unique in the run.
-    :param due_s: when, seconds from the run's start.
-    :param traffic: what kind.
+    :param due_s: scheduled time, seconds from the run's start.
+    :param traffic: its class of requests.
     """
 
     number: int
@@ -80,13 +80,13 @@
 
 
 def schedule(traffics: tuple[Traffic, ...], seconds: float, seed: int) -> list[Arrival]:
-    """Draw the arrivals of a run, in order of time.
+    """Draw the arrivals of a run, in chronological order.
 
-    Each process is drawn at its highest rate and thinned, which gives a
-    Poisson process of the changing rate.
+    Each process is drawn at an upper bound of its rate and then thinned, which
+    gives a Poisson process with the varying rate.
 
-    :param traffics: kinds of requests.
-    :param seconds: length of the run.
+    :param traffics: the classes of requests.
+    :param seconds: duration of the run, seconds.
     :param seed: the same seed gives the same schedule.
 
     >>> traffic = Traffic("chat", "key", "menu", rate_per_s=10)
@@ -94,16 +94,16 @@
     True
     """
     drawn = []
-    for place, traffic in enumerate(traffics):
-        source = random.Random(f"{seed}/{place}")
-        highest = traffic.highest_rate()
-        second = source.expovariate(highest)
-        while second < seconds:
-            if source.random() * highest < traffic.rate_at(second):
-                drawn.append((second, traffic))
-            second += source.expovariate(highest)
+    for index, traffic in enumerate(traffics):
+        source = random.Random(f"{seed}/{index}")
+        max_rate = traffic.max_rate()
+        time_s = source.expovariate(max_rate)
+        while time_s < seconds:
+            if source.random() * max_rate < traffic.rate_at(time_s):
+                drawn.append((time_s, traffic))
+            time_s += source.expovariate(max_rate)
     drawn.sort(key=lambda item: item[0])
     return [
-        Arrival(number, second, traffic)
-        for number, (second, traffic) in enumerate(drawn)
+        Arrival(number, time_s, traffic)
+        for number, (time_s, traffic) in enumerate(drawn)
     ]
--- a/packages/mothworks_fakes/src/mothworks_fakes/history.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/history.py
@@ -1,8 +1,8 @@
-"""Histories of runs, and checks of what must always hold in them.
+"""Recorded histories of runs, and checks of their invariants.
 
-Each check returns a list of violations; an empty list means that the run
-kept the promise. The checks use only what callers and endpoints saw, never
-what the nodes say of themselves.
+Each check returns a list of violations; an empty list means that the invariant
+holds. The checks use only observations of callers and endpoints, never what
+the nodes report about themselves.
 """
 
 import collections
@@ -16,22 +16,22 @@
 
 @attrs.define
 class Record:
-    """What one caller saw of one request.
+    """A caller's observations of one request.
 
     :param number: unique in the run.
-    :param traffic: the kind of request.
-    :param url: the node that was asked.
+    :param traffic: name of its class of requests.
+    :param url: base URL of the node that received it.
     :param digest: hash of the body; engines write it into each token.
-    :param due_s: when it was due, seconds from the run's start.
-    :param wanted_tokens: tokens that were asked for.
-    :param status: the HTTP status; 0 without an answer.
-    :param ran: what a refusal said about running.
-    :param first_token_s: time from due to the first token, seconds.
-    :param last_token_s: time from due to the end of the stream, seconds.
-    :param end_s: when it ended, seconds from the run's start.
-    :param tokens: what was received, in order.
+    :param due_s: scheduled time, seconds from the run's start.
+    :param wanted_tokens: number of tokens requested.
+    :param status: the HTTP status; 0 without a response.
+    :param ran: what a refusal states about whether the request ran.
+    :param first_token_s: time from ``due_s`` to the first token, seconds.
+    :param last_token_s: time from ``due_s`` to the last event, seconds.
+    :param end_s: end of the request, seconds from the run's start.
+    :param tokens: the received tokens, in order.
     :param done: whether the stream ended with ``[DONE]``.
-    :param error: why there is no complete answer; empty otherwise.
+    :param error: why the answer is incomplete; empty otherwise.
     """
 
     number: int
@@ -51,7 +51,7 @@
 
     @property
     def complete(self) -> bool:
-        """Return whether the caller got the whole answer."""
+        """Return whether the caller received the whole answer."""
         return self.done and not self.error
 
     @property
@@ -62,9 +62,9 @@
         return (self.last_token_s - self.first_token_s) / (len(self.tokens) - 1)
 
     def take_stream(self, text: bytes) -> None:
-        """Read a whole stream of server-sent events.
+        """Parse a whole stream of server-sent events.
 
-        :param text: the body as received.
+        :param text: the received body.
         """
         for event in text.split(b"\n\n"):
             data = event.removeprefix(b"data: ").strip()
@@ -83,13 +83,13 @@
 
 
 def check_answers(records: collections.abc.Iterable[Record]) -> list[str]:
-    """Check that each request ended, and each answer is whole and its own.
+    """Check that each request ended with its own complete answer or an error.
 
-    :param records: what callers saw.
+    :param records: the callers' observations.
     """
     violations = []
     for record in records:
-        expected = [f"{record.digest}-{place}" for place in range(len(record.tokens))]
+        expected = [f"{record.digest}-{index}" for index in range(len(record.tokens))]
         if record.tokens != expected:
             violations.append(f"request {record.number}: tokens of another answer")
         if record.done and len(record.tokens) != record.wanted_tokens:
@@ -108,23 +108,23 @@
     records: collections.abc.Iterable[Record],
     runs: collections.abc.Iterable[engine.Run],
 ) -> list[str]:
-    """Check that what was said not to have run did not run.
+    """Check that no request ran whose refusal states that it did not run.
 
-    :param records: what callers saw.
-    :param runs: what all engines began to run.
+    :param records: the callers' observations.
+    :param runs: the runs that all engines started.
     """
-    started = {run.body_hash for run in runs}
+    run_digests = {run.body_hash for run in runs}
     return [
         f"request {record.number}: refused with ran: no, but it ran"
         for record in records
-        if record.ran == "no" and record.digest in started
+        if record.ran == "no" and record.digest in run_digests
     ]
 
 
 def check_at_most_once(bodies: collections.Counter[bytes]) -> list[str]:
-    """Check that no non-repeatable call ran twice.
+    """Check that no non-repeatable call ran more than once.
 
-    :param bodies: how often each service saw each body.
+    :param bodies: number of calls by body.
     """
     return [
         f"{body!r:.60} ran {count} times" for body, count in bodies.items() if count > 1
@@ -132,14 +132,15 @@
 
 
 def check_revisions(
-    seen_by_vm: collections.abc.Mapping[str, collections.abc.Sequence[int]],
+    revisions_by_vm: collections.abc.Mapping[str, collections.abc.Sequence[int]],
 ) -> list[str]:
-    """Check that no VM's revision ever went back.
+    """Check that no VM's revision ever decreased.
 
-    :param seen_by_vm: the revisions that each VM showed, in order of time.
+    :param revisions_by_vm: the revisions that each VM showed, in chronological
+        order.
     """
     violations = []
-    for vm, revisions in seen_by_vm.items():
+    for vm, revisions in revisions_by_vm.items():
         for earlier, later in zip(revisions, revisions[1:], strict=False):
             if later < earlier:
                 violations.append(f"{vm}: revision {earlier}, then {later}")
@@ -149,7 +150,7 @@
 def check_memory(engines: collections.abc.Iterable[engine.Engine]) -> list[str]:
     """Check that no accelerator's memory was ever overcommitted.
 
-    :param engines: engines, which count their own peak.
+    :param engines: the engines, which record their peak memory.
     """
     return [
         f"{item.url}: {item.peak_memory_mb} MB of {item.memory_mb} MB"
--- a/packages/mothworks_fakes/src/mothworks_fakes/load.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/load.py
@@ -1,7 +1,7 @@
-"""Load tool: sends an open-loop schedule to nodes and records each answer.
+"""Load generator: sends an open-loop schedule to nodes and records each answer.
 
 ``python -m mothworks_fakes.load --url URL --key KEY --model MODEL`` prints a
-report of one kind of requests; experiments use :class:`Load` directly.
+report of one class of requests; experiments use :class:`Load` directly.
 """
 
 import hashlib
@@ -20,20 +20,20 @@
 
 from mothworks_fakes import arrivals, history, report
 
-#: Longest silence that the tool waits for, seconds.
-SILENCE_S = 120.0
-#: Connections kept to each node.
-CONNECTIONS = 2000
+#: Maximum time without received data, seconds.
+READ_TIMEOUT_S = 120.0
+#: Maximum number of connections to each node.
+MAX_CONNECTIONS = 2000
 
-_BROKEN = (OSError, geventhttpclient.response.HTTPParseError)
+_CONNECTION_ERRORS = (OSError, geventhttpclient.response.HTTPParseError)
 
 
 class Load:
-    """Sends requests and records what came back.
+    """Sends requests and records the answers.
 
     :param urls: the nodes' base URLs; each request goes to a random one, as
-        through a balancer.
-    :param seed: seed of schedule and choice of nodes.
+        behind a load balancer.
+    :param seed: seed of the schedule and of the choice of nodes.
     """
 
     def __init__(self, urls: list[str], seed: int = 0):
@@ -46,8 +46,8 @@
     def run(self, traffics: tuple[arrivals.Traffic, ...], seconds: float) -> None:
         """Send a whole schedule and wait for every answer.
 
-        :param traffics: kinds of requests.
-        :param seconds: length of the schedule.
+        :param traffics: the classes of requests.
+        :param seconds: duration of the schedule, seconds.
         """
         start = time.monotonic()
         for arrival in arrivals.schedule(traffics, seconds, self.seed):
@@ -58,8 +58,8 @@
     def send(self, arrival: arrivals.Arrival, start: float) -> history.Record:
         """Send one request, once, and record its answer.
 
-        Times count from when the request was due, so that a tool that falls
-        behind cannot flatter the system under load.
+        Latencies are measured from the scheduled time of the request. Otherwise a
+        load generator that falls behind would under-report them.
 
         :param arrival: the request.
         :param start: monotonic time of the run's start, seconds.
@@ -84,30 +84,30 @@
             record.status = reply.status_code
             record.ran = reply.get("mothworks-ran", "")
             self._receive(reply, record, start + arrival.due_s)
-        except _BROKEN as error:
+        except _CONNECTION_ERRORS as error:
             record.error = f"{type(error).__name__}: {error}"
         record.end_s = time.monotonic() - start
         return record
 
-    def _receive(self, reply, record: history.Record, due: float) -> None:
+    def _receive(self, reply, record: history.Record, scheduled: float) -> None:
         if record.status != 200:
             record.error = bytes(reply.read()).decode("utf-8", "replace")
             return
         text = b""
         while True:
-            line = reply.readline(b"\n\n")
-            if not line:
+            event = reply.readline(b"\n\n")
+            if not event:
                 break
             now = time.monotonic()
             if record.first_token_s is None:
-                record.first_token_s = now - due
-            record.last_token_s = now - due
-            text += line
+                record.first_token_s = now - scheduled
+            record.last_token_s = now - scheduled
+            text += event
         record.take_stream(text)
 
 
 def request_body(arrival: arrivals.Arrival, seed: int) -> bytes:
-    """Return a request's body, which no other request of the run has.
+    """Return a request's body, which is unique in the run.
 
     :param arrival: the request.
     :param seed: the run's seed.
@@ -136,17 +136,17 @@
     seed: int = 0,
     records: pathlib.Path | None = None,
 ) -> None:
-    """Send one kind of requests and print the report.
+    """Send one class of requests and print the report.
 
     :param url: base URLs of nodes.
     :param key: the caller's key.
     :param model: the model or adapter.
-    :param rate: mean requests a second.
-    :param seconds: length of the run.
+    :param rate: mean number of requests per second.
+    :param seconds: duration of the run, seconds.
     :param tokens: tokens that each request generates.
     :param burst: factor of the rate in the middle third of the run.
     :param seed: the same seed sends the same schedule.
-    :param records: file for the records, one JSON object a line.
+    :param records: output file of the records, one JSON object per line.
     """
     middle = arrivals.Burst(seconds / 3, seconds / 3, burst)
     traffic = arrivals.Traffic("load", key, model, rate, tokens, bursts=(middle,))
@@ -164,7 +164,7 @@
 
 def _connect(url: str) -> geventhttpclient.HTTPClient:
     return geventhttpclient.HTTPClient.from_url(
-        url, concurrency=CONNECTIONS, network_timeout=SILENCE_S
+        url, concurrency=MAX_CONNECTIONS, network_timeout=READ_TIMEOUT_S
     )
 
 
