--- a/packages/mothworks_fakes/src/mothworks_fakes/demand_traces.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/demand_traces.py
@@ -8,24 +8,24 @@
 
 from mothworks import catalogue
 
-#: Accelerator memory of an engine with four accelerators, MB. Loaded once each,
-#: the models fill a half to three quarters of a deployment's memory.
+#: Accelerator memory of an engine with four accelerators, MB. One replica of
+#: each model fills a half to three quarters of a deployment's memory.
 ENGINE_MB = 256_000
 ACCELERATORS = 4
-#: Requests that an engine runs at a time.
+#: Maximum batch size of an engine.
 SLOTS = 16
-#: Mean time that a request holds its place, seconds.
+#: Mean time that a request occupies a batch slot, seconds.
 SERVICE_S = 2.0
-#: Length of a trace, seconds, and of the time before it that does not count.
+#: Duration of a trace and of the warm-up before it, which is not measured, seconds.
 LENGTH_S = 1800
 WARM_UP_S = 400
-#: Memory of models, MB, and how common each size is.
-SIZES_MB = (16_000, 28_000, 56_000, 110_000)
-SIZE_WEIGHTS = (4, 3, 3, 2)
+#: Memory of models, MB, and the relative frequency of each size.
+MODEL_SIZES_MB = (16_000, 28_000, 56_000, 110_000)
+MODEL_SIZE_WEIGHTS = (4, 3, 3, 2)
 
 
 class Shape(enum.StrEnum):
-    """How demand goes over time."""
+    """Shape of the demand over time."""
 
     STEADY = "steady"
     TENFOLD = "tenfold"
@@ -36,14 +36,14 @@
 
 @attrs.frozen
 class Size:
-    """How large a deployment is.
+    """Size of a deployment.
 
     :param name: its name.
-    :param engines: engines.
-    :param data_centres: data centres.
-    :param models: models.
-    :param adapters: adapters.
-    :param weights: how it weighs attainment against moves.
+    :param engines: number of engines.
+    :param data_centres: number of data centres.
+    :param models: number of models.
+    :param adapters: number of adapters.
+    :param weights: weights of the placement, such as attainment against moves.
     """
 
     name: str
@@ -62,15 +62,15 @@
 def deployment(size: Size, seed: int) -> catalogue.Catalogue:
     """Return the catalogue of a deployment.
 
-    :param size: how large it is.
-    :param seed: seed of the models' sizes.
+    :param size: its size.
+    :param seed: seed of the sizes of models and adapters, and of the base models.
     """
     source = random.Random(seed)
     centres = [f"dc-{number}" for number in range(size.data_centres)]
     models = [
         catalogue.Model(
             f"model-{number}",
-            source.choices(SIZES_MB, SIZE_WEIGHTS)[0],
+            source.choices(MODEL_SIZES_MB, MODEL_SIZE_WEIGHTS)[0],
             working_mb=8_000,
         )
         for number in range(size.models)
@@ -105,12 +105,12 @@
 
 @attrs.define
 class Trace:
-    """Arrivals of each model over time.
+    """Arrival rate of each model over time.
 
     :param size: the deployment's size.
-    :param shape: how demand goes over time.
-    :param seed: seed of all randomness.
-    :param load: share of all places that demand fills before it rises.
+    :param shape: the shape of the demand.
+    :param seed: seed of the base rates and of the choice of surging models.
+    :param load: fraction of all batch slots that the base demand occupies.
     """
 
     size: Size
@@ -121,7 +121,7 @@
     surging: list[int] = attrs.field(init=False)
 
     def __attrs_post_init__(self):
-        """Draw the models' base rates and who surges."""
+        """Draw the models' base rates and the models whose demand surges."""
         source = random.Random(self.seed + 1)
         ranks = list(range(self.size.models))
         source.shuffle(ranks)
@@ -135,7 +135,7 @@
         self.surging = source.sample(middle[2 : 2 + 2 * third], count)
 
     def rates(self, second: float) -> collections.abc.Iterator[float]:
-        """Yield each model's rate, requests a second.
+        """Yield each model's rate, requests per second.
 
         :param second: time since the trace began; negative in the warm-up.
         """
@@ -147,25 +147,27 @@
                 case Shape.TENFOLD if surges:
                     yield base * (1 + 9 * _plateau(second, 300, 180, 700))
                 case Shape.DEADLINE:
-                    most = 8 if surges else 2
-                    yield base * (1 + (most - 1) * _plateau(second, 200, 900, 400))
+                    peak_factor = 8 if surges else 2
+                    yield base * (
+                        1 + (peak_factor - 1) * _plateau(second, 200, 900, 400)
+                    )
                 case Shape.HOT if number == hot:
                     yield base + 0.4 * capacity * _plateau(second, 300, 120, 800)
                 case _:
                     yield base
 
     def is_lost(self, data_centre: str, second: float) -> bool:
-        """Return whether a data centre is lost at a time.
+        """Return whether a data centre is down at a time.
 
         :param data_centre: its name.
         :param second: time since the trace began.
         """
-        lost = self.shape is Shape.LOST and 600 <= second < 1200
-        return lost and data_centre == "dc-0"
+        is_down = self.shape is Shape.LOST and 600 <= second < 1200
+        return is_down and data_centre == "dc-0"
 
 
 def _plateau(second: float, start: float, rise: float, hold: float) -> float:
-    """Return a ramp up, a plateau, and a ramp down, between 0 and 1."""
+    """Return the value, from 0 to 1, of a ramp up, a plateau and a ramp down."""
     if second < start:
         return 0.0
     if second < start + rise:
