--- a/packages/mothworks_fakes/src/mothworks_fakes/__init__.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for engines, services and platform, for tests and measurements."""
+"""Stand-ins for engines, services and the platform, for tests and measurements."""
--- a/packages/mothworks_fakes/src/mothworks_fakes/__main__.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/__main__.py
@@ -19,10 +19,10 @@
     """Run a model engine.
 
     :param memory_mb: accelerator memory, MB.
-    :param fencing: refuse orders with an old fencing number.
+    :param fencing: reject orders with a stale fencing token.
     :param port: TCP port; 0 lets the kernel choose.
-    :param step_ms: time of a decoding step, milliseconds.
-    :param batch: most requests in the batch.
+    :param step_ms: duration of a decoding step, milliseconds.
+    :param batch: maximum batch size.
     :param model: models resident from the start, of 1000 MB each.
     """
     speed = engine.Speed(step_s=step_ms / 1000, step_s_per_request=0.0, batch=batch)
@@ -33,7 +33,7 @@
 
 
 def run_application(*, port: int = 0) -> None:
-    """Run a plain service.
+    """Run an application service.
 
     :param port: TCP port; 0 lets the kernel choose.
     """
@@ -49,7 +49,7 @@
 
 
 def run_vm_list(*, port: int = 0) -> None:
-    """Run the platform's list of VMs.
+    """Run the platform's VM list.
 
     :param port: TCP port; 0 lets the kernel choose.
     """
@@ -60,7 +60,7 @@
     """Run the weight store.
 
     :param port: TCP port; 0 lets the kernel choose.
-    :param parallel: loads served at a time.
+    :param parallel: maximum number of concurrent loads.
     """
     _serve(platform.WeightStore(port, parallel))
 
--- a/packages/mothworks_fakes/src/mothworks_fakes/demo.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/demo.py
@@ -1,9 +1,9 @@
-"""The demo: two deployments on this machine, with real answers through nodes.
+"""Demo: two deployments on this machine that serve requests through real nodes.
 
 ``make demo`` runs it. For a Siamcrest-like and a Bandeja-like deployment it
 starts the stand-ins and three nodes, applies the catalogue from
-``examples/``, streams chat answers through different nodes, calls a service,
-shows what operators see, and ends everything.
+``examples/``, streams chat completions through each node, calls a service,
+runs operator statements, and shuts everything down.
 """
 
 import os
@@ -23,10 +23,10 @@
 from mothworks_fakes import processes, testbed
 
 EXAMPLES = pathlib.Path("examples")
-#: Times that a chat is sent while its adapter is loaded.
-MOST_SENDS = 20
-#: Lines shown of each table.
-MOST_LINES = 12
+#: Maximum number of attempts of a chat while its adapter is loaded.
+MAX_ATTEMPTS = 20
+#: Maximum number of lines printed of each table.
+MAX_LINES = 12
 
 
 @attrs.frozen
@@ -34,10 +34,10 @@
     """One deployment of the demo.
 
     :param catalogue_file: the catalogue, below ``examples/``.
-    :param model: the model that is asked.
-    :param chat_key: key of the caller who asks.
-    :param service_path: path of a service call.
-    :param service_key: key of the caller who calls it.
+    :param model: model of the chat requests.
+    :param chat_key: API key of the chat requests.
+    :param service_path: path of the service call.
+    :param service_key: API key of the service call.
     """
 
     catalogue_file: str
@@ -64,14 +64,14 @@
     ),
 )
 
-#: What operators ask in the demo.
+#: Operator statements that the demo runs.
 STATEMENTS = ("show peers", "show endpoints", "show models", "show moves", "show audit")
 
 
 def run(*, folder: pathlib.Path = EXAMPLES, only: str = "") -> None:
     """Run the demo.
 
-    :param folder: where the catalogues are.
+    :param folder: folder of the catalogues.
     :param only: run only the scene with this catalogue file.
     """
     for scene in SCENES:
@@ -80,39 +80,39 @@
         with tempfile.TemporaryDirectory() as logs:
             bed = testbed.Testbed(pathlib.Path(logs))
             try:
-                _play(scene, bed, folder / scene.catalogue_file)
+                _run_scene(scene, bed, folder / scene.catalogue_file)
             finally:
                 bed.stop()
-    _say("done")
+    _print_heading("done")
 
 
-def _play(scene: Scene, bed: testbed.Testbed, path: pathlib.Path) -> None:
-    _say(f"{path}: stand-ins and three nodes")
+def _run_scene(scene: Scene, bed: testbed.Testbed, path: pathlib.Path) -> None:
+    _print_heading(f"{path}: stand-ins and three nodes")
     text = path.read_text(encoding="utf-8")
     declared = catalogue_checks.read(text, str(path)).unwrap()
     started = attrs.evolve(
         declared, endpoints=tuple(bed.add(item) for item in declared.endpoints)
     )
-    for place, centre in enumerate(declared.data_centres[:3]):
-        node = bed.add_node(f"vm-{place + 1}", centre.name, centre.region)
+    for index, centre in enumerate(declared.data_centres[:3]):
+        node = bed.add_node(f"vm-{index + 1}", centre.name, centre.region)
         print(f"{node.settings.name} in {centre.name}: {node.url}")
     bed.apply(started)
     names = [item.name for item in declared.endpoints]
     processes.wait_until(lambda: bed.all_open(names))
     processes.wait_until(lambda: bed.all_resident(started), timeout_s=120.0)
-    _say("every declared model is resident")
+    _print_heading("every declared model is resident")
     for node in bed.node_by_name.values():
         _chat(node, scene)
     _call_service(next(iter(bed.node_by_name.values())), scene)
     for statement in STATEMENTS:
-        _ask(next(iter(bed.node_by_name.values())), statement)
-    _say("graceful shutdown")
+        _run_statement(next(iter(bed.node_by_name.values())), statement)
+    _print_heading("graceful shutdown")
     for node in bed.node_by_name.values():
         print(f"{node.settings.name} ended with code {node.stop()}")
 
 
 def _chat(node: processes.NodeProcess, scene: Scene) -> None:
-    """Stream one answer; an adapter that must be loaded first is asked again."""
+    """Stream one answer; retry while the adapter is being loaded."""
     print(f"\n{scene.model} through {node.settings.name}: ", end="", flush=True)
     messages = [{"role": "user", "content": f"Hello from {node.settings.name}"}]
     body = orjson.dumps(
@@ -120,14 +120,14 @@
     )
     http = geventhttpclient.HTTPClient.from_url(node.url, network_timeout=30.0)
     headers = {"Authorization": f"Bearer {scene.chat_key}"}
-    for _ in range(MOST_SENDS):
+    for _ in range(MAX_ATTEMPTS):
         reply = http.post("/v1/chat/completions", body, headers)
         if reply.status_code == 200:
             return _print_stream(reply)
         print(f"[{reply.status_code}, again in {reply['retry-after']} s] ", end="")
         reply.read()
         gevent.sleep(float(reply["retry-after"]))
-    raise RuntimeError(f"{scene.model} gave no answer")
+    raise RuntimeError(f"{scene.model} did not answer")
 
 
 def _print_stream(reply) -> None:
@@ -152,8 +152,8 @@
     print(f"\n{scene.service_path}: {reply.status_code} {reply.read().decode()}")
 
 
-def _ask(node: processes.NodeProcess, statement: str) -> None:
-    _say(f'mothctl ask "{statement}"')
+def _run_statement(node: processes.NodeProcess, statement: str) -> None:
+    _print_heading(f'mothctl ask "{statement}"')
     environment = {
         **os.environ,
         "PYTHONPATH": os.pathsep.join(sys.path),
@@ -161,16 +161,16 @@
         "MOTHWORKS_KEY": testbed.OPERATOR_KEY,
     }
     command = [sys.executable, "-m", "mothctl", "ask", statement]
-    done = gevent.subprocess.run(
+    completed = gevent.subprocess.run(
         command, env=environment, stdout=subprocess.PIPE, check=True
     )
-    lines = done.stdout.decode().splitlines()
-    print("\n".join(line[:110] for line in lines[:MOST_LINES]))
-    if len(lines) > MOST_LINES:
-        print(f"... and {len(lines) - MOST_LINES} more lines")
+    lines = completed.stdout.decode().splitlines()
+    print("\n".join(line[:110] for line in lines[:MAX_LINES]))
+    if len(lines) > MAX_LINES:
+        print(f"... and {len(lines) - MAX_LINES} more lines")
 
 
-def _say(text: str) -> None:
+def _print_heading(text: str) -> None:
     print(f"\n== {text}", flush=True)
 
 
