--- a/packages/mothworks_fakes/src/mothworks_fakes/experiment.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/experiment.py
@@ -1,7 +1,7 @@
-"""Compares routing policies under the same load on the same engines.
+"""Compares routing policies under the same load with the same engines.
 
-``python -m mothworks_fakes.experiment`` starts engines, and for each policy
-the nodes as processes, sends the same schedule and prints one table.
+For each policy and each number of engines, ``python -m mothworks_fakes.experiment``
+starts the engines and the nodes, sends the same schedule and prints one table.
 """
 
 import pathlib
@@ -31,18 +31,18 @@
 
 @attrs.frozen
 class Plan:
-    """One run.
+    """The parameters of one run.
 
     :param policy: the routing policy.
-    :param engines: engines that serve the model.
-    :param nodes: nodes in front of them.
-    :param urgent_per_s: urgent requests a second outside the burst.
-    :param bulk_per_s: bulk requests a second.
+    :param engines: number of engines, which all serve the model.
+    :param nodes: number of nodes.
+    :param urgent_per_s: urgent requests per second outside the burst.
+    :param bulk_per_s: bulk requests per second.
     :param burst: factor of the urgent rate in the burst.
-    :param seconds: length of the schedule.
+    :param seconds: duration of the schedule, seconds.
     :param tokens: tokens that each urgent request generates.
     :param bulk_tokens: tokens that each bulk request generates.
-    :param batch: the engines' batch.
+    :param batch: the engines' maximum batch size.
     :param seed: seed of the schedule.
     """
 
@@ -59,7 +59,7 @@
     seed: int
 
     def traffics(self) -> tuple[arrivals.Traffic, ...]:
-        """Return the kinds of requests of the run."""
+        """Return the classes of requests of the run."""
         tenth = self.seconds / 10
         burst = arrivals.Burst(4 * tenth, tenth, self.burst)
         urgent = arrivals.Traffic(
@@ -73,11 +73,11 @@
 
 @attrs.frozen
 class Outcome:
-    """What came of one run.
+    """The result of one run.
 
-    :param plan: the run.
-    :param records: what callers saw.
-    :param violations: broken promises.
+    :param plan: the parameters of the run.
+    :param records: the callers' observations.
+    :param violations: violated invariants.
     """
 
     plan: Plan
@@ -85,21 +85,21 @@
     violations: list[str]
 
 
-def perform(plan: Plan, folder: pathlib.Path) -> Outcome:
-    """Run one plan from start to end.
+def run_plan(plan: Plan, folder: pathlib.Path) -> Outcome:
+    """Run one plan on a new deployment.
 
-    :param plan: the run.
-    :param folder: where settings and logs of the nodes go.
+    :param plan: the parameters of the run.
+    :param folder: folder of the nodes' settings and logs.
     """
     bed = testbed.Testbed(folder)
     try:
         speed = engine.Speed(step_s=0.02, step_s_per_request=0.001, batch=plan.batch)
         endpoints = tuple(
-            _add_engine(bed, plan, place, speed) for place in range(plan.engines)
+            _add_engine(bed, plan, index, speed) for index in range(plan.engines)
         )
-        for place in range(plan.nodes):
-            data_centre = DATA_CENTRES[place % len(DATA_CENTRES)]
-            bed.add_node(f"vm-{place}", data_centre, REGION, routing=plan.policy)
+        for index in range(plan.nodes):
+            data_centre = DATA_CENTRES[index % len(DATA_CENTRES)]
+            bed.add_node(f"vm-{index}", data_centre, REGION, routing=plan.policy)
         _apply(bed, endpoints)
         sender = load.Load([node.url for node in bed.node_by_name.values()], plan.seed)
         sender.run(plan.traffics(), plan.seconds)
@@ -134,23 +134,23 @@
 
     :param policy: routing policies.
     :param engines: numbers of engines.
-    :param nodes: nodes in front of them.
-    :param urgent: urgent requests a second outside the burst.
-    :param bulk: bulk requests a second.
+    :param nodes: number of nodes.
+    :param urgent: urgent requests per second outside the burst.
+    :param bulk: bulk requests per second.
     :param burst: factor of the urgent rate in the burst.
-    :param seconds: length of the schedule.
+    :param seconds: duration of the schedule, seconds.
     :param tokens: tokens of an urgent request.
     :param bulk_tokens: tokens of a bulk request.
-    :param batch: the engines' batch.
+    :param batch: the engines' maximum batch size.
     :param seed: seed of the schedule.
-    :param plot: file for a picture of the urgent requests' first tokens.
+    :param plot: output file of a plot of the urgent requests' time to first token.
     """
     outcomes = []
-    for count in engines:
+    for engine_count in engines:
         for name in policy:
             plan = Plan(
                 name,
-                count,
+                engine_count,
                 nodes,
                 urgent,
                 bulk,
@@ -162,27 +162,27 @@
                 seed,
             )
             with tempfile.TemporaryDirectory() as folder:
-                outcome = perform(plan, pathlib.Path(folder))
+                outcome = run_plan(plan, pathlib.Path(folder))
             outcomes.append(outcome)
             print(tabulate.tabulate(_rows(outcome), headers="keys"), flush=True)
             for violation in outcome.violations[:10]:
                 print("VIOLATION", violation, flush=True)
     if plot is not None:
-        labelled = {
+        records_by_label = {
             f"{item.plan.policy}, {item.plan.engines} engines": [
                 record for record in item.records if record.traffic == "urgent"
             ]
             for item in outcomes
         }
-        report.plot_first_tokens(labelled, plot)
+        report.plot_first_tokens(records_by_label, plot)
 
 
 def _add_engine(
-    bed: testbed.Testbed, plan: Plan, place: int, speed: engine.Speed
+    bed: testbed.Testbed, plan: Plan, index: int, speed: engine.Speed
 ) -> catalogue.Endpoint:
     declared = testbed.engine_endpoint(
-        f"engine-{place}",
-        DATA_CENTRES[place % len(DATA_CENTRES)],
+        f"engine-{index}",
+        DATA_CENTRES[index % len(DATA_CENTRES)],
         slots=plan.batch,
     )
     started = bed.add_engine(declared, speed)
