--- a/packages/mothworks/src/mothworks/application.py
+++ b/packages/mothworks/src/mothworks/application.py
@@ -29,7 +29,7 @@
             request.path,
             (*request.headers, ("X-Request-Id", request.id)),
             request.body,
-            transport.Sending(fresh=not request.repeatable),
+            transport.SendOptions(new_connection=not request.repeatable),
         )
 
     def report(
@@ -46,7 +46,7 @@
     try:
         for _ in answer.chunks():
             pass
-    except transport.FAILURES as error:
+    except transport.CONNECTION_ERRORS as error:
         return result.Err(str(error))
     if answer.status == 503:
         return result.Ok(endpoints.Report(draining=True))
--- a/packages/mothworks/src/mothworks/objects_http.py
+++ b/packages/mothworks/src/mothworks/objects_http.py
@@ -114,7 +114,7 @@
                 pass
             case error:
                 return error
-        match transport.whole(answer):
+        match transport.read_body(answer):
             case result.Ok(received):
                 pass
             case result.Err(reason):
--- a/packages/mothworks/src/mothworks/transport.py
+++ b/packages/mothworks/src/mothworks/transport.py
@@ -47,14 +47,14 @@
 #: Methods whose requests carry no Content-Length where the body is empty.
 METHODS_WITHOUT_BODY = frozenset(("GET", "HEAD", "DELETE", "OPTIONS"))
 
-#: Longest body that :func:`whole` accepts, bytes.
+#: Longest body that :func:`read_body` accepts, bytes.
 MAX_BODY_BYTES = 8 << 20
 
 #: Lowest status of a final answer; lower ones are interim.
 LOWEST_FINAL_STATUS = 200
 
 #: Exceptions raised by a failed connection or a malformed answer.
-FAILURES = (OSError, geventhttpclient.response.HTTPParseError)
+CONNECTION_ERRORS = (OSError, geventhttpclient.response.HTTPParseError)
 
 #: Hop-by-hop headers: they apply to one connection and are not forwarded.
 HOP_BY_HOP = frozenset(
@@ -127,7 +127,7 @@
         self.body_chunks: list[bytes] = []
         self.socket = sock
         self.timed_out = False
-        self.pool_takes_unframed = pool.takes_unframed
+        self.pool_allows_unframed = pool.allow_unframed
         self.hub = gevent.get_hub()
         self.readable = self.hub.loop.io(sock.fileno(), 1)
         self.read_timer = self.hub.loop.timer(
@@ -184,7 +184,7 @@
         """Complete an unframed answer at end of file; raise for any other."""
         if self.timed_out:
             raise TimeoutError("the answer did not arrive in time")
-        if not (self.unframed and self.pool_takes_unframed):
+        if not (self.unframed and self.pool_allows_unframed):
             raise ConnectionResetError("the connection closed before the answer ended")
         # The peer closed in good order; a reset makes recv() raise instead.
         self.message_complete = True
@@ -228,7 +228,7 @@
 
     #: Whether an answer without a length is complete once the endpoint closes
     #: the connection in good order.
-    takes_unframed = False
+    allow_unframed = False
 
     def __init__(self, *args, pool_by_idle: "dict[_Socket, _Pool]", **kwargs):
         super().__init__(*args, **kwargs)
@@ -310,50 +310,50 @@
 
 
 @attrs.frozen
-class Sending:
+class SendOptions:
     """Options of one exchange.
 
-    :param fresh: whether to open a new connection. The endpoint may close a
+    :param new_connection: whether to open a new connection. The endpoint may close a
         pooled one just as the request is sent; it is then unknown whether the
         request ran.
     :param host: the Host header; empty for the address.
     :param deadline: monotonic time by which the whole answer must have arrived.
     :param head_deadline: monotonic time by which its head must have arrived.
-    :param valid: called once the connection is open, right before the first
+    :param may_send: called once the connection is open, right before the first
         byte is sent; the request is not sent unless it returns true.
     """
 
-    fresh: bool = False
+    new_connection: bool = False
     host: str = ""
     deadline: float | None = None
     head_deadline: float | None = None
-    valid: collections.abc.Callable[[], bool] | None = None
+    may_send: collections.abc.Callable[[], bool] | None = None
 
 
 class Transport:
     """Connection pools for all endpoints of one kind, one pool per address.
 
-    :param silence_s: longest time without a byte from an endpoint, seconds.
+    :param read_timeout_s: longest time without a byte from an endpoint, seconds.
     :param size: maximum number of connections to one address.
     :param connect_s: timeout for opening a connection, seconds.
-    :param takes_unframed: whether an answer without a length is complete once
+    :param allow_unframed: whether an answer without a length is complete once
         the endpoint closes the connection in good order.
-    :param most_idle: maximum number of idle connections over all addresses.
+    :param max_idle: maximum number of idle connections over all addresses.
     """
 
     def __init__(
         self,
-        silence_s: float = READ_TIMEOUT_S,
+        read_timeout_s: float = READ_TIMEOUT_S,
         size: int = POOL_SIZE,
         connect_s: float = CONNECT_TIMEOUT_S,
-        takes_unframed: bool = False,
-        most_idle: int = MAX_IDLE,
+        allow_unframed: bool = False,
+        max_idle: int = MAX_IDLE,
     ):
-        self.silence_s = silence_s
+        self.read_timeout_s = read_timeout_s
         self.size = size
         self.connect_s = connect_s
-        self.takes_unframed = takes_unframed
-        self.most_idle = most_idle
+        self.allow_unframed = allow_unframed
+        self.max_idle = max_idle
         self.pool_by_address: dict[tuple[str, int], _Pool] = {}
         self._pool_by_idle: dict[_Socket, _Pool] = {}
         self._idle_checked_at = time.monotonic()
@@ -365,7 +365,7 @@
         path: str,
         headers: collections.abc.Iterable[tuple[str, str]],
         body: bytes,
-        options: Sending = Sending(),  # noqa: B008
+        options: SendOptions = SendOptions(),  # noqa: B008
     ) -> result.Result[HttpAnswer, endpoints.SendFailure]:
         """Send a request once and read the head of its answer.
 
@@ -380,10 +380,14 @@
         self._close_idle()
         pool = self._pool_for(address)
         try:
-            sock = pool.open_for_one_request() if options.fresh else pool.get_socket()
-        except FAILURES as error:
+            sock = (
+                pool.open_for_one_request()
+                if options.new_connection
+                else pool.get_socket()
+            )
+        except CONNECTION_ERRORS as error:
             return result.Err(endpoints.SendFailure(f"connect: {error}", False))
-        if options.valid is not None and not options.valid():
+        if options.may_send is not None and not options.may_send():
             pool.return_socket(sock)
             return result.Err(endpoints.SendFailure("no longer valid", False))
         head = _encode_head(options.host or address, method, path, headers, len(body))
@@ -400,16 +404,16 @@
             raise
         try:
             response = _Response(sock, pool, method, options.deadline)
-        except FAILURES as error:
+        except CONNECTION_ERRORS as error:
             return result.Err(endpoints.SendFailure(f"answer: {error}", True))
-        sock.settimeout(self.silence_s)
+        sock.settimeout(self.read_timeout_s)
         return result.Ok(HttpAnswer(response))
 
-    def _timeout_s(self, options: Sending) -> float:
+    def _timeout_s(self, options: SendOptions) -> float:
         deadlines = (options.deadline, options.head_deadline)
         now = time.monotonic()
         remaining_s = [end - now for end in deadlines if end is not None]
-        return max(0.001, min([self.silence_s, *remaining_s]))
+        return max(0.001, min([self.read_timeout_s, *remaining_s]))
 
     def _close_idle(self) -> None:
         """Close connections that exceed their idle timeout or the maximum number.
@@ -418,7 +422,7 @@
         new ones have new addresses. The number of callers' connections bounds the
         pools that remain.
         """
-        while len(self._pool_by_idle) > self.most_idle:
+        while len(self._pool_by_idle) > self.max_idle:
             oldest = next(iter(self._pool_by_idle))
             self._pool_by_idle[oldest].discard(oldest)
         now = time.monotonic()
@@ -438,15 +442,15 @@
                 *address,
                 size=self.size,
                 connection_timeout=self.connect_s,
-                network_timeout=self.silence_s,
+                network_timeout=self.read_timeout_s,
                 pool_by_idle=self._pool_by_idle,
             )
-            pool.takes_unframed = self.takes_unframed
+            pool.allow_unframed = self.allow_unframed
             self.pool_by_address[address] = pool
         return pool
 
 
-def whole(answer: HttpAnswer) -> result.Result[bytes, str]:
+def read_body(answer: HttpAnswer) -> result.Result[bytes, str]:
     """Read an answer's whole body and release its connection.
 
     :param answer: the answer, its body not yet read.
@@ -460,7 +464,7 @@
             length += len(chunk)
             if length > MAX_BODY_BYTES:
                 return result.Err(f"longer than {MAX_BODY_BYTES} bytes")
-    except FAILURES as error:
+    except CONNECTION_ERRORS as error:
         return result.Err(f"answer: {error}")
     finally:
         answer.close()
--- a/packages/mothworks/src/mothworks/vllm.py
+++ b/packages/mothworks/src/mothworks/vllm.py
@@ -43,7 +43,7 @@
             request.path,
             headers,
             _with_priority(request) if endpoint.priorities else request.body,
-            transport.Sending(fresh=not request.repeatable),
+            transport.SendOptions(new_connection=not request.repeatable),
         )
         return response.and_then(_check_refusal).and_then(
             lambda answer: _check_resumption(answer, offset)
@@ -113,7 +113,7 @@
 def _parse_report(answer: transport.HttpAnswer) -> result.Result[endpoints.Report, str]:
     try:
         body = b"".join(answer.chunks())
-    except transport.FAILURES as error:
+    except transport.CONNECTION_ERRORS as error:
         return result.Err(str(error))
     if answer.status != 200:
         return result.Err(f"status {answer.status}")
@@ -144,7 +144,7 @@
 ) -> result.Result[None, endpoints.OrderFailure]:
     try:
         body = b"".join(answer.chunks())
-    except transport.FAILURES as error:
+    except transport.CONNECTION_ERRORS as error:
         return result.Err(endpoints.OrderUnknown(str(error)))
     if answer.status != 200:
         return result.Err(endpoints.OrderUnknown(f"status {answer.status}"))
--- a/packages/mothworks/tests/test_answers.py
+++ b/packages/mothworks/tests/test_answers.py
@@ -244,7 +244,7 @@
             server.start()
             servers.append(server)
             address = ("127.0.0.1", server.server_port)
-            sender = transport.Transport(silence_s=0.2)
+            sender = transport.Transport(read_timeout_s=0.2)
             return sender.exchange(address, "POST", "/", (), b"{}")
 
         yield exchange
--- a/packages/mothworks/tests/test_transport.py
+++ b/packages/mothworks/tests/test_transport.py
@@ -48,7 +48,7 @@
 
 def exchange(client, endpoint):
     answer = client.exchange(endpoint.address, "GET", "/", (), b"")
-    assert transport.whole(answer.unwrap()).unwrap() == b"ok"
+    assert transport.read_body(answer.unwrap()).unwrap() == b"ok"
 
 
 def test_new_connections_do_not_exhaust_the_pool():
@@ -61,7 +61,12 @@
     with gevent.Timeout(20):
         for _ in range(5):
             answer = client.exchange(
-                address, "POST", "/", (), b"", transport.Sending(fresh=True)
+                address,
+                "POST",
+                "/",
+                (),
+                b"",
+                transport.SendOptions(new_connection=True),
             )
             assert b"".join(answer.unwrap().chunks())
             answer.unwrap().close()
@@ -86,7 +91,7 @@
 # of endpoints.
 def test_the_oldest_idle_connections_are_closed_above_the_maximum(endpoints):
     first, second = endpoints
-    client = transport.Transport(most_idle=1)
+    client = transport.Transport(max_idle=1)
     exchange(client, first)
     exchange(client, second)
     exchange(client, second)
--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -204,7 +204,7 @@
                 self.running_requests.record_late(request.target)
             body = stream_relay.StreamRelay(self, request, endpoint, answer)
             return self._reply(request, answer, body)
-        whole_body = transport.whole(answer)
+        whole_body = transport.read_body(answer)
         if whole_body.is_err():
             self._handle_broken_answer(
                 request, endpoint, progress, whole_body.err_value
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoints_client.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoints_client.py
@@ -26,8 +26,8 @@
         self.connections = transport.Transport(
             READ_TIMEOUT_S,
             connect_s=CONNECT_TIMEOUT_S,
-            takes_unframed=True,
-            most_idle=max(1, int(IDLE_DESCRIPTOR_SHARE * usable_descriptors)),
+            allow_unframed=True,
+            max_idle=max(1, int(IDLE_DESCRIPTOR_SHARE * usable_descriptors)),
         )
         protocol = plugins.find(adapters.ENDPOINTS, node_kernel.settings.adapter)
         self.protocol: adapters.EndpointProtocol = protocol(self.connections)
--- a/packages/mothworks_gateway/src/mothworks_gateway/stream_relay.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/stream_relay.py
@@ -58,7 +58,7 @@
                     self.outcome = "complete"
                     self.attempts.poison_requests.clear(self.request)
                     return
-                except transport.FAILURES as error:
+                except transport.CONNECTION_ERRORS as error:
                     reason = str(error)
                 self._release()
                 self._record_break(reason)
