--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -314,7 +314,7 @@
             answer.close()
             return result.Err(
                 failed_attempts.from_send_failure(
-                    endpoints.SendFailure(str(error), sent=True)
+                    endpoints.SendFailure(str(error), may_have_arrived=True)
                 )
             )
         except BaseException:
--- a/packages/mothworks/src/mothworks/endpoints.py
+++ b/packages/mothworks/src/mothworks/endpoints.py
@@ -19,14 +19,14 @@
     """An attempt to send a request to an endpoint yielded no usable answer.
 
     :param reason: what failed.
-    :param sent: whether the first byte may have been sent.
+    :param may_have_arrived: whether the first byte may have been sent.
     :param refused: whether the endpoint refused the request before running it.
     :param answered: whether the endpoint answered with an error, which shows
         that its process is alive.
     """
 
     reason: str
-    sent: bool
+    may_have_arrived: bool
     refused: bool = False
     answered: bool = False
 
--- a/packages/mothworks/src/mothworks/failed_attempts.py
+++ b/packages/mothworks/src/mothworks/failed_attempts.py
@@ -50,7 +50,7 @@
 
     :param failure: the failure that the endpoint's plug-in reported.
     """
-    if failure.sent and not failure.refused:
+    if failure.may_have_arrived and not failure.refused:
         message = f"the endpoint gave no answer: {failure.reason}"
         crashed = slots.Outcome.CRASHED
         outcome = slots.Outcome.FAILED if failure.answered else crashed
--- a/packages/mothworks/src/mothworks/objects_http.py
+++ b/packages/mothworks/src/mothworks/objects_http.py
@@ -146,7 +146,7 @@
         match self._exchange(self.transport, method, _path(key), (condition,), body):
             case result.Ok(reply):
                 pass
-            case result.Err(failure) if failure.sent:
+            case result.Err(failure) if failure.may_have_arrived:
                 return result.Err(objects.Unknown(failure.reason))
             case result.Err(failure):
                 return result.Err(objects.Unavailable(failure.reason))
--- a/packages/mothworks/src/mothworks/peers.py
+++ b/packages/mothworks/src/mothworks/peers.py
@@ -46,12 +46,12 @@
 
     :param vm: the peer's name.
     :param reason: why it failed.
-    :param sent: whether the peer may have received the message.
+    :param may_have_arrived: whether the peer may have received the message.
     """
 
     vm: str
     reason: str
-    sent: bool
+    may_have_arrived: bool
 
 
 #: Function that sends the reply to one call.
--- a/packages/mothworks/src/mothworks/vllm.py
+++ b/packages/mothworks/src/mothworks/vllm.py
@@ -107,7 +107,9 @@
         return result.Ok(answer)
     answer.close()
     reason = "the endpoint did not resume the stream"
-    return result.Err(endpoints.SendFailure(reason, sent=True, refused=True))
+    return result.Err(
+        endpoints.SendFailure(reason, may_have_arrived=True, refused=True)
+    )
 
 
 def _parse_report(answer: transport.HttpAnswer) -> result.Result[endpoints.Report, str]:
--- a/packages/mothworks/tests/test_answers.py
+++ b/packages/mothworks/tests/test_answers.py
@@ -271,7 +271,7 @@
                 answer.close()
             case result.Err(failure):
                 # The fault arrived together with the head.
-                assert (failure.sent, failure.refused) == (True, False)
+                assert (failure.may_have_arrived, failure.refused) == (True, False)
 
     def test_bytes_after_an_answer_are_not_added_to_it(self, answer_of):
         # An endpoint sends a second, unsolicited response. Its body must neither be
@@ -284,7 +284,7 @@
                 answer.close()
                 assert answer.response.should_close()
             case result.Err(failure):
-                assert (failure.sent, failure.refused) == (True, False)
+                assert (failure.may_have_arrived, failure.refused) == (True, False)
 
     def test_an_interim_answer_comes_before_the_answer(self, answer_of):
         interim = b"HTTP/1.1 103 Early Hints\r\n\r\n"
@@ -295,12 +295,12 @@
     @pytest.mark.parametrize("wire", [b"", b"HTTP/1.1 200", b"\x00\x01"])
     def test_no_head_is_an_unknown_outcome(self, answer_of, wire):
         failure = answer_of(wire).unwrap_err()
-        assert (failure.sent, failure.refused) == (True, False)
+        assert (failure.may_have_arrived, failure.refused) == (True, False)
 
     def test_no_connection_means_nothing_was_sent(self):
         listener = gevent.socket.socket()
         listener.bind(("127.0.0.1", 0))
         address = listener.getsockname()
         sent = transport.Transport().exchange(address, "POST", "/", (), b"{}")
-        assert not sent.unwrap_err().sent
+        assert not sent.unwrap_err().may_have_arrived
         listener.close()
--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -246,7 +246,7 @@
         failure: endpoints.SendFailure,
     ) -> None:
         progress.reason = failure.reason[:80]
-        if not failure.sent:
+        if not failure.may_have_arrived:
             # Nothing was sent, so the endpoint does not count as tried.
             progress.tried.discard(endpoint.id)
             self.health.record_failure(endpoint, failure.reason, consecutive_failures=2)
--- a/packages/mothworks_gateway/src/mothworks_gateway/relayed_objects.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/relayed_objects.py
@@ -177,7 +177,7 @@
                 case result.Ok(RelayedReply() as reply):
                     logs.event(log, "relayed", peer=name, outcome=reply.answer)
                     yield reply
-                case result.Err(failure) if failure.sent:
+                case result.Err(failure) if failure.may_have_arrived:
                     yield RelayedReply(StoreOutcome.UNKNOWN.value)
 
     def _serve_read(self, _: str, request: RelayedRead, answer: peers.Answer) -> None:
