--- a/packages/mothworks/src/mothworks/calls.py
+++ b/packages/mothworks/src/mothworks/calls.py
@@ -81,7 +81,7 @@
     :param limits: limits of this VM.
     :param uploads: memory limit for bodies that are arriving.
     :param id: the request's id.
-    :param arrived: monotonic time of arrival, seconds.
+    :param received_at: monotonic time of arrival, seconds.
     :param watch: detects that the caller disconnects; None until started.
     """
 
@@ -89,7 +89,7 @@
     limits: settings.Limits
     uploads: uploads.Uploads
     id: str = attrs.field(factory=new_id)
-    arrived: float = attrs.field(factory=time.monotonic)
+    received_at: float = attrs.field(factory=time.monotonic)
     watch: caller_watch.Watch | None = None
 
     def start_watch(self) -> caller_watch.Watch:
@@ -146,7 +146,7 @@
         if not (is_number and int(value)):
             message = "Request-Timeout must be a whole number of seconds above 0"
             return result.Err(outcomes.invalid(message))
-        return result.Ok(self.arrived + int(value))
+        return result.Ok(self.received_at + int(value))
 
     def body(self) -> result.Result[bytes, outcomes.Refusal]:
         """Read the whole body within the limits on bytes and time."""
--- a/packages/mothworks/src/mothworks/decisions.py
+++ b/packages/mothworks/src/mothworks/decisions.py
@@ -43,7 +43,7 @@
         "caller",
         "urgency",
         "target",
-        "arrived",
+        "received_at",
         "deadline",
         "steps",
         "outcome",
@@ -54,7 +54,7 @@
         self.caller = request.caller.name
         self.urgency = request.caller.urgency
         self.target = request.target
-        self.arrived = request.arrived
+        self.received_at = request.received_at
         self.deadline = request.first_token_deadline
         self.steps: list[Step] = []
         #: The request's outcome; empty while it runs.
--- a/packages/mothworks/src/mothworks/deferred_records.py
+++ b/packages/mothworks/src/mothworks/deferred_records.py
@@ -82,7 +82,7 @@
             body=self.body,
             stream=self.stream,
             repeatable=self.repeatable,
-            arrived=now,
+            received_at=now,
             first_token_deadline=now + caller.first_token_ms / 1000,
             tokens=self.tokens,
             idempotency_key=key,
--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -204,7 +204,7 @@
         :param active_request: the request.
         """
         request = active_request.request
-        waited_s = active_request.progress.caller_first_token_at - request.arrived
+        waited_s = active_request.progress.caller_first_token_at - request.received_at
         self.metrics.observe_first_token(request.caller.urgency, waited_s)
         self.attainment.count_answer(
             request, active_request.outcome, active_request.progress
--- a/packages/mothworks/src/mothworks/local_facts.py
+++ b/packages/mothworks/src/mothworks/local_facts.py
@@ -114,7 +114,7 @@
             urgency=trace.urgency,
             model=trace.target,
             state=trace.outcome or "running",
-            age_ms=round((now - trace.arrived) * 1000),
+            age_ms=round((now - trace.received_at) * 1000),
             deadline_ms=round((trace.deadline - now) * 1000),
         )
         return [row]
@@ -125,7 +125,7 @@
             return []
         rows = [
             reason_rows.StepRow(
-                round((step.at - trace.arrived) * 1000), step.endpoint, step.what
+                round((step.at - trace.received_at) * 1000), step.endpoint, step.what
             )
             for step in trace.steps
         ]
@@ -135,7 +135,7 @@
 
     def _candidate_rows(self, trace: decisions.Trace) -> list[reason_rows.StepRow]:
         """Return the present state of the endpoints that the request may use."""
-        now_ms = round((time.monotonic() - trace.arrived) * 1000)
+        now_ms = round((time.monotonic() - trace.received_at) * 1000)
         running_by_endpoint = self.dispatch.policy.running_by_endpoint
         rows = []
         for name in self.placement.holders(trace.target):
--- a/packages/mothworks/src/mothworks/requests.py
+++ b/packages/mothworks/src/mothworks/requests.py
@@ -22,7 +22,7 @@
     :param body: the caller's body, forwarded unchanged.
     :param stream: whether the answer is a stream of server-sent events.
     :param repeatable: whether it may run twice.
-    :param arrived: monotonic time of arrival, seconds.
+    :param received_at: monotonic time of arrival, seconds.
     :param first_token_deadline: monotonic time by which the first token is due.
     :param tokens: maximum number of tokens to generate.
     :param idempotency_key: the caller's key that identifies resends, or empty.
@@ -41,7 +41,7 @@
     body: bytes
     stream: bool
     repeatable: bool
-    arrived: float
+    received_at: float
     first_token_deadline: float
     tokens: int = 0
     idempotency_key: str = ""
--- a/packages/mothworks/src/mothworks/service_calls.py
+++ b/packages/mothworks/src/mothworks/service_calls.py
@@ -64,8 +64,8 @@
                 body=body,
                 stream=False,
                 repeatable=service.repeatable,
-                arrived=call.arrived,
-                first_token_deadline=call.arrived + caller.first_token_ms / 1000,
+                received_at=call.received_at,
+                first_token_deadline=call.received_at + caller.first_token_ms / 1000,
                 idempotency_key=call.header("idempotency-key"),
                 deadline=deadline,
             )
--- a/packages/mothworks/tests/builders.py
+++ b/packages/mothworks/tests/builders.py
@@ -102,7 +102,7 @@
         "body": b'{"model": "menu"}',
         "stream": True,
         "repeatable": True,
-        "arrived": now,
+        "received_at": now,
         "first_token_deadline": now + 1.6,
     }
     return requests.Request(**{**fields, **changes})
--- a/packages/mothworks/tests/test_attainment.py
+++ b/packages/mothworks/tests/test_attainment.py
@@ -23,8 +23,8 @@
 
 
 def make_progress(request, first_s, between_s, events=11):
-    answer_progress = progress.AnswerProgress(True, request.arrived)
-    answer_progress.caller_first_token_at = request.arrived + first_s
+    answer_progress = progress.AnswerProgress(True, request.received_at)
+    answer_progress.caller_first_token_at = request.received_at + first_s
     answer_progress.last_token_at = (
         answer_progress.caller_first_token_at + between_s * (events - 1)
     )
--- a/packages/mothworks_fakes/src/mothworks_fakes/measure_state.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/measure_state.py
@@ -148,7 +148,7 @@
         body=b"{}",
         stream=True,
         repeatable=True,
-        arrived=0.0,
+        received_at=0.0,
         first_token_deadline=1.6,
     )
 
