--- a/packages/mothworks/src/mothworks/claim_shards.py
+++ b/packages/mothworks/src/mothworks/claim_shards.py
@@ -245,7 +245,7 @@
         nonce = uuid.uuid4().bytes
         head = attrs.evolve(base, nonce=nonce, records=(*base.records, *records))
         self.on_write(len(records))
-        written = objects.put_known(
+        written = objects.put_and_confirm(
             self.api,
             self.key,
             claim_log.pack(head),
@@ -268,7 +268,7 @@
         name = f"{self.key}/{uuid.uuid4().hex}"
         newest = max(record.timestamp_s for record in head.records)
         body = claim_log.pack(attrs.evolve(head, nonce=name.encode()))
-        return objects.put_known(
+        return objects.put_and_confirm(
             self.api, name, body, None, name.encode(), CONFIRM_TIMEOUT_S
         ).map(lambda _: claim_log.Segment(name, newest))
 
--- a/packages/mothworks/src/mothworks/configuration_parts.py
+++ b/packages/mothworks/src/mothworks/configuration_parts.py
@@ -86,7 +86,7 @@
     """
     source = KEY_PREFIX + name
     try:
-        body = zlib.decompressobj().decompress(packed, objects.MOST_BYTES)
+        body = zlib.decompressobj().decompress(packed, objects.MAX_VALUE_BYTES)
     except zlib.error as error:
         return result.Err(documents.DocumentError(source, (str(error),)))
     if xxhash.xxh3_128_hexdigest(body) != name:
--- a/packages/mothworks/src/mothworks/configuration_writing.py
+++ b/packages/mothworks/src/mothworks/configuration_writing.py
@@ -72,13 +72,15 @@
 
         :param head: the new head.
         :param version: the version that was read; None before the first head.
-        :returns: see :func:`objects.put_known`; ``Unknown`` if the head may
+        :returns: see :func:`objects.put_and_confirm`; ``Unknown`` if the head may
             have been accepted.
         """
         body = configuration_head.write(head)
         nonce = head.nonce.encode()
         key = configuration_head.KEY
-        match objects.put_known(self.api, key, body, version, nonce, CONFIRM_TIMEOUT_S):
+        match objects.put_and_confirm(
+            self.api, key, body, version, nonce, CONFIRM_TIMEOUT_S
+        ):
             case result.Err(objects.Unknown(reason)):
                 return self._find_outcome(head, reason)
             case outcome:
--- a/packages/mothworks/src/mothworks/deferred.py
+++ b/packages/mothworks/src/mothworks/deferred.py
@@ -116,7 +116,9 @@
         if len(body) > deferred_records.MAX_BODY_BYTES:
             return result.Err(_too_long())
         key = deferred_records.key(deferred_records.OPEN_PREFIX, work.id)
-        match objects.put_known(self.api, key, body, None, work.nonce, STORE_TIMEOUT_S):
+        match objects.put_and_confirm(
+            self.api, key, body, None, work.nonce, STORE_TIMEOUT_S
+        ):
             case result.Ok(_):
                 self.tasks.spawn(self._notify_owner, work.id)
                 return result.Ok(work.id)
--- a/packages/mothworks/src/mothworks/deferred_records.py
+++ b/packages/mothworks/src/mothworks/deferred_records.py
@@ -23,7 +23,7 @@
 HOUR_S = 3600
 #: Longest body of a request or an answer, bytes; the rest of the object is
 #: reserved for the other fields.
-MAX_BODY_BYTES = objects.MOST_BYTES - (16 << 10)
+MAX_BODY_BYTES = objects.MAX_VALUE_BYTES - (16 << 10)
 #: Prefix of the claim key of work whose caller sent no Idempotency-Key. The
 #: null byte can't occur in a header, so it never equals a caller's key.
 CLAIM_KEY_PREFIX = "\0deferred:"
--- a/packages/mothworks/src/mothworks/ledger_store.py
+++ b/packages/mothworks/src/mothworks/ledger_store.py
@@ -54,12 +54,14 @@
     """Stores ledgers in the object API.
 
     :param api: the object API's client.
-    :param patience_s: timeout for determining a write's outcome, seconds.
+    :param confirm_timeout_s: timeout for determining a write's outcome, seconds.
     """
 
-    def __init__(self, api: objects.Api, patience_s: float = objects.PATIENCE_S):
+    def __init__(
+        self, api: objects.Api, confirm_timeout_s: float = objects.CONFIRM_TIMEOUT_S
+    ):
         self.api = api
-        self.patience_s = patience_s
+        self.confirm_timeout_s = confirm_timeout_s
 
     def read(self, endpoint: str) -> result.Result[StoredLedger, ReadError]:
         """Read an endpoint's ledger; return an empty one if none is stored.
@@ -87,8 +89,8 @@
         updated = attrs.evolve(updated, nonce=nonce)
         body = orjson.dumps(documents.plain(updated))
         key = PREFIX + updated.endpoint
-        written = objects.put_known(
-            self.api, key, body, stored.version, nonce.encode(), self.patience_s
+        written = objects.put_and_confirm(
+            self.api, key, body, stored.version, nonce.encode(), self.confirm_timeout_s
         )
         match written:
             case result.Ok(version):
--- a/packages/mothworks/src/mothworks/objects.py
+++ b/packages/mothworks/src/mothworks/objects.py
@@ -18,11 +18,11 @@
 from mothworks import guard, kernel, metrics, plugins
 
 #: Longest value that the platform accepts, bytes.
-MOST_BYTES = 1_000_000
-#: Time for which :func:`put_known` tries to find out a write's outcome, seconds.
-PATIENCE_S = 3.0
+MAX_VALUE_BYTES = 1_000_000
+#: Time for which :func:`put_and_confirm` tries to find out a write's outcome, seconds.
+CONFIRM_TIMEOUT_S = 3.0
 #: Upper bound of its first random backoff, seconds; it doubles each time.
-PAUSE_S = 0.05
+FIRST_BACKOFF_S = 0.05
 #: Highest upper bound of its backoff, seconds.
 MAX_BACKOFF_S = 0.5
 
@@ -184,7 +184,7 @@
         self, key: str, body: bytes, version: str | None
     ) -> result.Result[str, WriteError]:
         """Write one object without retries; see :meth:`Api.put`."""
-        if len(body) > MOST_BYTES:
+        if len(body) > MAX_VALUE_BYTES:
             return result.Err(TooLarge(key, len(body)))
         return self.guard.call_once("put", self.plugin.put, key, body, version)
 
@@ -218,13 +218,13 @@
         self.api: Api = Client(plugin, node_kernel.metrics)
 
 
-def put_known(
+def put_and_confirm(
     api: Api,
     key: str,
     body: bytes,
     version: str | None,
     nonce: bytes,
-    patience_s: float = PATIENCE_S,
+    confirm_timeout_s: float = CONFIRM_TIMEOUT_S,
 ) -> result.Result[str, WriteError]:
     """Write one object and find out the outcome, even if replies are lost.
 
@@ -238,14 +238,14 @@
     :param body: the new content, which contains the nonce.
     :param version: the version it must have; None if it must not exist.
     :param nonce: bytes that no other write contains.
-    :param patience_s: longest time to find out the outcome, seconds.
+    :param confirm_timeout_s: longest time to find out the outcome, seconds.
     :returns: the new version. ``Conflict`` and ``Unavailable`` mean that nothing
         changed. ``Unknown`` means that the value may have been written, and may
         have been overwritten since: the writer has to search the stored data
         for signs of its own write.
     """
-    deadline = time.monotonic() + patience_s
-    backoff_s = PAUSE_S
+    deadline = time.monotonic() + confirm_timeout_s
+    backoff_s = FIRST_BACKOFF_S
     maybe_written = False
     while True:
         match api.put(key, body, version):
@@ -284,4 +284,4 @@
         # The read failed, or returned a state from before the conflict.
         if time.monotonic() > deadline:
             return result.Err(Unknown("the value could not be read back"))
-        gevent.sleep(random.uniform(0, PAUSE_S))
+        gevent.sleep(random.uniform(0, FIRST_BACKOFF_S))
--- a/packages/mothworks/tests/order_execution_world.py
+++ b/packages/mothworks/tests/order_execution_world.py
@@ -82,7 +82,7 @@
 
     def new_owner(self):
         clock = order_execution.Clock(lambda: self.now, lambda: self.now)
-        store = ledger_store.LedgerStore(self.api, patience_s=0.0)
+        store = ledger_store.LedgerStore(self.api, confirm_timeout_s=0.0)
         return order_execution.OrderExecutor(
             self.endpoint, store, self.adapter, LATE_ORDER_S, clock
         )
--- a/packages/mothworks/tests/test_claims.py
+++ b/packages/mothworks/tests/test_claims.py
@@ -17,7 +17,7 @@
 @pytest.fixture(autouse=True)
 def short_pauses(monkeypatch):
     for module, name in (
-        (objects, "PAUSE_S"),
+        (objects, "FIRST_BACKOFF_S"),
         (claim_shards, "MAX_CONFLICT_PAUSE_S"),
         (claim_shards, "BATCH_DELAY_S"),
         (claim_shards, "WRITE_INTERVAL_S"),
--- a/packages/mothworks/tests/test_configuration.py
+++ b/packages/mothworks/tests/test_configuration.py
@@ -25,7 +25,7 @@
 
 @pytest.fixture(autouse=True)
 def short_pauses(monkeypatch):
-    monkeypatch.setattr(objects, "PAUSE_S", 0.0)
+    monkeypatch.setattr(objects, "FIRST_BACKOFF_S", 0.0)
     monkeypatch.setattr(configuration_writing, "MAX_PAUSE_S", 0.0)
 
 
--- a/packages/mothworks/tests/test_deferred.py
+++ b/packages/mothworks/tests/test_deferred.py
@@ -108,7 +108,7 @@
     refused = call(bed, "vm-1", "POST", CHAT, BODY, **headers)
     assert error_of(refused) == (503, "object_api", "no")
     bed.object_api.faults.outage = False
-    long_body = orjson.dumps({"model": "menu", "prompt": "x" * objects.MOST_BYTES})
+    long_body = orjson.dumps({"model": "menu", "prompt": "x" * objects.MAX_VALUE_BYTES})
     refused = call(bed, "vm-1", "POST", "/v1/completions", long_body, **headers)
     assert error_of(refused) == (413, "body_too_long", "no")
 
--- a/packages/mothworks/tests/test_objects.py
+++ b/packages/mothworks/tests/test_objects.py
@@ -32,8 +32,8 @@
 
 
 def test_a_value_over_the_limit_is_not_sent(fake):
-    outcome = client(fake).put("a", bytes(objects.MOST_BYTES + 1), None)
-    assert outcome == result.Err(objects.TooLarge("a", objects.MOST_BYTES + 1))
+    outcome = client(fake).put("a", bytes(objects.MAX_VALUE_BYTES + 1), None)
+    assert outcome == result.Err(objects.TooLarge("a", objects.MAX_VALUE_BYTES + 1))
     assert fake.writes == 0
 
 
@@ -52,7 +52,7 @@
     assert isinstance(api.put("a", b"value", None).err(), objects.Unavailable)
 
 
-def test_put_known_identifies_its_own_write(fake):
+def test_put_and_confirm_identifies_its_own_write(fake):
     # The reply to the write is lost, and the repeated write gets a conflict. The
     # nonce in the stored value identifies it as the writer's own.
     fake.faults.lost_reply = 0.7
@@ -61,11 +61,11 @@
     version = None
     for number in range(20):
         nonce = f"nonce-{number}".encode()
-        version = objects.put_known(api, "a", nonce, version, nonce, 60).unwrap()
+        version = objects.put_and_confirm(api, "a", nonce, version, nonce, 60).unwrap()
     assert fake.item_by_key["a"].body == b"nonce-19"
 
 
-def test_put_known_is_correct_despite_stale_reads(fake):
+def test_put_and_confirm_is_correct_despite_stale_reads(fake):
     # The write took effect, its reply was lost, and the read-back returns the
     # previous value. Reporting that nothing changed would be wrong.
     api = client(fake)
@@ -73,19 +73,19 @@
     fake.faults.lost_reply = 0.7
     fake.faults.writes_only = True
     fake.stale_reads = 0.7
-    written = objects.put_known(api, "a", b"mine", version, b"mine", 60)
+    written = objects.put_and_confirm(api, "a", b"mine", version, b"mine", 60)
     assert written == result.Ok(str(fake.item_by_key["a"].revision))
 
 
-def test_put_known_distinguishes_conflicts_from_unknown_outcomes(fake):
+def test_put_and_confirm_distinguishes_conflicts_from_unknown_outcomes(fake):
     api = client(fake)
     version = api.put("a", b"theirs", None).unwrap()
-    assert objects.put_known(api, "a", b"mine", "0", b"mine") == result.Err(
+    assert objects.put_and_confirm(api, "a", b"mine", "0", b"mine") == result.Err(
         objects.Conflict("a")
     )
     # Every reply is lost, so it stays unknown whether the write took effect.
     fake.faults.lost_reply = 1.0
-    outcome = objects.put_known(api, "a", b"mine", version, b"mine", 0.2)
+    outcome = objects.put_and_confirm(api, "a", b"mine", version, b"mine", 0.2)
     assert isinstance(outcome.err(), objects.Unknown)
 
 
--- a/packages/mothworks/tests/test_orders.py
+++ b/packages/mothworks/tests/test_orders.py
@@ -37,7 +37,7 @@
     part.health.adapters.get.return_value = world.adapter
     part.health.withheld_by_endpoint = {"engine-1": frozenset(["menu"])}
     part.slots.running_requests.return_value = frozenset()
-    part.store = ledger_store.LedgerStore(world.api, patience_s=0.0)
+    part.store = ledger_store.LedgerStore(world.api, confirm_timeout_s=0.0)
     stub_by_class = {
         configuration.Configuration: part.configuration,
         health.Health: part.health,
