--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -62,7 +62,7 @@
         self.decisions = node_kernel.get(decisions.Decisions)
         chosen = node_kernel.settings.routing
         self.policy: routing.Policy = plugins.find(plugins.ROUTING, chosen)()
-        self.retries = retries.Budget()
+        self.retries = retries.RetryBudget()
         self.metrics = path_metrics.PathMetrics(node_kernel.metrics)
         self.resumption = resumption.Resumption(self)
 
@@ -347,4 +347,4 @@
         :param request: the request.
         :returns: whether the request may be sent again.
         """
-        return time.monotonic() < request.deadline and self.retries.take()
+        return time.monotonic() < request.deadline and self.retries.acquire()
--- a/packages/mothworks/src/mothworks/guard.py
+++ b/packages/mothworks/src/mothworks/guard.py
@@ -42,7 +42,7 @@
         self.is_unanswered = is_unanswered
         self.circuit_open_error = circuit_open_error
         self.circuit = circuit.Circuit()
-        self.retry_budget = retries.Budget()
+        self.retry_budget = retries.RetryBudget()
         self.calls_total = node_metrics.counter(
             f"{name}_calls_total", "Calls to the service by kind and outcome."
         )
@@ -62,7 +62,7 @@
             is_last = attempt == MAX_ATTEMPTS - 1
             if is_last or not self._failed(outcome) or self.circuit.open:
                 break
-            if not self.retry_budget.take():
+            if not self.retry_budget.acquire():
                 break
             gevent.sleep(random.uniform(0, FIRST_BACKOFF_S * 2**attempt))
         return outcome
--- a/packages/mothworks/src/mothworks/retries.py
+++ b/packages/mothworks/src/mothworks/retries.py
@@ -13,32 +13,32 @@
 #: Retries that each second adds, so that a node with little traffic can retry.
 RETRIES_PER_S = 1.0
 #: Maximum number of retries that the budget accumulates.
-MAX_SAVED = 20.0
+MAX_AVAILABLE = 20.0
 
 
-class Budget:
-    """A budget of retries; :meth:`take` spends one.
+class RetryBudget:
+    """A budget of retries; :meth:`acquire` spends one.
 
-    >>> budget = Budget()
-    >>> budget.take()
+    >>> budget = RetryBudget()
+    >>> budget.acquire()
     True
     """
 
     def __init__(self):
-        self.saved = MAX_SAVED
+        self.available = MAX_AVAILABLE
         self.updated_at = time.monotonic()
 
     def add_request(self) -> None:
         """Add a new request's share of a retry to the budget."""
-        self.saved = min(MAX_SAVED, self.saved + SHARE)
+        self.available = min(MAX_AVAILABLE, self.available + SHARE)
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Spend one retry; return whether the budget allowed it."""
         now = time.monotonic()
         gained = (now - self.updated_at) * RETRIES_PER_S
         self.updated_at = now
-        self.saved = min(MAX_SAVED, self.saved + gained)
-        if self.saved < 1:
+        self.available = min(MAX_AVAILABLE, self.available + gained)
+        if self.available < 1:
             return False
-        self.saved -= 1
+        self.available -= 1
         return True
