--- a/packages/mothworks/src/mothworks/caller_watch.py
+++ b/packages/mothworks/src/mothworks/caller_watch.py
@@ -15,7 +15,7 @@
     """The caller closed its connection; thrown into the call's task."""
 
 
-class Watch:
+class DisconnectWatch:
     """Throws :class:`CallerDisconnected` into the current task on a disconnect.
 
     A caller that closes only its sending side counts as disconnected. The watch
--- a/packages/mothworks/src/mothworks/calls.py
+++ b/packages/mothworks/src/mothworks/calls.py
@@ -90,11 +90,11 @@
     uploads: uploads.Uploads
     id: str = attrs.field(factory=new_id)
     received_at: float = attrs.field(factory=time.monotonic)
-    watch: caller_watch.Watch | None = None
+    watch: caller_watch.DisconnectWatch | None = None
 
-    def start_watch(self) -> caller_watch.Watch:
+    def start_watch(self) -> caller_watch.DisconnectWatch:
         """Start to watch for a disconnect; call it once the body was read."""
-        self.watch = caller_watch.Watch(self.environ[CONNECTION].socket)
+        self.watch = caller_watch.DisconnectWatch(self.environ[CONNECTION].socket)
         return self.watch
 
     def stop_watch(self) -> None:
--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -67,7 +67,9 @@
         self.resumption = resumption.Resumption(self)
 
     def begin(
-        self, request: requests.Request, watch: caller_watch.Watch | None = None
+        self,
+        request: requests.Request,
+        watch: caller_watch.DisconnectWatch | None = None,
     ) -> result.Result[answer_recording.RunningRequest, outcomes.Refusal]:
         """Send a request and wait for the first bytes of its response.
 
@@ -101,7 +103,7 @@
         self,
         request: requests.Request,
         trace: decisions.Trace,
-        watch: caller_watch.Watch | None,
+        watch: caller_watch.DisconnectWatch | None,
         claim: claiming.Claim,
     ) -> result.Result[answer_recording.RunningRequest, outcomes.Refusal]:
         """Run a request with an idempotency key unless a copy runs or has run."""
@@ -133,7 +135,7 @@
         self,
         request: requests.Request,
         trace: decisions.Trace,
-        watch: caller_watch.Watch | None,
+        watch: caller_watch.DisconnectWatch | None,
         claim: claiming.Claim | None,
     ) -> result.Result[running_request.RunningRequest, outcomes.Refusal]:
         tried: set[str] = set()
@@ -251,7 +253,7 @@
         self,
         request: requests.Request,
         candidates: list[catalogue.Endpoint],
-        watch: caller_watch.Watch | None,
+        watch: caller_watch.DisconnectWatch | None,
         claim: claiming.Claim | None,
     ) -> result.Result[running_request.RunningRequest, failed_attempts.FailedAttempt]:
         acquired = self.suspects.check(request).and_then(
--- a/packages/mothworks/src/mothworks/server.py
+++ b/packages/mothworks/src/mothworks/server.py
@@ -75,7 +75,7 @@
         self.listener.stop(timeout=0)
         super().stop()
 
-    def begun(self, call: calls.Call) -> None:
+    def on_call(self, call: calls.Call) -> None:
         """Add the call's request ID to the log lines of its task."""
         logs.set_request_id(call.id)
 
@@ -88,7 +88,7 @@
         ]
         return [*other_headers, (calls.REQUEST_ID, call.id)]
 
-    def replied(self, call: calls.Call, reply: calls.Reply) -> None:
+    def on_reply(self, call: calls.Call, reply: calls.Reply) -> None:
         """Count and log the reply."""
         self.metrics.count_reply(reply.status, reply.refusal)
         if reply.refusal is not None and reply.status >= 500:
--- a/packages/mothworks/src/mothworks/serving.py
+++ b/packages/mothworks/src/mothworks/serving.py
@@ -55,13 +55,13 @@
         # The WSGI server fails on a Content-Length where no body is allowed.
         return [item for item in reply.headers if item[0].lower() != "content-length"]
 
-    def begun(self, call: calls.Call) -> None:
+    def on_call(self, call: calls.Call) -> None:
         """Hook that runs before a call is answered.
 
         :param call: the call.
         """
 
-    def replied(self, call: calls.Call, reply: calls.Reply) -> None:
+    def on_reply(self, call: calls.Call, reply: calls.Reply) -> None:
         """Hook that runs before a reply is sent.
 
         :param call: the call.
@@ -80,9 +80,9 @@
         call = reply = None
         try:
             call = calls.Call(environ, self.limits, self.uploads)
-            self.begun(call)
+            self.on_call(call)
             reply = self._reply_or_internal_error(call)
-            self.replied(call, reply)
+            self.on_reply(call, reply)
             headers = self.headers(call, reply)
             if self.kernel.draining:
                 # Makes the caller send its next call to another VM.
