--- a/packages/mothworks/src/mothworks/batches.py
+++ b/packages/mothworks/src/mothworks/batches.py
@@ -53,7 +53,7 @@
     :param share: returns the maximum share of the queue for a caller.
     :param reported_running: returns the number of running requests that the engine
         itself reports; None before its first report.
-    :param preempts: whether the engine preempts less urgent work for urgent work.
+    :param can_preempt: whether the engine preempts less urgent work for urgent work.
     """
 
     def __init__(
@@ -62,13 +62,13 @@
         closed_reason: collections.abc.Callable[[slot_messages.SlotRequest], str],
         share: collections.abc.Callable[[str], float] = lambda caller: 1.0,
         reported_running: collections.abc.Callable[[], int | None] = lambda: None,
-        preempts: bool = False,
+        can_preempt: bool = False,
     ):
         self.limit = concurrency_limit.ConcurrencyLimit(slots)
         self.closed_reason = closed_reason
         self.share = share
         self.reported_running = reported_running
-        self.preempts = preempts
+        self.can_preempt = can_preempt
         self.queue = request_queue.Queue()
         self.exclusive_queue = exclusive_queue.ExclusiveQueue()
         self.slot_by_key: dict[request_queue.Key, OccupiedSlot] = {}
@@ -223,7 +223,7 @@
         """
         now = time.monotonic()
         peak = self.usage.update_peak(self._urgent_running(), now)
-        if self.preempts:
+        if self.can_preempt:
             needed = self.limit.value < self.limit.maximum
         else:
             needed = self._next_free_s(0) > MAX_URGENT_WAIT_S
@@ -292,7 +292,7 @@
             limit -= self.reserved_slots()
         # An engine with priorities preempts less urgent work, so only work of the
         # same or a higher urgency occupies its slots.
-        return self.running(rank if self.preempts else request_queue.BULK) < limit
+        return self.running(rank if self.can_preempt else request_queue.BULK) < limit
 
     def _grant(self, queued: request_queue.QueuedRequest, now: float) -> None:
         self._occupy(queued.request, queued.entry, now)
@@ -336,7 +336,7 @@
 
     def _next_free_s(self, rank: int) -> float:
         """Return the mean time until a slot for a rank becomes free, seconds."""
-        highest = rank if self.preempts else request_queue.BULK
+        highest = rank if self.can_preempt else request_queue.BULK
         running_ranks = [slot.request.rank for slot in self.slot_by_key.values()]
         ranks = [item for item in running_ranks if item <= highest]
         return self.usage.slot_time_s(ranks) / self.limit.value_for(
--- a/packages/mothworks/src/mothworks/endpoints.py
+++ b/packages/mothworks/src/mothworks/endpoints.py
@@ -143,9 +143,9 @@
     """Interface of the plug-ins of kind :data:`plugins.ENDPOINT`."""
 
     #: Whether endpoints of this kind can resume a stream at an offset.
-    resumes = False
+    can_resume = False
     #: Whether urgent requests preempt bulk requests in a full batch.
-    preempts = False
+    can_preempt = False
 
     def send(
         self, endpoint: catalogue.Endpoint, request: requests.Request, offset: int = 0
@@ -155,7 +155,7 @@
         :param endpoint: the endpoint to send to.
         :param request: the request, which is sent at most once.
         :param offset: number of the stream's events that the caller already
-            has; above 0 only if :attr:`resumes` is set.
+            has; above 0 only if :attr:`can_resume` is set.
         """
         raise NotImplementedError
 
--- a/packages/mothworks/src/mothworks/resumption.py
+++ b/packages/mothworks/src/mothworks/resumption.py
@@ -39,7 +39,7 @@
         candidates = [
             endpoint
             for endpoint in self.dispatch.choose_endpoints(request, broken.tried)
-            if self.dispatch.health.adapters.get(endpoint.kind).resumes
+            if self.dispatch.health.adapters.get(endpoint.kind).can_resume
         ]
         if not (candidates and self.dispatch.acquire_retry(request)):
             return False
--- a/packages/mothworks/src/mothworks/slot_owner.py
+++ b/packages/mothworks/src/mothworks/slot_owner.py
@@ -213,7 +213,7 @@
                 self._closed_reason,
                 self._caller_share,
                 lambda: self._reported_running(name),
-                endpoint is not None and self._preempts(endpoint),
+                endpoint is not None and self._can_preempt(endpoint),
             )
             self.batch_by_endpoint[name] = batch
         return batch
@@ -245,9 +245,9 @@
             if self.sweep():
                 self.has_queue.set()
 
-    def _preempts(self, endpoint: catalogue.Endpoint) -> bool:
+    def _can_preempt(self, endpoint: catalogue.Endpoint) -> bool:
         kind = self.health.adapters.get(endpoint.kind)
-        return kind.preempts and endpoint.priorities
+        return kind.can_preempt and endpoint.priorities
 
     def _reported_running(self, name: str) -> int | None:
         report = self.health.report_by_endpoint.get(name)
--- a/packages/mothworks/src/mothworks/vllm.py
+++ b/packages/mothworks/src/mothworks/vllm.py
@@ -24,8 +24,8 @@
 class Vllm(endpoints.Adapter):
     """Implements the protocol of vLLM-style engines."""
 
-    resumes = True
-    preempts = True
+    can_resume = True
+    can_preempt = True
 
     def __init__(self):
         self.transport = transport.Transport()
--- a/packages/mothworks/tests/test_slots.py
+++ b/packages/mothworks/tests/test_slots.py
@@ -23,14 +23,14 @@
 class Owner:
     """A batch, and its replies to each slot request."""
 
-    def __init__(self, slots=1, closed_reason="", share=1.0, preempts=False):
+    def __init__(self, slots=1, closed_reason="", share=1.0, can_preempt=False):
         self.closed_reason = closed_reason
         self.replies_by_request = {}
         self.batch = batches.Batch(
             slots,
             lambda request: self.closed_reason,
             lambda caller: share,
-            preempts=preempts,
+            can_preempt=can_preempt,
         )
         self.batch.limit.value = slots
         self.number_by_request = {}
@@ -188,7 +188,7 @@
     The engine preempts bulk for them, so they are granted at once, up to the
     limit; queued bulk waits until they are done.
     """
-    owner = Owner(slots=4, preempts=True)
+    owner = Owner(slots=4, can_preempt=True)
     for number in range(6):
         owner.request(f"bulk-{number}", BULK)
     urgent = [owner.request(f"urgent-{number}") for number in range(5)]
@@ -205,7 +205,7 @@
 
 def test_preempted_bulk_does_not_shrink_the_limit():
     """Slow tokens of a preempted request say nothing about the batch size."""
-    owner = Owner(slots=2, preempts=True)
+    owner = Owner(slots=2, can_preempt=True)
     owner.request("bulk", BULK)
     owner.request("bulk-2", BULK)
     owner.request("urgent")
