--- a/packages/mothctl/src/mothctl/execution.py
+++ b/packages/mothctl/src/mothctl/execution.py
@@ -117,7 +117,7 @@
     match in_force:
         case result.Ok(current):
             items = changes.difference(current, declared)
-            plain = tuple(documents.plain(item) for item in items)
+            plain = tuple(documents.to_plain(item) for item in items)
             return result.Ok(Compared(file, value["revision"], plain))
         case result.Err(problem):
             message = f"the node's catalogue is of another version: {problem}"
@@ -144,7 +144,7 @@
     change = {
         "revision": revision,
         "why": statement.why,
-        "catalogue": documents.plain(declared),
+        "catalogue": documents.to_plain(declared),
     }
     return node.put("catalogue", change).map(_applied_answer)
 
--- a/packages/mothctl/tests/test_cli.py
+++ b/packages/mothctl/tests/test_cli.py
@@ -30,7 +30,7 @@
 def write(tmp_path):
     def write_catalogue(name="catalogue.json", **changes):
         path: pathlib.Path = tmp_path / name
-        declared = documents.plain(builders.make_catalogue(**changes))
+        declared = documents.to_plain(builders.make_catalogue(**changes))
         path.write_bytes(b"// declared\n" + orjson.dumps(declared))
         return str(path)
 
--- a/packages/mothworks/src/mothworks/answers.py
+++ b/packages/mothworks/src/mothworks/answers.py
@@ -25,7 +25,7 @@
     def plain(self) -> dict[str, typing.Any]:
         """Return the table as values that JSON can encode."""
         columns = [field.name for field in attrs.fields(self.row_class)]
-        rows = [documents.plain(row) for row in self.rows]
+        rows = [documents.to_plain(row) for row in self.rows]
         return {"title": self.title, "columns": columns, "rows": rows}
 
 
--- a/packages/mothworks/src/mothworks/audit.py
+++ b/packages/mothworks/src/mothworks/audit.py
@@ -281,7 +281,7 @@
 
     :param entry: the entry.
     """
-    return orjson.dumps(documents.plain(entry), option=orjson.OPT_APPEND_NEWLINE)
+    return orjson.dumps(documents.to_plain(entry), option=orjson.OPT_APPEND_NEWLINE)
 
 
 def parse(body: bytes) -> list[Entry]:
--- a/packages/mothworks/src/mothworks/catalogue_checks.py
+++ b/packages/mothworks/src/mothworks/catalogue_checks.py
@@ -21,7 +21,7 @@
     :param text: the document, JSON with comments.
     :param source: its name in errors.
     """
-    return documents.read(text, catalogue.Catalogue, source).and_then(
+    return documents.parse_as(text, catalogue.Catalogue, source).and_then(
         lambda read_catalogue: check(read_catalogue, source)
     )
 
--- a/packages/mothworks/src/mothworks/cli.py
+++ b/packages/mothworks/src/mothworks/cli.py
@@ -59,7 +59,7 @@
 def _load_catalogue(
     file: pathlib.Path,
 ) -> result.Result[catalogues.Catalogue, documents.DocumentError]:
-    return documents.load(file).and_then(
+    return documents.read_file(file).and_then(
         lambda text: catalogue_checks.parse_and_check(text, str(file))
     )
 
--- a/packages/mothworks/src/mothworks/configuration_head.py
+++ b/packages/mothworks/src/mothworks/configuration_head.py
@@ -63,4 +63,4 @@
 
     :param head: the head.
     """
-    return orjson.dumps(documents.plain(head))
+    return orjson.dumps(documents.to_plain(head))
--- a/packages/mothworks/src/mothworks/configuration_parts.py
+++ b/packages/mothworks/src/mothworks/configuration_parts.py
@@ -63,7 +63,7 @@
     :param declared: a checked catalogue.
     """
     parts = []
-    for section, plain in documents.plain(declared).items():
+    for section, plain in documents.to_plain(declared).items():
         items = getattr(declared, section)
         if isinstance(plain, dict):
             parts.append(_make_part(section, [plain], (items,)))
--- a/packages/mothworks/src/mothworks/documents.py
+++ b/packages/mothworks/src/mothworks/documents.py
@@ -34,7 +34,7 @@
         return "\n".join(f"{self.source}: {problem}" for problem in self.problems)
 
 
-def load(path: pathlib.Path) -> result.Result[str, DocumentError]:
+def read_file(path: pathlib.Path) -> result.Result[str, DocumentError]:
     """Return the text of a file in UTF-8.
 
     :param path: the file.
@@ -85,7 +85,7 @@
         return result.Err(DocumentError(source, tuple(problems)))
 
 
-def read(
+def parse_as(
     text: str, shape: type[Shape], source: str
 ) -> result.Result[Shape, DocumentError]:
     """Parse and validate a document.
@@ -101,7 +101,7 @@
             return error
 
 
-def plain(value: typing.Any) -> typing.Any:
+def to_plain(value: typing.Any) -> typing.Any:
     """Convert an attrs object to dicts and lists that JSON can represent.
 
     :param value: an instance of an attrs class.
--- a/packages/mothworks/src/mothworks/ledger_store.py
+++ b/packages/mothworks/src/mothworks/ledger_store.py
@@ -87,7 +87,7 @@
         """
         nonce = uuid.uuid4().hex
         updated = attrs.evolve(updated, nonce=nonce)
-        body = orjson.dumps(documents.plain(updated))
+        body = orjson.dumps(documents.to_plain(updated))
         key = PREFIX + updated.endpoint
         written = objects.put_and_confirm(
             self.api, key, body, stored.version, nonce.encode(), self.confirm_timeout_s
--- a/packages/mothworks/src/mothworks/operator_calls.py
+++ b/packages/mothworks/src/mothworks/operator_calls.py
@@ -155,7 +155,7 @@
                 return calls.refuse(refusal)
 
     def _catalogue(self) -> calls.Reply:
-        declared = documents.plain(self.configuration.index.catalogue)
+        declared = documents.to_plain(self.configuration.index.catalogue)
         return calls.json_reply(
             {"revision": self.configuration.revision, "catalogue": declared}
         )
@@ -195,7 +195,7 @@
             return calls.json_reply(body(revision))
         case result.Err(operator_commands.Rejected(refusal, difference)):
             body = orjson.loads(refusal.body())
-            body["difference"] = [documents.plain(item) for item in difference]
+            body["difference"] = [documents.to_plain(item) for item in difference]
             reply = calls.refuse(refusal)
             return attrs.evolve(reply, body=[orjson.dumps(body)])
 
--- a/packages/mothworks/src/mothworks/settings.py
+++ b/packages/mothworks/src/mothworks/settings.py
@@ -192,6 +192,6 @@
     :param path: the file, JSON with comments.
     :returns: the settings, or all problems found.
     """
-    return documents.load(path).and_then(
-        lambda text: documents.read(text, Settings, str(path))
+    return documents.read_file(path).and_then(
+        lambda text: documents.parse_as(text, Settings, str(path))
     )
--- a/packages/mothworks/src/mothworks/statements.py
+++ b/packages/mothworks/src/mothworks/statements.py
@@ -229,7 +229,7 @@
     >>> plain(Drain("engine-1"))["statement"]
     'Drain'
     """
-    return {"statement": type(statement).__name__, **documents.plain(statement)}
+    return {"statement": type(statement).__name__, **documents.to_plain(statement)}
 
 
 def read(value: typing.Any) -> result.Result[Statement, documents.DocumentError]:
--- a/packages/mothworks/tests/test_bad_documents.py
+++ b/packages/mothworks/tests/test_bad_documents.py
@@ -13,17 +13,17 @@
 
 
 def settings_text(**changes):
-    plain = documents.plain(builders.settings())
+    plain = documents.to_plain(builders.settings())
     return orjson.dumps({**plain, **changes}).decode()
 
 
 def catalogue_text(**changes):
-    plain = documents.plain(builders.make_catalogue())
+    plain = documents.to_plain(builders.make_catalogue())
     return orjson.dumps({**plain, **changes}).decode()
 
 
 def item(builder, **changes):
-    plain = documents.plain(getattr(builders, builder)())
+    plain = documents.to_plain(getattr(builders, builder)())
     return {**plain, **changes}
 
 
--- a/packages/mothworks/tests/test_whole_path.py
+++ b/packages/mothworks/tests/test_whole_path.py
@@ -19,7 +19,7 @@
     bed.add_node("vm-2", "dc-2", "region-1")
     node = client.Client(bed.node_by_name["vm-1"].url, testbed.OPERATOR_KEY)
     declared = builders.make_catalogue(endpoints=(engine, orders))
-    change = {"revision": 0, "why": "", "catalogue": documents.plain(declared)}
+    change = {"revision": 0, "why": "", "catalogue": documents.to_plain(declared)}
     assert node.put("catalogue", change).unwrap() == {"revision": 1}
     processes.wait_until(lambda: all(open_on_each_node(bed)))
     return bed
--- a/packages/mothworks_fakes/src/mothworks_fakes/measure_path.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/measure_path.py
@@ -104,7 +104,7 @@
     :param declared: the catalogue.
     """
     operator = client.Client(node.url, testbed.OPERATOR_KEY)
-    change = {"revision": 0, "why": "", "catalogue": documents.plain(declared)}
+    change = {"revision": 0, "why": "", "catalogue": documents.to_plain(declared)}
     operator.put("catalogue", change).unwrap()
 
 
--- a/packages/mothworks_fakes/src/mothworks_fakes/platform.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/platform.py
@@ -43,7 +43,7 @@
                 self.put(documents.structure(value, vm_list.Vm, "vm").unwrap())
             case "DELETE":
                 self.vm_by_name.pop(name, None)
-        return web.json_reply(documents.plain(list(self.vm_by_name.values())))
+        return web.json_reply(documents.to_plain(list(self.vm_by_name.values())))
 
 
 class WeightStore(web.Fake):
--- a/packages/mothworks_fakes/src/mothworks_fakes/processes.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/processes.py
@@ -39,7 +39,7 @@
     ):
         self.settings = checked
         path = folder / f"{checked.name}.json"
-        path.write_bytes(orjson.dumps(documents.plain(checked)))
+        path.write_bytes(orjson.dumps(documents.to_plain(checked)))
         self.log_path = folder / f"{checked.name}.log"
         self.log = self.log_path.open("ab")
         command = [sys.executable, "-m", module, "--settings", str(path)]
--- a/packages/mothworks_fakes/src/mothworks_fakes/testbed.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/testbed.py
@@ -189,7 +189,7 @@
         change = {
             "revision": revision,
             "why": "test",
-            "catalogue": documents.plain(declared),
+            "catalogue": documents.to_plain(declared),
         }
         return self.operator(node).put("catalogue", change)
 
