--- a/packages/mothworks/tests/stored.py
+++ b/packages/mothworks/tests/memory_objects.py
@@ -12,11 +12,11 @@
     """A fault to inject into a call."""
 
     #: The reply is lost after the write took effect.
-    LOST = "lost"
+    REPLY_LOST = "lost"
     #: The connection is lost before the write takes effect.
-    DROPPED = "dropped"
+    REQUEST_LOST = "dropped"
     #: The call is refused because the object API is down.
-    DOWN = "down"
+    UNAVAILABLE = "down"
     #: The read returns what was stored before the last write.
     STALE = "stale"
 
@@ -35,11 +35,11 @@
         #: Called before a write takes effect, to simulate a faster write by
         #: another VM.
         self.before_put = lambda key: None
-        self.puts = 0
+        self.write_count = 0
 
     def get(self, key):
         fault = self.get_faults.popleft() if self.get_faults else None
-        if self.down or fault is Fault.DOWN:
+        if self.down or fault is Fault.UNAVAILABLE:
             return result.Err(objects.Unavailable("down"))
         version = len(self.bodies_by_key[key])
         if fault is Fault.STALE:
@@ -52,19 +52,23 @@
 
     def put(self, key, body, version):
         fault = self.put_faults.popleft() if self.put_faults else None
-        if self.down or fault is Fault.DOWN:
+        if self.down or fault is Fault.UNAVAILABLE:
             return result.Err(objects.Unavailable("down"))
-        if fault is Fault.DROPPED:
+        if fault is Fault.REQUEST_LOST:
             return result.Err(objects.Unknown("dropped"))
         self.before_put(key)
-        self.puts += 1
+        self.write_count += 1
         bodies = self.bodies_by_key[key]
         if version != (str(len(bodies)) if bodies else None):
             outcome = result.Err(objects.Conflict(key))
         else:
             bodies.append(body)
             outcome = result.Ok(str(len(bodies)))
-        return result.Err(objects.Unknown("lost")) if fault is Fault.LOST else outcome
+        return (
+            result.Err(objects.Unknown("lost"))
+            if fault is Fault.REPLY_LOST
+            else outcome
+        )
 
     def list(self, prefix):
         if self.down:
--- a/packages/mothworks/tests/order_execution_world.py
+++ b/packages/mothworks/tests/order_execution_world.py
@@ -9,7 +9,7 @@
 import result
 
 import builders
-import stored
+import memory_objects
 from mothworks import endpoints, ledger, ledger_store, order_execution
 from mothworks_fakes import engine_memory
 
@@ -75,7 +75,7 @@
     def __init__(self, fencing):
         self.now = 1000.0
         self.engine = engine_memory.EngineMemory(CAPACITY_MB, fencing)
-        self.api = stored.MemoryApi()
+        self.api = memory_objects.MemoryApi()
         self.copies = []
         self.adapter = Adapter(self)
         self.endpoint = builders.endpoint(memory_mb=CAPACITY_MB, fencing=fencing)
--- a/packages/mothworks/tests/test_audit.py
+++ b/packages/mothworks/tests/test_audit.py
@@ -6,7 +6,7 @@
 import pytest
 
 import builders
-import stored
+import memory_objects
 from mothworks import (
     audit,
     audit_reading,
@@ -188,7 +188,7 @@
 
 
 def test_expired_objects_are_deleted_and_others_retained():
-    node_kernel = builders.kernel_with_objects(stored.MemoryApi())
+    node_kernel = builders.kernel_with_objects(memory_objects.MemoryApi())
     api = node_kernel.get(objects.Objects).api
     retention = node_kernel.get(audit_retention.AuditRetention)
     today = datetime.date(2026, 6, 30)
--- a/packages/mothworks/tests/test_claims.py
+++ b/packages/mothworks/tests/test_claims.py
@@ -7,7 +7,7 @@
 import pytest
 import result
 
-import stored
+import memory_objects
 from mothworks import claim_records, claim_shards, objects
 
 STATE = claim_records.State
@@ -38,7 +38,7 @@
 def test_two_owners_cannot_both_grant_a_claim():
     # A VM that was paused still acts as a shard's owner. Both owners have
     # loaded the shard, and both receive a claim of the same key.
-    api = stored.MemoryApi()
+    api = memory_objects.MemoryApi()
     first, second = shard(api), shard(api)
     assert first.find(KEY) == second.find(KEY) == result.Ok(None)
     assert first.append(record(b"a")).unwrap().claim_id == b"a"
@@ -48,7 +48,7 @@
 def test_concurrent_claims_are_written_in_one_batch():
     writes = []
     owner = claim_shards.Shard(
-        stored.MemoryApi(), "claims/0", lambda: 1e9, writes.append
+        memory_objects.MemoryApi(), "claims/0", lambda: 1e9, writes.append
     )
     keys = [bytes((number,)) * 16 for number in range(50)]
     tasks = [gevent.spawn(owner.append, record(key, key=key)) for key in keys]
@@ -58,7 +58,7 @@
 
 
 def test_of_two_duplicates_in_one_batch_the_first_wins():
-    owner = shard(stored.MemoryApi())
+    owner = shard(memory_objects.MemoryApi())
     tasks = [gevent.spawn(owner.append, record(name)) for name in (b"a", b"b")]
     gevent.joinall(tasks)
     assert [task.value.unwrap().claim_id for task in tasks] == [b"a", b"a"]
@@ -66,7 +66,7 @@
 
 def test_outcomes_are_found_by_another_owner_across_segments(monkeypatch):
     monkeypatch.setattr(claim_shards, "SEGMENT_BYTES", 2000)
-    api = stored.MemoryApi()
+    api = memory_objects.MemoryApi()
     owner = shard(api)
     keys = [bytes((number,)) * 16 for number in range(100)]
     for key in keys:
@@ -85,7 +85,7 @@
     monkeypatch.setattr(claim_shards, "SEGMENT_BYTES", 500)
     now = [1000.0]
     monkeypatch.setattr(claim_shards.time, "time", lambda: now[0])
-    api = stored.MemoryApi()
+    api = memory_objects.MemoryApi()
     owner = shard(api, retention_s=100)
     for number in range(100):
         now[0] += 10
@@ -98,7 +98,7 @@
 
 
 def test_a_released_key_is_free_again():
-    owner = shard(stored.MemoryApi())
+    owner = shard(memory_objects.MemoryApi())
     owner.append(record(b"a"))
     owner.append(record(b"b", STATE.RELEASED))
     assert owner.find(KEY).unwrap().claim_id == b"a"
@@ -112,8 +112,8 @@
     # until no slot was free.
     monkeypatch.setattr(claim_shards, "WRITE_TIMEOUT_S", 0.05)
     monkeypatch.setattr(claim_shards, "CONFIRM_TIMEOUT_S", 0.0)
-    api = stored.MemoryApi()
-    api.put_faults.extend([stored.Fault.DROPPED] * 100_000)
+    api = memory_objects.MemoryApi()
+    api.put_faults.extend([memory_objects.Fault.REQUEST_LOST] * 100_000)
     write_result = shard(api).append(record(b"a"))
     assert isinstance(write_result.unwrap_err(), objects.Unavailable)
     assert api.put_faults
@@ -123,7 +123,7 @@
 def test_claims_are_refused_if_the_shard_has_a_later_format(body):
     # During an upgrade a newer VM wrote the shard. If an older owner exited on
     # it, the next owner would exit too, until no VM was left.
-    api = stored.MemoryApi()
+    api = memory_objects.MemoryApi()
     api.bodies_by_key["claims/0"].append(body)
     owner = shard(api)
     assert isinstance(owner.append(record(b"a")).unwrap_err(), objects.Unavailable)
@@ -131,7 +131,7 @@
 
 
 def test_claims_are_refused_during_an_outage():
-    api = stored.MemoryApi()
+    api = memory_objects.MemoryApi()
     owner = shard(api)
     api.down = True
     assert isinstance(owner.append(record(b"a")).unwrap_err(), objects.Unavailable)
@@ -140,10 +140,17 @@
 OWNERS = st.sampled_from((0, 1))
 KEYS = st.sampled_from((bytes(16), b"1" * 16, b"2" * 16))
 FAULTS = st.lists(
-    st.sampled_from((None, stored.Fault.LOST, stored.Fault.DROPPED, stored.Fault.DOWN)),
+    st.sampled_from(
+        (
+            None,
+            memory_objects.Fault.REPLY_LOST,
+            memory_objects.Fault.REQUEST_LOST,
+            memory_objects.Fault.UNAVAILABLE,
+        )
+    ),
     max_size=5,
 )
-STALE = st.lists(st.sampled_from((None, stored.Fault.STALE)), max_size=4)
+STALE = st.lists(st.sampled_from((None, memory_objects.Fault.STALE)), max_size=4)
 
 
 class Claiming(hypothesis.stateful.RuleBasedStateMachine):
@@ -151,7 +158,7 @@
 
     def __init__(self):
         super().__init__()
-        self.api = stored.MemoryApi()
+        self.api = memory_objects.MemoryApi()
         self.owners = [shard(self.api), shard(self.api)]
         self.claims = 0
         self.runs_by_key = {}
--- a/packages/mothworks/tests/test_configuration.py
+++ b/packages/mothworks/tests/test_configuration.py
@@ -7,7 +7,7 @@
 import result
 
 import builders
-import stored
+import memory_objects
 from mothworks import (
     catalogue,
     configuration,
@@ -58,11 +58,11 @@
 
 
 def test_a_change_stores_only_the_parts_that_differ():
-    api = stored.MemoryApi()
+    api = memory_objects.MemoryApi()
     vm = make_vm(api)
     models = tuple(builders.model(f"model-{number}") for number in range(1000))
     assert vm.apply(builders.make_catalogue(models=models), 0, "ana", "").unwrap() == 1
-    initial_puts = api.puts
+    initial_puts = api.write_count
     inserted = (*models[:500], builders.model("one-more"), *models[500:])
     assert (
         vm.apply(builders.make_catalogue(models=inserted), 1, "ana", "").unwrap() == 2
@@ -70,14 +70,14 @@
     assert initial_puts > 8
     # The part around the new model, a second one if the model ends a part,
     # and the head.
-    assert api.puts - initial_puts <= 3
+    assert api.write_count - initial_puts <= 3
     restarted = make_vm(api)
     assert restarted.refresh().unwrap() == 2
     assert restarted.index.catalogue == builders.make_catalogue(models=inserted)
 
 
 def test_the_later_of_two_operators_gets_the_difference():
-    api = stored.MemoryApi()
+    api = memory_objects.MemoryApi()
     first, second = make_vm(api, name="vm-1"), make_vm(api, name="vm-2")
     first.apply(make_catalogue("base"), 0, "ana", "")
     second.refresh()
@@ -93,7 +93,7 @@
     # lost. Reported as "the object API does not answer", this made the operator
     # repeat the change, which then conflicted with the first attempt.
     monkeypatch.setattr(configuration_writing, "CONFIRM_TIMEOUT_S", 0.0)
-    api = stored.MemoryApi()
+    api = memory_objects.MemoryApi()
     vm = make_vm(api)
     vm.apply(make_catalogue("base"), 0, "ana", "")
 
@@ -102,7 +102,7 @@
 
     api.before_put = go_down
     # The first put stores the part, the second replaces the head.
-    api.put_faults.extend([None, stored.Fault.LOST])
+    api.put_faults.extend([None, memory_objects.Fault.REPLY_LOST])
     outcome = vm.apply(make_catalogue("mine"), 1, "ana", "").unwrap_err()
     assert isinstance(outcome, configuration.Uncertain)
     api.down = False
@@ -112,7 +112,7 @@
 def test_a_writer_recognises_its_change_under_a_later_one(monkeypatch):
     # A write of the head takes effect and its reply is lost. Before the writer
     # reads the head back, another VM stores the next revision.
-    api = stored.MemoryApi()
+    api = memory_objects.MemoryApi()
     vm, other = make_vm(api, name="vm-1"), make_vm(api, name="vm-2")
     vm.apply(make_catalogue("base"), 0, "ana", "")
     heads = api.bodies_by_key[configuration_head.KEY]
@@ -124,7 +124,7 @@
             assert other.apply(make_catalogue("theirs"), 2, "eva", "").unwrap() == 3
 
     api.before_put = follow_up
-    api.put_faults.extend([None, stored.Fault.LOST])
+    api.put_faults.extend([None, memory_objects.Fault.REPLY_LOST])
     assert vm.apply(make_catalogue("mine"), 1, "ana", "").unwrap() == 2
     assert vm.refresh().unwrap() == 3
 
@@ -133,7 +133,7 @@
     # During an upgrade a newer VM stores fields unknown to an older one, or a
     # part is corrupt. Adopting only the readable parts would serve callers from
     # an incomplete catalogue.
-    api = stored.MemoryApi()
+    api = memory_objects.MemoryApi()
     vm = make_vm(api)
     vm.apply(make_catalogue("base"), 0, "ana", "")
     other = make_vm(api, name="vm-2")
@@ -151,7 +151,7 @@
 
 
 def test_a_corrupt_part_from_a_peer_is_fetched_elsewhere():
-    api = stored.MemoryApi()
+    api = memory_objects.MemoryApi()
     make_vm(api).apply(make_catalogue("base"), 0, "ana", "")
     vm = make_vm(api, name="vm-2")
     body = api.bodies_by_key[configuration_head.KEY][-1]
@@ -163,7 +163,7 @@
 def test_unreferenced_parts_are_collected_and_parts_in_use_stay():
     # A change references a part of an earlier revision again. The collection,
     # which has recorded it as unreferenced, must not delete it under the new head.
-    api = stored.MemoryApi()
+    api = memory_objects.MemoryApi()
     vm = make_vm(api)
     garbage = vm.kernel.get(configuration_garbage.GarbageCollector)
     for revision, name in enumerate(("one", "two", "three")):
@@ -184,12 +184,21 @@
 VMS = st.sampled_from(("vm-1", "vm-2", "vm-3"))
 PUT_FAULTS = st.lists(
     st.sampled_from(
-        (None, None, stored.Fault.LOST, stored.Fault.DROPPED, stored.Fault.DOWN)
+        (
+            None,
+            None,
+            memory_objects.Fault.REPLY_LOST,
+            memory_objects.Fault.REQUEST_LOST,
+            memory_objects.Fault.UNAVAILABLE,
+        )
     ),
     max_size=6,
 )
 GET_FAULTS = st.lists(
-    st.sampled_from((None, stored.Fault.STALE, stored.Fault.DOWN)), max_size=3
+    st.sampled_from(
+        (None, memory_objects.Fault.STALE, memory_objects.Fault.UNAVAILABLE)
+    ),
+    max_size=3,
 )
 
 
@@ -198,7 +207,7 @@
 
     def __init__(self):
         super().__init__()
-        self.api = stored.MemoryApi()
+        self.api = memory_objects.MemoryApi()
         self.vm_by_name = {}
         for name in ("vm-1", "vm-2", "vm-3"):
             self.restart(name)
--- a/packages/mothworks/tests/test_ledger_machine.py
+++ b/packages/mothworks/tests/test_ledger_machine.py
@@ -4,8 +4,8 @@
 import hypothesis.stateful
 from hypothesis import strategies
 
+import memory_objects
 import order_execution_world
-import stored
 from mothworks import endpoints, order_execution
 
 ITEMS = (
@@ -53,7 +53,14 @@
     )
 )
 write_faults = strategies.sampled_from(
-    (None, None, None, stored.Fault.LOST, stored.Fault.DROPPED, stored.Fault.DOWN)
+    (
+        None,
+        None,
+        None,
+        memory_objects.Fault.REPLY_LOST,
+        memory_objects.Fault.REQUEST_LOST,
+        memory_objects.Fault.UNAVAILABLE,
+    )
 )
 
 
--- a/packages/mothworks/tests/test_operator_commands.py
+++ b/packages/mothworks/tests/test_operator_commands.py
@@ -4,7 +4,7 @@
 import pytest
 
 import builders
-import stored
+import memory_objects
 from mothworks import (
     audit,
     catalogue,
@@ -30,7 +30,7 @@
 
 @pytest.fixture
 def vms():
-    api = stored.MemoryApi()
+    api = memory_objects.MemoryApi()
     first, second = Vm(api, "vm-1"), Vm(api, "vm-2")
     assert first.commands.replace(builders.make_catalogue(), 0, "ana", "").unwrap() == 1
     second.configuration.refresh().unwrap()
--- a/packages/mothworks/tests/test_order_execution.py
+++ b/packages/mothworks/tests/test_order_execution.py
@@ -3,8 +3,8 @@
 import pytest
 import result
 
+import memory_objects
 import order_execution_world
-import stored
 from mothworks import endpoints, ledger, ledger_store, objects, order_execution
 from mothworks_fakes import engine_memory
 
@@ -78,11 +78,11 @@
             case "engine restarts":
                 self.world.engine.restart()
             case "api down":
-                api.put_faults.append(stored.Fault.DOWN)
+                api.put_faults.append(memory_objects.Fault.UNAVAILABLE)
             case "write dropped":
-                api.put_faults.append(stored.Fault.DROPPED)
+                api.put_faults.append(memory_objects.Fault.REQUEST_LOST)
             case "write's reply lost":
-                api.put_faults.append(stored.Fault.LOST)
+                api.put_faults.append(memory_objects.Fault.REPLY_LOST)
             case "order lost":
                 adapter.delivery = order_execution_world.Delivery.LOST
             case "order's reply lost":
