--- a/packages/mothworks/src/mothworks/claims.py
+++ b/packages/mothworks/src/mothworks/claims.py
@@ -245,18 +245,18 @@
         return self._shard(update.key).append(record).is_ok()
 
     def _serve_request(
-        self, _: str, claim_request: claim_messages.ClaimRequest, reply: peers.Answer
+        self, _: str, claim_request: claim_messages.ClaimRequest, reply: peers.Reply
     ) -> None:
         self.tasks.spawn(lambda: reply(self._decide_locally(claim_request)))
 
     def _serve_outcome(
-        self, _: str, update: claim_messages.OutcomeUpdate, reply: peers.Answer
+        self, _: str, update: claim_messages.OutcomeUpdate, reply: peers.Reply
     ) -> None:
         self.tasks.spawn(
             lambda: reply(claim_messages.OutcomeReply(self._append_outcome(update)))
         )
 
     def _serve_activity(
-        self, _: str, request: claim_messages.ActivityRequest, reply: peers.Answer
+        self, _: str, request: claim_messages.ActivityRequest, reply: peers.Reply
     ) -> None:
         reply(claim_messages.ActivityReply(request.claim_id in self.active_claims))
--- a/packages/mothworks/src/mothworks/configuration_gossip.py
+++ b/packages/mothworks/src/mothworks/configuration_gossip.py
@@ -94,7 +94,7 @@
     def _push_head(self) -> None:
         update = HeadUpdate(self.configuration.revision, self.configuration.head_body)
         for name in self._random_peers(FANOUT):
-            self.peers.post(name, update)
+            self.peers.send_nowait(name, update)
 
     def _compare_revisions(self) -> None:
         for name in self._random_peers(1):
@@ -137,18 +137,18 @@
         return [member.name for member in (*chosen, *self.membership.far())]
 
     def _serve_head_update(
-        self, sender: str, update: HeadUpdate, _: peers.Answer
+        self, sender: str, update: HeadUpdate, _: peers.Reply
     ) -> None:
         self.tasks.spawn(self._adopt, sender, update)
 
     def _serve_head_request(
-        self, _: str, request: HeadRequest, answer: peers.Answer
+        self, _: str, request: HeadRequest, answer: peers.Reply
     ) -> None:
         revision = self.configuration.revision
         newer = revision > request.revision
         answer(HeadUpdate(revision, self.configuration.head_body if newer else b""))
 
     def _serve_part_request(
-        self, _: str, request: PartRequest, answer: peers.Answer
+        self, _: str, request: PartRequest, answer: peers.Reply
     ) -> None:
         answer(PartReply(self.configuration.part(request.name) or b""))
--- a/packages/mothworks/src/mothworks/deferred.py
+++ b/packages/mothworks/src/mothworks/deferred.py
@@ -289,7 +289,7 @@
                     self.api.delete(key, version)
 
     def _serve_stored(
-        self, _: str, stored: deferred_messages.WorkStored, reply: peers.Answer
+        self, _: str, stored: deferred_messages.WorkStored, reply: peers.Reply
     ) -> None:
         self._schedule(stored.id)
         reply(
@@ -299,7 +299,7 @@
         )
 
     def _serve_running(
-        self, _: str, request: deferred_messages.WorkStateRequest, reply: peers.Answer
+        self, _: str, request: deferred_messages.WorkStateRequest, reply: peers.Reply
     ) -> None:
         reply(deferred_messages.WorkStateReply(request.id in self.running))
 
--- a/packages/mothworks/src/mothworks/exchange.py
+++ b/packages/mothworks/src/mothworks/exchange.py
@@ -128,7 +128,7 @@
         Gossip takes several rounds to reach all of them. Until then they would
         send slot requests to a VM that is shutting down.
         """
-        self.peers.send_all(MembersTable((self.table.own.row(),)))
+        self.peers.send_to_region(MembersTable((self.table.own.row(),)))
 
     def sync_with(self, vm: str) -> bool:
         """Synchronise the tables of this VM and another.
@@ -159,11 +159,11 @@
             self.sync_with(member.name)
 
     def _serve_digest(
-        self, _: str, request: MembersDigest, send_reply: peers.Answer
+        self, _: str, request: MembersDigest, send_reply: peers.Reply
     ) -> None:
         same = request.digest == self.table.digest()
         send_reply(MembersTable(() if same else self.table.rows()))
 
-    def _serve_table(self, _: str, table: MembersTable, __: peers.Answer) -> None:
+    def _serve_table(self, _: str, table: MembersTable, __: peers.Reply) -> None:
         for row in table.rows:
             self.table.merge(row)
--- a/packages/mothworks/src/mothworks/fan_out.py
+++ b/packages/mothworks/src/mothworks/fan_out.py
@@ -181,9 +181,7 @@
                 log.info("{} did not reply: {}", vm, failure.reason)
                 return None
 
-    def _serve_request(
-        self, _: str, request: RowsRequest, answer: peers.Answer
-    ) -> None:
+    def _serve_request(self, _: str, request: RowsRequest, answer: peers.Reply) -> None:
         answer(self._local_rows(request))
 
     def _local_rows(self, request: RowsRequest) -> RowsReply:
--- a/packages/mothworks/src/mothworks/operator_moves.py
+++ b/packages/mothworks/src/mothworks/operator_moves.py
@@ -100,9 +100,7 @@
             return result.Err(outcomes.invalid(message, "not_possible", 409))
         return result.Ok(planner_vm.name)
 
-    def _serve_request(
-        self, _: str, request: MoveRequest, answer: peers.Answer
-    ) -> None:
+    def _serve_request(self, _: str, request: MoveRequest, answer: peers.Reply) -> None:
         answer(self._start_move(request))
 
     def _start_move(self, request: MoveRequest) -> MoveReply:
--- a/packages/mothworks/src/mothworks/orders.py
+++ b/packages/mothworks/src/mothworks/orders.py
@@ -139,7 +139,7 @@
         declared = self.configuration.index.endpoint_by_name.get(name)
         return declared is not None and declared.memory_mb > 0
 
-    def _receive(self, _: str, move: move_messages.Move, __: peers.Answer) -> None:
+    def _receive(self, _: str, move: move_messages.Move, __: peers.Reply) -> None:
         self.queue_move(move)
 
     def _update_planner(self) -> None:
--- a/packages/mothworks/src/mothworks/peers.py
+++ b/packages/mothworks/src/mothworks/peers.py
@@ -55,9 +55,9 @@
 
 
 #: Function that sends the reply to one call.
-Answer = collections.abc.Callable[[typing.Any], None]
+Reply = collections.abc.Callable[[typing.Any], None]
 #: Receives the sender's name, the message and the function that sends a reply.
-Handler = collections.abc.Callable[[str, typing.Any, Answer], None]
+Handler = collections.abc.Callable[[str, typing.Any, Reply], None]
 
 
 @plugins.register(plugins.PART, "peers")
@@ -81,7 +81,7 @@
         self.call_numbers = itertools.count(1)
         self.closed_link_bytes = 0
         #: Callbacks that receive a VM's name after the connection to it closed.
-        self.on_lost: list = []
+        self.on_disconnect: list = []
         #: Opens a connection to an address; tests replace it to cut connections.
         self.connect = gevent.socket.create_connection
         node_ports = node_kernel.get(ports.Ports)
@@ -112,7 +112,7 @@
         """
         self.handler_by_class[message_class] = handler
 
-    def linked(self, vm: str) -> bool:
+    def is_connected(self, vm: str) -> bool:
         """Return whether a connection to a peer is open.
 
         :param vm: the peer's name.
@@ -156,14 +156,16 @@
         link = self._get_or_connect(vm)
         return link is not None and link.send(messages.pack(message))
 
-    def send_all(self, message: typing.Any) -> None:
+    def send_to_region(self, message: typing.Any) -> None:
         """Send a message to every live peer in this VM's region without waiting.
 
         :param message: an instance of a registered class.
         """
-        self.post_all([member.name for member in self.membership.near()], message)
+        self.multicast([member.name for member in self.membership.near()], message)
 
-    def post_all(self, vms: collections.abc.Iterable[str], message: typing.Any) -> None:
+    def multicast(
+        self, vms: collections.abc.Iterable[str], message: typing.Any
+    ) -> None:
         """Send a message to several peers without waiting for connections to open.
 
         :param vms: the peers' names.
@@ -182,7 +184,7 @@
             self.queued_frames_by_vm[vm] = []
             self.tasks.spawn(self._connect_and_flush, vm)
 
-    def post(self, vm: str, message: typing.Any) -> None:
+    def send_nowait(self, vm: str, message: typing.Any) -> None:
         """Send a message without waiting for a connection to open.
 
         :param vm: the peer's name.
@@ -280,7 +282,7 @@
             if pending_link is link:
                 pending_reply.set(None)
         if link.vm is not None:
-            for callback in self.on_lost:
+            for callback in self.on_disconnect:
                 callback(link.vm)
 
     def _handle_message(
--- a/packages/mothworks/src/mothworks/placement.py
+++ b/packages/mothworks/src/mothworks/placement.py
@@ -118,7 +118,7 @@
             return
         status = EndpointStatus(endpoint, self._next_sequence(current), state, models)
         self.update(status)
-        self.peers.send_all(status)
+        self.peers.send_to_region(status)
 
     def _next_sequence(self, current: EndpointStatus | None) -> int:
         """Return a sequence above the current one.
@@ -230,5 +230,5 @@
             if status.endpoint not in declared:
                 self._remove(status)
 
-    def _handle_status(self, _: str, status: EndpointStatus, __: peers.Answer) -> None:
+    def _handle_status(self, _: str, status: EndpointStatus, __: peers.Reply) -> None:
         self.update(status)
--- a/packages/mothworks/src/mothworks/placement_repair.py
+++ b/packages/mothworks/src/mothworks/placement_repair.py
@@ -103,7 +103,7 @@
         """Compare with other regions, if this VM links them, and relay updates."""
         for member in self.membership.far():
             for status in self.compare(member.name):
-                self.peers.send_all(status)
+                self.peers.send_to_region(status)
 
     def compare(self, vm: str) -> list[placement.EndpointStatus]:
         """Update this VM's map and another VM's from each other.
@@ -154,7 +154,7 @@
             if status is not None:
                 self.peers.send(vm, status)
 
-    def _serve_digest(self, _: str, request: MapDigest, respond: peers.Answer) -> None:
+    def _serve_digest(self, _: str, request: MapDigest, respond: peers.Reply) -> None:
         digest = self.placement.digest
         respond(
             MapHashes(
@@ -163,7 +163,7 @@
         )
 
     def _serve_versions(
-        self, _: str, request: MapVersions, respond: peers.Answer
+        self, _: str, request: MapVersions, respond: peers.Reply
     ) -> None:
         pairs = zip(request.endpoints, request.sequences, strict=False)
         sequence_by_endpoint = dict(pairs)
--- a/packages/mothworks/src/mothworks/planner.py
+++ b/packages/mothworks/src/mothworks/planner.py
@@ -79,7 +79,7 @@
             self.state.update_holdings(holdings)
 
     def _receive(
-        self, _: str, holdings: move_messages.Holdings, __: peers.Answer
+        self, _: str, holdings: move_messages.Holdings, __: peers.Reply
     ) -> None:
         self.update_holdings(holdings)
 
--- a/packages/mothworks/src/mothworks/slots.py
+++ b/packages/mothworks/src/mothworks/slots.py
@@ -92,7 +92,7 @@
         self.waiting_bytes = 0
         self.peers.handle(slot_messages.SlotReply, self._serve_reply)
         self.peers.handle(slot_messages.CheckSlots, self._serve_check)
-        self.peers.on_lost.append(self._recover_after_loss)
+        self.peers.on_disconnect.append(self._recover_after_loss)
         self.membership.on_change.append(self._update_owners)
         self.configuration.change_callbacks.append(self._update_owners)
 
@@ -231,7 +231,7 @@
             if reservation.owner != vm:
                 continue
             if reservation.granted:
-                self.peers.post(vm, reservation.slot_request)
+                self.peers.send_nowait(vm, reservation.slot_request)
             else:
                 reservation.inbox.put(
                     slot_search.SearchEvent(reservation, slot_search.OwnerUnreachable())
--- a/packages/mothworks/src/mothworks/suspects.py
+++ b/packages/mothworks/src/mothworks/suspects.py
@@ -237,7 +237,7 @@
 
     def _publish(self, suspects: tuple[suspect_records.Suspect, ...]) -> None:
         self._merge(suspects)
-        self.peers.send_all(suspect_records.update(suspects))
+        self.peers.send_to_region(suspect_records.update(suspects))
 
     def _merge(self, suspects: tuple[suspect_records.Suspect, ...]) -> None:
         for suspect in suspects:
@@ -273,11 +273,11 @@
             )
 
     def _serve_broken(
-        self, _: str, broken: suspect_records.BrokenConnection, reply: peers.Answer
+        self, _: str, broken: suspect_records.BrokenConnection, reply: peers.Reply
     ) -> None:
         self.tasks.spawn(lambda: reply(suspect_records.Verdict(self._judge(broken))))
 
     def _serve_update(
-        self, _: str, update: suspect_records.SuspectUpdate, __: peers.Answer
+        self, _: str, update: suspect_records.SuspectUpdate, __: peers.Reply
     ) -> None:
         self._merge(tuple(suspect_records.Suspect(*row) for row in update.rows))
--- a/packages/mothworks/tests/test_membership.py
+++ b/packages/mothworks/tests/test_membership.py
@@ -260,7 +260,7 @@
     sender.peers.connect = wait_and_connect
     tasks_before = len(sender.peers.tasks.group)
     for _ in range(300):
-        sender.peers.send_all(exchange.MembersTable(()))
+        sender.peers.send_to_region(exchange.MembersTable(()))
     gevent.sleep(0)
     assert len(sender.peers.tasks.group) <= tasks_before + 2
     opened.set()
--- a/packages/mothworks/tests/test_suspects.py
+++ b/packages/mothworks/tests/test_suspects.py
@@ -17,7 +17,7 @@
     monkeypatch.setattr(suspects, "BREAK_WINDOW_S", 0.01)
     new_part = builders.kernel_with_objects(None).get(suspects.Suspects)
     new_part.sent = []
-    monkeypatch.setattr(new_part.peers, "send_all", new_part.sent.append)
+    monkeypatch.setattr(new_part.peers, "send_to_region", new_part.sent.append)
     monkeypatch.setattr(new_part.health, "owner", lambda endpoint: None)
     new_part.responsive = True
     monkeypatch.setattr(new_part, "_is_responsive", lambda name: new_part.responsive)
--- a/packages/mothworks_gateway/src/mothworks_gateway/aggregation.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/aggregation.py
@@ -167,7 +167,7 @@
         near = self.membership.near()
         if collectors.is_full_mesh(near):
             self.shared_health.merge(own.answers)
-            self.peers.send_all(own)
+            self.peers.send_to_region(own)
             return
         now = time.monotonic()
         collector_vms = collectors.select(self.ranking.vms)
@@ -176,7 +176,7 @@
         if self.name in collector_vms or members or own.fence:
             self._publish_aggregate(own, collector_vms, members)
         else:
-            self.peers.post(self.own_collector.choose(collector_vms, now), own)
+            self.peers.send_nowait(self.own_collector.choose(collector_vms, now), own)
 
     def _publish_aggregate(
         self, own: heartbeat.Heartbeat, collector_vms: list[str], members: list[str]
@@ -188,9 +188,9 @@
         self.answers.add(own.answers)
         self.newest_limits.add(own.limits, now)
         recipients = {*collector_vms, self.lease.holder()} - {self.name, ""}
-        self.peers.post_all(recipients, self.aggregate.drain(own, now))
+        self.peers.multicast(recipients, self.aggregate.drain(own, now))
         if members:
-            self.peers.post_all(members, self._make_totals(own))
+            self.peers.multicast(members, self._make_totals(own))
 
     def _make_totals(self, own: heartbeat.Heartbeat) -> Totals:
         if own.fence:
@@ -245,7 +245,7 @@
         """Return whether VMs are few enough for each to send to all others."""
         return collectors.is_full_mesh(self.membership.near())
 
-    def _on_totals(self, vm: str, totals: Totals, _: peers.Answer) -> None:
+    def _on_totals(self, vm: str, totals: Totals, _: peers.Reply) -> None:
         self.own_collector.on_totals(vm, time.monotonic())
         self.running_requests.set_totals(totals.running_by_endpoint)
         self.shared_health.merge(totals.answers)
--- a/packages/mothworks_gateway/src/mothworks_gateway/broadcast.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/broadcast.py
@@ -91,7 +91,7 @@
         for group in self._groups():
             forwarder = self._choose_forwarder(group)
             others = tuple(vm for vm in group if vm != forwarder)
-            self.peers.post(forwarder, ForwardedBatch(self.name, others, frames))
+            self.peers.send_nowait(forwarder, ForwardedBatch(self.name, others, frames))
 
     def _groups(self) -> list[tuple[str, ...]]:
         if self.groups is None:
@@ -105,14 +105,14 @@
         A different forwarder each time limits the messages that a group loses if one of
         its VMs has failed and membership has not noticed yet.
         """
-        linked = [vm for vm in group if self.peers.linked(vm)]
-        return random.choice(linked or group)
+        connected = [vm for vm in group if self.peers.is_connected(vm)]
+        return random.choice(connected or group)
 
     def _on_forwarded_batch(
-        self, _: str, batch: ForwardedBatch, __: peers.Answer
+        self, _: str, batch: ForwardedBatch, __: peers.Reply
     ) -> None:
         if batch.forward_to:
-            self.peers.post_all(batch.forward_to, attrs.evolve(batch, forward_to=()))
+            self.peers.multicast(batch.forward_to, attrs.evolve(batch, forward_to=()))
         for frame in batch.frames:
             self._dispatch(batch.origin, frame)
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/credit.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/credit.py
@@ -174,7 +174,9 @@
         if grant.granter == self.name:
             self._debit(grant.account, -grant.units)
         elif grant.granter:
-            self.peers.post(grant.granter, CreditRefund(grant.account, grant.units))
+            self.peers.send_nowait(
+                grant.granter, CreditRefund(grant.account, grant.units)
+            )
 
     def _acquire(
         self, account: client_accounts.ClientAccount, units: float
@@ -279,10 +281,10 @@
         if bucket is not None:
             bucket.debit(units, time.monotonic())
 
-    def _on_request(self, _: str, request: CreditRequest, answer: peers.Answer) -> None:
+    def _on_request(self, _: str, request: CreditRequest, answer: peers.Reply) -> None:
         answer(self._grant(request))
 
-    def _on_refund(self, _: str, refund: CreditRefund, __: peers.Answer) -> None:
+    def _on_refund(self, _: str, refund: CreditRefund, __: peers.Reply) -> None:
         self._debit(refund.account, -refund.units)
 
     def _on_spent(self, budget: str, _: str, units: float) -> None:
--- a/packages/mothworks_gateway/src/mothworks_gateway/declaration_updates.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/declaration_updates.py
@@ -46,5 +46,5 @@
         if self.lease.held() and len(document) <= MAX_PUBLISHED_BYTES:
             self.broadcast.publish(DeclarationUpdate(document))
 
-    def _on_update(self, vm: str, update: DeclarationUpdate, _: peers.Answer) -> None:
+    def _on_update(self, vm: str, update: DeclarationUpdate, _: peers.Reply) -> None:
         self.declarations.apply_if_newer(update.document, f"peer {vm}")
--- a/packages/mothworks_gateway/src/mothworks_gateway/endpoint_limits.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/endpoint_limits.py
@@ -218,7 +218,7 @@
         if vm != self.kernel.settings.name:
             self.merge(received.limits, vm)
 
-    def _on_update(self, vm: str, update: LimitUpdate, _: peers.Answer) -> None:
+    def _on_update(self, vm: str, update: LimitUpdate, _: peers.Reply) -> None:
         self.merge([update.row], vm)
 
     def _remove_gone(self) -> None:
--- a/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
@@ -173,7 +173,7 @@
         self.source, self.avoided_vm = "", vm
         if not vm:
             return
-        if not self.peers.linked(vm):
+        if not self.peers.is_connected(vm):
             self.peers.open(vm)
             return
         sent_at = boot_clock.now()
@@ -193,9 +193,7 @@
             self.peer_as_of = as_of
             self.source, self.avoided_vm = vm, ""
 
-    def _serve_request(
-        self, _: str, __: FreshnessRequest, answer: peers.Answer
-    ) -> None:
+    def _serve_request(self, _: str, __: FreshnessRequest, answer: peers.Reply) -> None:
         answer(FreshnessReply(self.declarations.version, self.age_s()))
 
     def _log_change(self) -> None:
--- a/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
@@ -138,7 +138,9 @@
         #: Functions to call with a VM's name and its heartbeat, this VM's included.
         self.on_received: list = []
         #: Transmits a heartbeat of this VM to peers.
-        self.transmit: collections.abc.Callable[[Heartbeat], None] = self.peers.send_all
+        self.transmit: collections.abc.Callable[[Heartbeat], None] = (
+            self.peers.send_to_region
+        )
         self._is_fetching = False
         self.peers.handle(Heartbeat, lambda vm, received, _: self.receive(vm, received))
         self.peers.handle(StateRequest, self._serve_state)
--- a/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/late_orders.py
@@ -120,7 +120,7 @@
         if endpoint.entry.started_ms:
             unanswered = from_order(endpoint, order)
             self._remember(unanswered)
-            self.peers.send_all(unanswered)
+            self.peers.send_to_region(unanswered)
 
     def pending(self, endpoint: registry.Endpoint) -> list[UnansweredOrder]:
         """Return the late orders that an endpoint may still execute.
--- a/packages/mothworks_gateway/src/mothworks_gateway/owners.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/owners.py
@@ -81,7 +81,7 @@
         """
         if self.is_unresponsive(owner):
             return None
-        if not self.peers.linked(owner):
+        if not self.peers.is_connected(owner):
             self.peers.open(owner)
             return None
         match self.peers.call(owner, message, reply_s):
--- a/packages/mothworks_gateway/src/mothworks_gateway/poison_requests.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/poison_requests.py
@@ -87,7 +87,7 @@
         """
         report = CrashReport(request.fingerprint(), endpoint.id)
         if self._record(report):
-            self.peers.send_all(report)
+            self.peers.send_to_region(report)
             logs.event(
                 log,
                 "broke off",
--- a/packages/mothworks_gateway/src/mothworks_gateway/prefill_pacing.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/prefill_pacing.py
@@ -198,7 +198,7 @@
         return 0.0
 
     def _serve(
-        self, _: str, slot_request: PrefillSlotRequest, reply: peers.Answer
+        self, _: str, slot_request: PrefillSlotRequest, reply: peers.Reply
     ) -> None:
         reply(PrefillSlot(self._reserve(slot_request)))
 
@@ -213,5 +213,5 @@
     def _connect_to_owners(self) -> None:
         """Connect to all VMs that may own an endpoint before a request needs them."""
         for owner in self.owners.candidates():
-            if owner != self.name and not self.peers.linked(owner):
+            if owner != self.name and not self.peers.is_connected(owner):
                 self.peers.open(owner)
--- a/packages/mothworks_gateway/src/mothworks_gateway/relayed_objects.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/relayed_objects.py
@@ -171,8 +171,8 @@
     ) -> typing.Iterator[RelayedReply]:
         """Call a few connected peers in turn, and yield their replies."""
         near = [item.name for item in self.membership.near()]
-        linked = [name for name in near if self.peers.linked(name)]
-        for name in random.sample(linked, min(MAX_PEERS, len(linked))):
+        connected = [name for name in near if self.peers.is_connected(name)]
+        for name in random.sample(connected, min(MAX_PEERS, len(connected))):
             match self.peers.call(name, message, PEER_TIMEOUT_S):
                 case result.Ok(RelayedReply() as reply):
                     logs.event(log, "relayed", peer=name, outcome=reply.answer)
@@ -180,10 +180,10 @@
                 case result.Err(failure) if failure.may_have_arrived:
                     yield RelayedReply(StoreOutcome.UNKNOWN.value)
 
-    def _serve_read(self, _: str, request: RelayedRead, answer: peers.Answer) -> None:
+    def _serve_read(self, _: str, request: RelayedRead, answer: peers.Reply) -> None:
         self.tasks.spawn(lambda: answer(_reply_of(self.store.get(request.key))))
 
-    def _serve_write(self, _: str, request: RelayedWrite, answer: peers.Answer) -> None:
+    def _serve_write(self, _: str, request: RelayedWrite, answer: peers.Reply) -> None:
         def write():
             version = request.version or None
             answer(_reply_of(self.store.put(request.key, request.body, version)))
--- a/packages/mothworks_gateway/src/mothworks_gateway/residency.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/residency.py
@@ -218,7 +218,7 @@
         if holder == self.name:
             self._notify_not_held(endpoint.id)
         elif holder:
-            self.peers.post(holder, NotHeld(endpoint.id))
+            self.peers.send_nowait(holder, NotHeld(endpoint.id))
 
     def publish(self, message: EndpointHoldings, at_once: bool = False) -> None:
         """Send all VMs, including this one, what an endpoint holds.
@@ -256,7 +256,7 @@
         if holder == self.name:
             self._on_waiting(self.name, message)
         elif holder:
-            self.peers.post(holder, message)
+            self.peers.send_nowait(holder, message)
 
     def _on_waiting(self, vm: str, message: WaitingCallers) -> None:
         for notify in self.on_waiting:
--- a/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/send_slots.py
@@ -324,7 +324,7 @@
         return None
 
     def _serve(
-        self, vm: str, slot_request: SendSlotRequest, reply: peers.Answer
+        self, vm: str, slot_request: SendSlotRequest, reply: peers.Reply
     ) -> None:
         self.limits.merge([slot_request.row], vm)
         reply(self._grant(slot_request))
--- a/packages/mothworks_gateway/src/mothworks_gateway/watching.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/watching.py
@@ -231,7 +231,7 @@
         self.broadcast.publish(update)
 
     def _on_registry_update(
-        self, _: str, update: RegistryUpdate, __: peers.Answer
+        self, _: str, update: RegistryUpdate, __: peers.Reply
     ) -> None:
         changes = tuple(
             itertools.starmap(adapters.Change, update.document_by_name.items())
@@ -244,7 +244,7 @@
         )
 
     def _on_status(
-        self, vm: str, status: watcher_election.Status, _: peers.Answer
+        self, vm: str, status: watcher_election.Status, _: peers.Reply
     ) -> None:
         now = time.monotonic()
         self.election.receive(vm, status, now)
--- a/packages/mothworks_gateway/tests/fleet_builders.py
+++ b/packages/mothworks_gateway/tests/fleet_builders.py
@@ -48,16 +48,16 @@
     def handle(self, message_class, handler):
         self.handler_by_class[message_class] = handler
 
-    def linked(self, vm):
+    def is_connected(self, vm):
         return vm not in self.network.down
 
-    def post(self, vm, message):
-        self.post_all([vm], message)
+    def send_nowait(self, vm, message):
+        self.multicast([vm], message)
 
-    def send_all(self, message):
-        self.post_all([vm for vm in self.names if vm != self.name], message)
+    def send_to_region(self, message):
+        self.multicast([vm for vm in self.names if vm != self.name], message)
 
-    def post_all(self, vms, message):
+    def multicast(self, vms, message):
         frame = messages.pack(message)
         for vm in vms:
             self.network.deliver(self.name, vm, frame)
--- a/packages/mothworks_gateway/tests/modelled_endpoint.py
+++ b/packages/mothworks_gateway/tests/modelled_endpoint.py
@@ -167,7 +167,7 @@
     def handle(self, _, function):
         self.handlers.append(function)
 
-    def send_all(self, message):
+    def send_to_region(self, message):
         for handler in self.handlers:
             handler("vm", message, None)
 
--- a/packages/mothworks_gateway/tests/test_broadcast.py
+++ b/packages/mothworks_gateway/tests/test_broadcast.py
@@ -76,7 +76,7 @@
     # that it is chosen to forward, but must not miss all later ones.
     fleet = Fleet(VMS)
     part = fleet.part_by_vm["vm-0"]
-    part.peers.linked = lambda vm: True
+    part.peers.is_connected = lambda vm: True
     fleet.network.down.add(part._groups()[0][0])
     for number in range(40):
         fleet.publish("vm-0", f"text {number}")
--- a/packages/mothworks_gateway/tests/test_freshness.py
+++ b/packages/mothworks_gateway/tests/test_freshness.py
@@ -71,7 +71,7 @@
     def handle(self, *_):
         pass
 
-    def linked(self, _):
+    def is_connected(self, _):
         return True
 
     def call(self, name, message, _):
--- a/packages/mothworks_gateway/tests/test_owners.py
+++ b/packages/mothworks_gateway/tests/test_owners.py
@@ -11,14 +11,14 @@
 class Peers:
     """Fake connections to owners: all answer with one reply, or none does."""
 
-    def __init__(self, reply=None, linked=True):
+    def __init__(self, reply=None, connected=True):
         self.reply = reply
-        self.is_linked = linked
+        self.connected = connected
         self.called = []
         self.opened = []
 
-    def linked(self, _):
-        return self.is_linked
+    def is_connected(self, _):
+        return self.connected
 
     def open(self, vm):
         self.opened.append(vm)
@@ -61,7 +61,7 @@
 
 
 def test_a_call_does_not_wait_for_a_connection_to_open():
-    connections = Peers("here", linked=False)
+    connections = Peers("here", connected=False)
     part = make("vm-0", fleet_builders.vm_names(6), connections)
     assert part.call("vm-1", None, 0.04, "a test") is None
     assert (connections.called, connections.opened) == ([], ["vm-1"])
--- a/packages/mothworks_gateway/tests/test_prefill_pacing.py
+++ b/packages/mothworks_gateway/tests/test_prefill_pacing.py
@@ -35,9 +35,9 @@
 class Peers:
     """Stub of the connections to peers, which all send the same reply, or none."""
 
-    def __init__(self, answer=None, linked=True):
+    def __init__(self, answer=None, connected=True):
         self.answer = answer
-        self.is_connected = linked
+        self.connected = connected
         self.opened = set()
         self.called_vms = []
         self.sent_requests = []
@@ -45,8 +45,8 @@
     def handle(self, *_):
         pass
 
-    def linked(self, _):
-        return self.is_connected
+    def is_connected(self, _):
+        return self.connected
 
     def open(self, vm):
         self.opened.add(vm)
@@ -176,7 +176,7 @@
 def test_requests_do_not_wait_for_a_connection_to_an_owner():
     # The owner is unreachable. Waiting for a connection to it would take half a second
     # for each request.
-    stub_peers = Peers(prefill_pacing.PrefillSlot(0.1), linked=False)
+    stub_peers = Peers(prefill_pacing.PrefillSlot(0.1), connected=False)
     pacing = make_pacing(stub_peers, "vm-2")
     pacing.wait(request(), owned_by("vm-2", "vm-1"))
     assert stub_peers.called_vms == []
@@ -186,7 +186,7 @@
 def test_with_many_vms_there_are_few_owners_and_all_vms_connect_to_them():
     # With 195 VMs and 59 owners, a VM needed most owners about once a day and had no
     # connection to them. No prompt got a slot, and streams stalled.
-    stub_peers = Peers(prefill_pacing.PrefillSlot(0.0), linked=False)
+    stub_peers = Peers(prefill_pacing.PrefillSlot(0.0), connected=False)
     pacing = make_pacing(stub_peers, *fleet_builders.vm_names(195))
     pacing._connect_to_owners()
     assert len(stub_peers.opened) <= 9
--- a/packages/mothworks_gateway/tests/test_relayed_objects.py
+++ b/packages/mothworks_gateway/tests/test_relayed_objects.py
@@ -67,7 +67,7 @@
     def handle(self, message_class, handler):
         self.handler_by_class[message_class] = handler
 
-    def linked(self, name):
+    def is_connected(self, name):
         return name in self.peers_by_vm
 
     def call(self, name, message, timeout_s):
