--- a/packages/mothworks/src/mothworks/configuration_gossip.py
+++ b/packages/mothworks/src/mothworks/configuration_gossip.py
@@ -132,9 +132,9 @@
         If VMs were picked from all regions, every VM would in time open a
         connection to every other one, also over the slow links between regions.
         """
-        near = self.membership.near() or self.membership.peers()
+        near = self.membership.region_peers() or self.membership.peers()
         chosen = random.sample(near, min(count, len(near)))
-        return [member.name for member in (*chosen, *self.membership.far())]
+        return [member.name for member in (*chosen, *self.membership.bridge_peers())]
 
     def _serve_head_update(
         self, sender: str, update: HeadUpdate, _: peers.Reply
--- a/packages/mothworks/src/mothworks/exchange.py
+++ b/packages/mothworks/src/mothworks/exchange.py
@@ -80,7 +80,7 @@
         self.tasks.spawn(self._poll_vm_list)
         self.tasks.every(SYNC_INTERVAL_S, self.sync_random_peer)
         self.tasks.every(RECONNECT_INTERVAL_S, self.reconnect)
-        self.tasks.every(BRIDGE_INTERVAL_S, self.link_regions)
+        self.tasks.every(BRIDGE_INTERVAL_S, self.bridge_regions)
 
     def refresh_vm_list(self) -> None:
         """Read the platform's list and synchronise with VMs on it that are not live.
@@ -103,7 +103,7 @@
 
     def sync_random_peer(self) -> None:
         """Synchronise with a random VM of the region to recover lost updates."""
-        self._sync_with_some(self.membership.near(), 1)
+        self._sync_with_some(self.membership.region_peers(), 1)
 
     def reconnect(self) -> None:
         """Synchronise with a random dead VM, in case it is reachable again.
@@ -113,13 +113,13 @@
         """
         self._sync_with_some(self.table.dead(), 1)
 
-    def link_regions(self) -> None:
+    def bridge_regions(self) -> None:
         """Synchronise with a random VM of each other region if this is a bridge VM.
 
         Only a few VMs are. The updates that they receive are gossiped in their
         region. VMs of an unreachable region keep their last known state.
         """
-        for member in self.membership.far():
+        for member in self.membership.bridge_peers():
             self.sync_with(member.name)
 
     def broadcast_own_row(self) -> None:
--- a/packages/mothworks/src/mothworks/membership.py
+++ b/packages/mothworks/src/mothworks/membership.py
@@ -90,11 +90,11 @@
         """Return all live members except this VM."""
         return self.table.live()
 
-    def near(self) -> list[members.Member]:
+    def region_peers(self) -> list[members.Member]:
         """Return the live members of this VM's region except itself."""
         return self.swim.region_peers()
 
-    def far(self) -> list[members.Member]:
+    def bridge_peers(self) -> list[members.Member]:
         """Return a random live member of each other region if this is a bridge VM.
 
         Only a few VMs of a region, its bridges, communicate with other regions,
@@ -102,7 +102,7 @@
         all other VMs the list is empty.
         """
         me = self.me()
-        region_members = [*self.near(), me]
+        region_members = [*self.region_peers(), me]
         region_members.sort(key=lambda item: ownership.weight("link", item.name))
         if me not in region_members[:BRIDGE_VMS_PER_REGION]:
             return []
--- a/packages/mothworks/src/mothworks/peers.py
+++ b/packages/mothworks/src/mothworks/peers.py
@@ -161,7 +161,9 @@
 
         :param message: an instance of a registered class.
         """
-        self.multicast([member.name for member in self.membership.near()], message)
+        self.multicast(
+            [member.name for member in self.membership.region_peers()], message
+        )
 
     def multicast(
         self, vms: collections.abc.Iterable[str], message: typing.Any
--- a/packages/mothworks/src/mothworks/placement_repair.py
+++ b/packages/mothworks/src/mothworks/placement_repair.py
@@ -16,7 +16,7 @@
 #: Interval between comparisons with a random VM of the region, seconds.
 REPAIR_INTERVAL_S = 2.0
 #: Interval between comparisons of a linking VM with other regions, seconds.
-LINK_INTERVAL_S = 5.0
+BRIDGE_INTERVAL_S = 5.0
 #: Timeout for a reply, seconds.
 REPLY_TIMEOUT_S = 2.0
 
@@ -91,17 +91,17 @@
     def start(self) -> None:
         """Start the periodic comparisons."""
         self.tasks.every(REPAIR_INTERVAL_S, self.repair)
-        self.tasks.every(LINK_INTERVAL_S, self.link_regions)
+        self.tasks.every(BRIDGE_INTERVAL_S, self.bridge_regions)
 
     def repair(self) -> None:
         """Compare with a random VM of the region."""
-        near = self.membership.near()
+        near = self.membership.region_peers()
         if near:
             self.compare(random.choice(near).name)
 
-    def link_regions(self) -> None:
+    def bridge_regions(self) -> None:
         """Compare with other regions, if this VM links them, and relay updates."""
-        for member in self.membership.far():
+        for member in self.membership.bridge_peers():
             for status in self.compare(member.name):
                 self.peers.send_to_region(status)
 
@@ -125,7 +125,7 @@
 
     def _repair_after_join(self) -> None:
         """Fetch the map as soon as the region has another VM."""
-        if not self.joined and self.membership.near():
+        if not self.joined and self.membership.region_peers():
             self.joined = True
             self.tasks.spawn(self.repair)
 
--- a/packages/mothworks/src/mothworks/slot_owner.py
+++ b/packages/mothworks/src/mothworks/slot_owner.py
@@ -227,7 +227,7 @@
         if fallback is None:
             # All VMs may lose the owner at the same time. Each gets an equal part of
             # the slots, so that together they about fill the endpoint's batch.
-            vms = len(self.membership.near()) + 1
+            vms = len(self.membership.region_peers()) + 1
             slots = max(1, math.ceil(endpoint.slots / vms))
             fallback = batches.Batch(slots, self._closed_reason, self._caller_share)
             self.fallback_by_endpoint[endpoint.name] = fallback
--- a/packages/mothworks/tests/test_membership.py
+++ b/packages/mothworks/tests/test_membership.py
@@ -148,14 +148,14 @@
     group.split("b-1", "b-2")
     for vm in group.vm_by_name.values():
         vm.history.clear()
-        vm.exchange.link_regions()
+        vm.exchange.bridge_regions()
     group.vm_by_name.pop("b-2").stop()
     processes.wait_until(lambda: group.views()["b-1"] == {"a-1", "a-2", "b-1"})
     assert not group.vm_by_name["a-1"].history
     group.network.group_by_vm.clear()
     processes.wait_until(
         lambda: (
-            [vm.exchange.link_regions() for vm in group.vm_by_name.values()]
+            [vm.exchange.bridge_regions() for vm in group.vm_by_name.values()]
             and group.agrees("a-1", "a-2", "b-1")
         )
     )
--- a/packages/mothworks/tests/test_placement_map.py
+++ b/packages/mothworks/tests/test_placement_map.py
@@ -121,7 +121,7 @@
 
     def maps_agree_after_linking():
         for vm in group.vm_by_name.values():
-            vm.repair.link_regions()
+            vm.repair.bridge_regions()
         return maps_agree(group)
 
     processes.wait_until(maps_agree_after_linking)
--- a/packages/mothworks_gateway/src/mothworks_gateway/aggregation.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/aggregation.py
@@ -164,7 +164,7 @@
 
     def _transmit(self, own: heartbeat.Heartbeat) -> None:
         """Send this VM's heartbeat to all peers, or by way of collectors."""
-        near = self.membership.near()
+        near = self.membership.region_peers()
         if collectors.is_full_mesh(near):
             self.shared_health.merge(own.answers)
             self.peers.send_to_region(own)
@@ -243,7 +243,7 @@
 
     def _is_full_mesh(self) -> bool:
         """Return whether VMs are few enough for each to send to all others."""
-        return collectors.is_full_mesh(self.membership.near())
+        return collectors.is_full_mesh(self.membership.region_peers())
 
     def _on_totals(self, vm: str, totals: Totals, _: peers.Reply) -> None:
         self.own_collector.on_totals(vm, time.monotonic())
--- a/packages/mothworks_gateway/src/mothworks_gateway/broadcast.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/broadcast.py
@@ -95,7 +95,7 @@
 
     def _groups(self) -> list[tuple[str, ...]]:
         if self.groups is None:
-            peer_names = [member.name for member in self.membership.near()]
+            peer_names = [member.name for member in self.membership.region_peers()]
             self.groups = divide(self.name, peer_names)
         return self.groups
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/fleet_size.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/fleet_size.py
@@ -49,6 +49,6 @@
         """Update the counts after membership changed."""
         # The property first settles the peak with the count from before this change.
         peak = self.peak
-        self.live = 1 + len(self.membership.near())
+        self.live = 1 + len(self.membership.region_peers())
         if self.live >= peak:
             self._peak, self._peak_at = self.live, boot_clock.now()
--- a/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
@@ -164,7 +164,7 @@
         """
         candidates = self.owners.candidates()
         watchers = list(self.watching.election.healthy_watchers(time.monotonic()))
-        few_vms = collectors.is_full_mesh(self.membership.near())
+        few_vms = collectors.is_full_mesh(self.membership.region_peers())
         if few_vms or self.name in candidates:
             return watchers or [vm for vm in candidates if vm != self.name]
         return candidates
--- a/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
@@ -228,7 +228,7 @@
         """
         while not (self.declarations.loaded.is_set() and self.discovery.loaded):
             gevent.sleep(STARTUP_FETCH_INTERVAL_S)
-            near = self.membership.near()
+            near = self.membership.region_peers()
             if near:
                 self.fetch_state(random.choice(near).name)
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/lease.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease.py
@@ -337,7 +337,7 @@
 
     def _rank(self) -> int:
         """Return this VM's rank for the lease among the live VMs, 0 for the first."""
-        names = [member.name for member in self.membership.near()]
+        names = [member.name for member in self.membership.region_peers()]
         names.append(self.name)
         names.sort(key=lambda name: ownership.weight("lease", name), reverse=True)
         return names.index(self.name)
--- a/packages/mothworks_gateway/src/mothworks_gateway/ranking.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/ranking.py
@@ -26,7 +26,9 @@
     @functools.cached_property
     def vms(self) -> list[str]:
         """Return the live VMs that stay, this one included, highest rank first."""
-        staying = [item.name for item in self.membership.near() if not item.leaving]
+        staying = [
+            item.name for item in self.membership.region_peers() if not item.leaving
+        ]
         return sorted(
             [*staying, self.name],
             key=lambda vm: ownership.weight(self.role, vm),
--- a/packages/mothworks_gateway/src/mothworks_gateway/relayed_objects.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/relayed_objects.py
@@ -170,7 +170,7 @@
         self, message: RelayedRead | RelayedWrite
     ) -> typing.Iterator[RelayedReply]:
         """Call a few connected peers in turn, and yield their replies."""
-        near = [item.name for item in self.membership.near()]
+        near = [item.name for item in self.membership.region_peers()]
         connected = [name for name in near if self.peers.is_connected(name)]
         for name in random.sample(connected, min(MAX_PEERS, len(connected))):
             match self.peers.call(name, message, PEER_TIMEOUT_S):
--- a/packages/mothworks_gateway/tests/fleet_builders.py
+++ b/packages/mothworks_gateway/tests/fleet_builders.py
@@ -91,7 +91,7 @@
     :param parts: further parts, by class.
     """
     near = [make_member(vm) for vm in names if vm != name]
-    node_membership = types.SimpleNamespace(near=lambda: near, on_change=[])
+    node_membership = types.SimpleNamespace(region_peers=lambda: near, on_change=[])
     parts = {
         membership.Membership: node_membership,
         peers.Peers: Peers(name, network, names),
@@ -133,7 +133,7 @@
     """
     live_vms = [vm for vm in names if vm != name and vm not in network.down]
     node_membership = kernel.get(membership.Membership)
-    node_membership.near()[:] = [
+    node_membership.region_peers()[:] = [
         make_member(vm) for vm in live_vms if not network.cuts(name, vm)
     ]
     for notify in node_membership.on_change:
--- a/packages/mothworks_gateway/tests/test_aggregation.py
+++ b/packages/mothworks_gateway/tests/test_aggregation.py
@@ -209,7 +209,7 @@
 
 def set_members(view, near):
     """Change the live VMs in a VM's membership."""
-    view.near = lambda: near
+    view.region_peers = lambda: near
     for notify in view.on_change:
         notify()
 
@@ -221,7 +221,7 @@
     fleet = Fleet(monkeypatch)
     name = next(vm for vm in fleet.names if vm not in fleet.collectors)
     view = fleet.vm_by_name[name].aggregation.membership
-    all_near = view.near()
+    all_near = view.region_peers()
     set_members(view, all_near[:17])
     monkeypatch.setattr(collectors, "MIN_COLLECTORS", 18)
     fleet.vm_by_name[name].heartbeats.send()
@@ -321,7 +321,7 @@
     fleet.run(2)
     assert computed_keys == []
     part = fleet.vm_by_name[fleet.names[0]].aggregation
-    set_members(part.membership, part.membership.near()[1:])
+    set_members(part.membership, part.membership.region_peers()[1:])
     assert len(part.ranking.vms) == VMS - 1
     assert len(computed_keys) == VMS - 1
 
--- a/packages/mothworks_gateway/tests/test_broadcast.py
+++ b/packages/mothworks_gateway/tests/test_broadcast.py
@@ -88,7 +88,7 @@
     fleet = Fleet(18)
     part = fleet.part_by_vm["vm-0"]
     fleet.publish("vm-0", "before")
-    part.membership.near().append(fleet_builders.make_member("vm-new"))
+    part.membership.region_peers().append(fleet_builders.make_member("vm-new"))
     fleet.part_by_vm["vm-new"] = fleet.make_broadcast("vm-new")
     for notify in part.membership.on_change:
         notify()
--- a/packages/mothworks_gateway/tests/test_fleet_size.py
+++ b/packages/mothworks_gateway/tests/test_fleet_size.py
@@ -16,7 +16,7 @@
     def __init__(self, monkeypatch):
         self.clock = virtual_time.Clock(monkeypatch)
         self.members = []
-        view = types.SimpleNamespace(near=lambda: self.members, on_change=[])
+        view = types.SimpleNamespace(region_peers=lambda: self.members, on_change=[])
         kernel = gateway_builders.Kernel({membership.Membership: view})
         self.view = view
         self.size = fleet_size.FleetSize(kernel)
--- a/packages/mothworks_gateway/tests/test_freshness.py
+++ b/packages/mothworks_gateway/tests/test_freshness.py
@@ -108,7 +108,7 @@
         near = [
             types.SimpleNamespace(name=vm, leaving=False) for vm in names if vm != name
         ]
-        node_membership = types.SimpleNamespace(near=lambda: near, on_change=[])
+        node_membership = types.SimpleNamespace(region_peers=lambda: near, on_change=[])
         election = types.SimpleNamespace(healthy_watchers=lambda now: {"watcher": None})
         kernel = gateway_builders.Kernel(
             {
@@ -249,9 +249,9 @@
     pair.check_follower()
     pair.link.up = False
     fleet = pair.follower.freshness.fleet
-    fleet.membership.near()[:] = range(2)
+    fleet.membership.region_peers()[:] = range(2)
     fleet._update()
-    fleet.membership.near().clear()
+    fleet.membership.region_peers().clear()
     fleet._update()
     pair.clock.advance(10.0)
     pair.check_follower()
--- a/packages/mothworks_gateway/tests/test_prefill_pacing.py
+++ b/packages/mothworks_gateway/tests/test_prefill_pacing.py
@@ -26,7 +26,7 @@
         self.on_change = []
         self.names = names
 
-    def near(self):
+    def region_peers(self):
         return [
             type("Member", (), {"name": name, "leaving": False}) for name in self.names
         ]
--- a/packages/mothworks_gateway/tests/test_relayed_objects.py
+++ b/packages/mothworks_gateway/tests/test_relayed_objects.py
@@ -89,7 +89,9 @@
         others = [types.SimpleNamespace(name=n) for n in ("vm-1", "vm-2") if n != name]
         parts = {
             peers.Peers: Peers(peers_by_vm, name),
-            membership.Membership: types.SimpleNamespace(near=lambda o=others: o),
+            membership.Membership: types.SimpleNamespace(
+                region_peers=lambda o=others: o
+            ),
         }
         kernel = gateway_builders.Kernel(parts)
         relays.append(relayed_objects.RelayedObjects(kernel))
--- a/packages/mothworks_gateway/tests/test_silent_polls.py
+++ b/packages/mothworks_gateway/tests/test_silent_polls.py
@@ -169,7 +169,7 @@
         followers = feeding.FeedFollowers(kernel)
         for name, feed in self.feed_by_name.items():
             followers.add(feeding.Follower(name, feed, lambda _: None, lambda _: None))
-        node_membership = types.SimpleNamespace(near=lambda: [], on_change=[])
+        node_membership = types.SimpleNamespace(region_peers=lambda: [], on_change=[])
         node_peers = types.SimpleNamespace(handle=lambda *_: None)
         node_declarations = types.SimpleNamespace(version=1, current=None, on_change=[])
         node_discovery = types.SimpleNamespace(
