--- a/packages/mothworks/src/mothworks/membership.py
+++ b/packages/mothworks/src/mothworks/membership.py
@@ -1,7 +1,7 @@
 """Membership: which VMs run a node now.
 
 The VMs of a region probe each other (:mod:`mothworks.swim`) and maintain the
-same table (:mod:`mothworks.members`). :mod:`mothworks.exchange` synchronises
+same table (:mod:`mothworks.members`). :mod:`mothworks.membership_sync` synchronises
 the tables to join, to heal partitions and to bridge regions. Other parts call
 :meth:`Membership.live` and register callbacks for changes.
 """
--- a/packages/mothworks/src/mothworks/exchange.py
+++ b/packages/mothworks/src/mothworks/membership_sync.py
@@ -59,7 +59,7 @@
 
 
 @plugins.register(plugins.PART, "exchange")
-class Exchange(kernel.Part):
+class MembershipSync(kernel.Part):
     """Synchronises the membership table with one VM at a time.
 
     :param node_kernel: the node's kernel.
--- a/packages/mothworks/tests/groups.py
+++ b/packages/mothworks/tests/groups.py
@@ -10,12 +10,12 @@
 import result
 
 import builders
-from mothworks import exchange, kernel, membership, peers, vm_list
+from mothworks import kernel, membership, membership_sync, peers, vm_list
 from mothworks_fakes import processes
 
 ROUND_S = 0.1
 #: Classes of the parts that membership needs.
-MEMBERSHIP = (membership.Membership, peers.Peers, exchange.Exchange)
+MEMBERSHIP = (membership.Membership, peers.Peers, membership_sync.MembershipSync)
 
 
 class Network:
@@ -121,7 +121,7 @@
         self.kernel = kernel.Kernel(node_settings)
         self.membership = self.kernel.get(membership.Membership)
         self.kernel.get(vm_list.VmList).source = group.list
-        self.exchange = self.kernel.get(exchange.Exchange)
+        self.membership_sync = self.kernel.get(membership_sync.MembershipSync)
         self.peers = self.kernel.get(peers.Peers)
         self.name = node_settings.name
         group.network.vm_by_port[self.peers.port] = self.name
--- a/packages/mothworks/tests/test_membership.py
+++ b/packages/mothworks/tests/test_membership.py
@@ -7,7 +7,7 @@
 import pytest
 
 import groups
-from mothworks import exchange, members, messages, swim, vm_list
+from mothworks import members, membership_sync, messages, swim, vm_list
 from mothworks_fakes import processes
 
 
@@ -127,12 +127,10 @@
         for vm in five_vms.vm_by_name.values():
             vm.membership.listed_by_name = {}
     five_vms.network.group_by_vm.clear()
-    one_exchange = five_vms.vm_by_name["vm-4"].exchange
+    one_sync = five_vms.vm_by_name["vm-4"].membership_sync
     names = list(five_vms.vm_by_name)
     processes.wait_until(
-        lambda: (
-            five_vms.agrees(*names) or (not list_available and one_exchange.reconnect())
-        )
+        lambda: five_vms.agrees(*names) or (not list_available and one_sync.reconnect())
     )
 
 
@@ -148,14 +146,14 @@
     group.split("b-1", "b-2")
     for vm in group.vm_by_name.values():
         vm.history.clear()
-        vm.exchange.bridge_regions()
+        vm.membership_sync.bridge_regions()
     group.vm_by_name.pop("b-2").stop()
     processes.wait_until(lambda: group.views()["b-1"] == {"a-1", "a-2", "b-1"})
     assert not group.vm_by_name["a-1"].history
     group.network.group_by_vm.clear()
     processes.wait_until(
         lambda: (
-            [vm.exchange.bridge_regions() for vm in group.vm_by_name.values()]
+            [vm.membership_sync.bridge_regions() for vm in group.vm_by_name.values()]
             and group.agrees("a-1", "a-2", "b-1")
         )
     )
@@ -246,7 +244,9 @@
     sender = vms[0]
     received = []
     for vm in vms[1:]:
-        vm.peers.handle(exchange.MembersTable, lambda *args: received.append(args))
+        vm.peers.handle(
+            membership_sync.MembersTable, lambda *args: received.append(args)
+        )
     for link in list(sender.peers.link_by_vm.values()):
         link.close()
     processes.wait_until(lambda: not sender.peers.link_by_vm)
@@ -260,7 +260,7 @@
     sender.peers.connect = wait_and_connect
     tasks_before = len(sender.peers.tasks.group)
     for _ in range(300):
-        sender.peers.send_to_region(exchange.MembersTable(()))
+        sender.peers.send_to_region(membership_sync.MembersTable(()))
     gevent.sleep(0)
     assert len(sender.peers.tasks.group) <= tasks_before + 2
     opened.set()
--- a/packages/mothworks_gateway/src/mothworks_gateway/node.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/node.py
@@ -12,7 +12,7 @@
 import logbook
 import result
 
-from mothworks import exchange, kernel, logs, membership, peers, ports, vm_list
+from mothworks import kernel, logs, membership, membership_sync, peers, ports, vm_list
 from mothworks_gateway import (
     admission,
     aggregation,
@@ -44,7 +44,7 @@
     membership.Membership,
     peers.Peers,
     vm_list.VmList,
-    exchange.Exchange,
+    membership_sync.MembershipSync,
     feeding.FeedFollowers,
     feed_reports.FeedReports,
     declarations.Declarations,
