--- a/packages/mothworks/src/mothworks/audit_retention.py
+++ b/packages/mothworks/src/mothworks/audit_retention.py
@@ -75,6 +75,6 @@
         return deleted
 
     def _delete_if_selected(self) -> None:
-        selected = ownership.highest("audit", self.membership.live())
+        selected = ownership.rendezvous_owner("audit", self.membership.live())
         if selected is not None and selected.name == self.kernel.settings.name:
             self.delete_expired(datetime.datetime.now(datetime.UTC).date())
--- a/packages/mothworks/src/mothworks/configuration_garbage.py
+++ b/packages/mothworks/src/mothworks/configuration_garbage.py
@@ -81,7 +81,7 @@
 
     def _collect_if_owner(self) -> None:
         key = configuration_parts.KEY_PREFIX
-        owner = ownership.highest(key, self.membership.live())
+        owner = ownership.rendezvous_owner(key, self.membership.live())
         if owner is not None and owner.name == self.kernel.settings.name:
             self.collect(time.monotonic())
 
--- a/packages/mothworks/src/mothworks/guard.py
+++ b/packages/mothworks/src/mothworks/guard.py
@@ -46,7 +46,7 @@
         self.calls_total = node_metrics.counter(
             f"{name}_calls_total", "Calls to the service by kind and outcome."
         )
-        self.call_seconds = node_metrics.seconds(
+        self.call_seconds = node_metrics.duration_histogram(
             f"{name}_call_seconds", "Time of a call to the service, by kind."
         )
 
--- a/packages/mothworks/src/mothworks/metrics.py
+++ b/packages/mothworks/src/mothworks/metrics.py
@@ -31,7 +31,7 @@
         """
         return self._make(aioprometheus.Gauge, name, doc)
 
-    def seconds(self, name: str, doc: str) -> aioprometheus.Histogram:
+    def duration_histogram(self, name: str, doc: str) -> aioprometheus.Histogram:
         """Return a histogram of durations in seconds.
 
         :param name: its name, without the prefix ``mothworks_``.
--- a/packages/mothworks/src/mothworks/ownership.py
+++ b/packages/mothworks/src/mothworks/ownership.py
@@ -28,7 +28,7 @@
     return in_data_centre or [item for item in remaining if item.region == region]
 
 
-def highest(
+def rendezvous_owner(
     key: str, vms: collections.abc.Iterable[members.Member]
 ) -> members.Member | None:
     """Return the member with the highest rendezvous weight for a key.
@@ -48,7 +48,7 @@
     :param live: all live members.
     """
     in_region = [item for item in live if item.region == region and not item.leaving]
-    return highest(f"planner/{region}", in_region)
+    return rendezvous_owner(f"planner/{region}", in_region)
 
 
 def shard_owner(
@@ -60,7 +60,7 @@
     :param live: all live members.
     :param own_name: this VM's name, which is returned if every VM is leaving.
     """
-    owner = highest(key, [item for item in live if not item.leaving])
+    owner = rendezvous_owner(key, [item for item in live if not item.leaving])
     return owner.name if owner else own_name
 
 
@@ -114,7 +114,9 @@
             contenders = (
                 [kept, *new_vms] if kept is not None else self.vm_by_name.values()
             )
-            owner = highest(name, contenders) if kept is None or new_vms else kept
+            owner = (
+                rendezvous_owner(name, contenders) if kept is None or new_vms else kept
+            )
             if owner is not None:
                 self.vm_by_endpoint[name] = owner
 
--- a/packages/mothworks/src/mothworks/path_metrics.py
+++ b/packages/mothworks/src/mothworks/path_metrics.py
@@ -20,11 +20,11 @@
         self.refusals_total = node_metrics.counter(
             "refusals_total", "Refusals by code, and whether the request ran."
         )
-        self.first_token_seconds = node_metrics.seconds(
+        self.first_token_seconds = node_metrics.duration_histogram(
             "first_token_seconds",
             "From a request's arrival to its answer's first bytes, by urgency.",
         )
-        self.between_tokens_seconds = node_metrics.seconds(
+        self.between_tokens_seconds = node_metrics.duration_histogram(
             "between_tokens_seconds",
             "Mean time between the tokens of a stream, by urgency.",
         )
--- a/packages/mothworks/src/mothworks/peers.py
+++ b/packages/mothworks/src/mothworks/peers.py
@@ -319,7 +319,7 @@
                 hello.deployment,
             )
             return False
-        if link.vm is not None and link.vm.startswith(vm_list.SEED):
+        if link.vm is not None and link.vm.startswith(vm_list.SEED_PREFIX):
             self.link_by_vm.pop(link.vm, None)
             link.vm = None
         if link.vm is None:
--- a/packages/mothworks/src/mothworks/planner.py
+++ b/packages/mothworks/src/mothworks/planner.py
@@ -48,7 +48,7 @@
         self.audit = node_kernel.get(audit.Audit)
         self.policy_class = _policy_class(node_kernel.settings.placement)
         self.state: region_plan.RegionPlan | None = None
-        self.pass_seconds = node_kernel.metrics.seconds(
+        self.pass_seconds = node_kernel.metrics.duration_histogram(
             "planner_pass_seconds", "Processor time of one pass."
         )
         self.peers.handle(move_messages.Holdings, self._receive)
--- a/packages/mothworks/src/mothworks/vm_list.py
+++ b/packages/mothworks/src/mothworks/vm_list.py
@@ -20,7 +20,7 @@
 
 #: Prefix of the provisional name of a VM of which only the address is known; the VM
 #: sends its real name when a connection to it opens.
-SEED = "seed "
+SEED_PREFIX = "seed "
 
 
 class VmState(enum.StrEnum):
--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -81,7 +81,7 @@
         self.poison_requests = node_kernel.get(poison_requests.PoisonRequests)
         self.prefill_speed = node_kernel.get(prefill_speed.PrefillSpeed)
         self.residency = node_kernel.get(residency.Residency)
-        self.head_seconds = node_kernel.metrics.seconds(
+        self.head_seconds = node_kernel.metrics.duration_histogram(
             "head_seconds", "Time from a request's arrival to its answer's head."
         )
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/credit.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/credit.py
@@ -147,7 +147,7 @@
         self.calm_accounts: set[str] = set()
         self.peers.handle(CreditRequest, self._on_request)
         self.peers.handle(CreditRefund, self._on_refund)
-        self.latency = node_kernel.metrics.seconds(
+        self.latency = node_kernel.metrics.duration_histogram(
             "credit_seconds", "Time until a request's credit was granted or refused."
         )
 
--- a/packages/mothworks_gateway/src/mothworks_gateway/prefill_pacing.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/prefill_pacing.py
@@ -138,7 +138,7 @@
         self.schedule_by_endpoint: dict[str, PrefillSchedule] = {}
         self.owners.on_change.append(self.schedule_by_endpoint.clear)
         self.peers.handle(PrefillSlotRequest, self._serve)
-        self.wait_seconds = node_kernel.metrics.seconds(
+        self.wait_seconds = node_kernel.metrics.duration_histogram(
             "turn_seconds", "Time that requests waited for their turn."
         )
 
