--- a/packages/mothworks/tests/groups.py
+++ b/packages/mothworks/tests/clusters.py
@@ -15,7 +15,7 @@
 
 ROUND_S = 0.1
 #: Classes of the parts that membership needs.
-MEMBERSHIP = (membership.Membership, peers.Peers, membership_sync.MembershipSync)
+MEMBERSHIP_PARTS = (membership.Membership, peers.Peers, membership_sync.MembershipSync)
 
 
 class Network:
@@ -65,8 +65,8 @@
         return result.Ok(self.vms) if self.available else result.Err("down")
 
 
-class Group:
-    """A group of VMs in this process."""
+class Cluster:
+    """A cluster of VMs in this process."""
 
     def __init__(self):
         self.network = Network()
@@ -74,7 +74,7 @@
         self.list = InMemoryVmList()
         self.vm_by_name = {}
 
-    def add(self, name, region="region-1", data_centre="dc-1", parts=MEMBERSHIP):
+    def add(self, name, region="region-1", data_centre="dc-1", parts=MEMBERSHIP_PARTS):
         node_settings = builders.settings(
             name,
             data_centre=data_centre,
@@ -92,12 +92,12 @@
             for name, vm in self.vm_by_name.items()
         }
 
-    def agrees(self, *names):
+    def sees_exactly(self, *names):
         views = self.views()
         return all(views[name] == set(names) for name in names)
 
-    def wait(self, *names):
-        processes.wait_until(lambda: self.agrees(*names))
+    def wait_for_members(self, *names):
+        processes.wait_until(lambda: self.sees_exactly(*names))
 
     def split(self, *names):
         """Partition these VMs from all others and close connections across."""
@@ -116,18 +116,18 @@
 class Vm:
     """A VM that runs some parts of a node."""
 
-    def __init__(self, group, node_settings, parts):
-        self.group = group
+    def __init__(self, cluster, node_settings, parts):
+        self.cluster = cluster
         self.kernel = kernel.Kernel(node_settings)
         self.membership = self.kernel.get(membership.Membership)
-        self.kernel.get(vm_list.VmList).source = group.list
+        self.kernel.get(vm_list.VmList).source = cluster.list
         self.membership_sync = self.kernel.get(membership_sync.MembershipSync)
         self.peers = self.kernel.get(peers.Peers)
         self.name = node_settings.name
-        group.network.vm_by_port[self.peers.port] = self.name
+        cluster.network.vm_by_port[self.peers.port] = self.name
         swim = self.membership.swim
         swim.round_s = ROUND_S
-        swim.sock = self.socket = SimulatedSocket(swim.sock, group.network, self.name)
+        swim.sock = self.socket = SimulatedSocket(swim.sock, cluster.network, self.name)
         self.peers.connect = self.connect
         self.history = []
         self.membership.on_change.append(self.record_live_members)
@@ -136,7 +136,7 @@
             part.start()
 
     def connect(self, address, timeout):
-        if not self.group.network.delivers(self.name, address[1], is_tcp=True):
+        if not self.cluster.network.delivers(self.name, address[1], is_tcp=True):
             raise ConnectionRefusedError
         return gevent.socket.create_connection(address, timeout)
 
--- a/packages/mothworks/tests/test_membership.py
+++ b/packages/mothworks/tests/test_membership.py
@@ -6,47 +6,47 @@
 import msgpack
 import pytest
 
-import groups
+import clusters
 from mothworks import members, membership_sync, messages, swim, vm_list
 from mothworks_fakes import processes
 
 
 @pytest.fixture
-def group():
-    new_group = groups.Group()
-    yield new_group
-    new_group.stop()
+def cluster():
+    new_cluster = clusters.Cluster()
+    yield new_cluster
+    new_cluster.stop()
 
 
 @pytest.fixture
-def five_vms(group):
+def five_vms(cluster):
     names = [f"vm-{number}" for number in range(1, 6)]
     for name in names:
-        group.add(name)
-    group.wait(*names)
-    return group
+        cluster.add(name)
+    cluster.wait_for_members(*names)
+    return cluster
 
 
-def test_vms_join_from_an_incomplete_and_stale_list(group):
+def test_vms_join_from_an_incomplete_and_stale_list(cluster):
     """The list is stale: it names a VM that is gone and lacks the newest.
 
     All live VMs find each other nevertheless, and none considers the VM that
     is only on the list live.
     """
-    group.list.vms = (
+    cluster.list.vms = (
         vm_list.Vm("gone", vm_list.VmKind.NODE, "127.0.0.1", peer_port=1),
     )
-    first, second = group.add("vm-1"), group.add("vm-2")
-    list_with_two = group.list.vms
-    third = group.add("vm-3")
-    group.list.vms = list_with_two
-    group.wait(first.name, second.name, third.name)
+    first, second = cluster.add("vm-1"), cluster.add("vm-2")
+    list_with_two = cluster.list.vms
+    third = cluster.add("vm-3")
+    cluster.list.vms = list_with_two
+    cluster.wait_for_members(first.name, second.name, third.name)
 
 
 def test_a_failed_vm_is_declared_dead_by_all(five_vms):
     """A VM fails without notice. Probes detect it and gossip spreads its death."""
     five_vms.vm_by_name.pop("vm-5").stop()
-    five_vms.wait("vm-1", "vm-2", "vm-3", "vm-4")
+    five_vms.wait_for_members("vm-1", "vm-2", "vm-3", "vm-4")
 
 
 def test_a_vm_that_leaves_is_not_suspected(five_vms):
@@ -54,7 +54,7 @@
     leaving_vm = five_vms.vm_by_name.pop("vm-3")
     leaving_vm.kernel.draining = True
     leaving_vm.stop()
-    five_vms.wait("vm-1", "vm-2", "vm-4", "vm-5")
+    five_vms.wait_for_members("vm-1", "vm-2", "vm-4", "vm-5")
     states = {
         vm.membership.table.find("vm-3").state for vm in five_vms.vm_by_name.values()
     }
@@ -71,10 +71,10 @@
     incarnation_before = paused.membership.table.own.incarnation
     paused.socket.running.clear()
     others = ["vm-1", "vm-3", "vm-4", "vm-5"]
-    processes.wait_until(lambda: five_vms.agrees(*others))
+    processes.wait_until(lambda: five_vms.sees_exactly(*others))
     paused.history.clear()
     paused.socket.running.set()
-    five_vms.wait(*others, "vm-2")
+    five_vms.wait_for_members(*others, "vm-2")
     assert paused.membership.table.own.incarnation > incarnation_before
     assert all(
         len(live_names) == len(five_vms.vm_by_name) for live_names in paused.history
@@ -101,7 +101,7 @@
             )
         )
     )
-    assert five_vms.agrees(*five_vms.vm_by_name)
+    assert five_vms.sees_exactly(*five_vms.vm_by_name)
     assert not any(vm.history for vm in five_vms.vm_by_name.values())
 
 
@@ -115,7 +115,7 @@
     five_vms.split("vm-1", "vm-2")
     processes.wait_until(
         lambda: (
-            five_vms.agrees("vm-1", "vm-2")
+            five_vms.sees_exactly("vm-1", "vm-2")
             and all(
                 five_vms.views()[name] == {"vm-3", "vm-4", "vm-5"}
                 for name in ("vm-3", "vm-4", "vm-5")
@@ -130,31 +130,34 @@
     one_sync = five_vms.vm_by_name["vm-4"].membership_sync
     names = list(five_vms.vm_by_name)
     processes.wait_until(
-        lambda: five_vms.agrees(*names) or (not list_available and one_sync.reconnect())
+        lambda: (
+            five_vms.sees_exactly(*names)
+            or (not list_available and one_sync.reconnect())
+        )
     )
 
 
-def test_an_unreachable_region_is_not_declared_dead(group):
+def test_an_unreachable_region_is_not_declared_dead(cluster):
     """Two regions lose their connection for minutes, several times a year.
 
     No VM of the other region may be removed for that. Each removal would change
     owners and gossip updates, and again when the connection is restored.
     """
     for name, region in (("a-1", "a"), ("a-2", "a"), ("b-1", "b"), ("b-2", "b")):
-        group.add(name, region)
-    group.wait("a-1", "a-2", "b-1", "b-2")
-    group.split("b-1", "b-2")
-    for vm in group.vm_by_name.values():
+        cluster.add(name, region)
+    cluster.wait_for_members("a-1", "a-2", "b-1", "b-2")
+    cluster.split("b-1", "b-2")
+    for vm in cluster.vm_by_name.values():
         vm.history.clear()
         vm.membership_sync.bridge_regions()
-    group.vm_by_name.pop("b-2").stop()
-    processes.wait_until(lambda: group.views()["b-1"] == {"a-1", "a-2", "b-1"})
-    assert not group.vm_by_name["a-1"].history
-    group.network.group_by_vm.clear()
+    cluster.vm_by_name.pop("b-2").stop()
+    processes.wait_until(lambda: cluster.views()["b-1"] == {"a-1", "a-2", "b-1"})
+    assert not cluster.vm_by_name["a-1"].history
+    cluster.network.group_by_vm.clear()
     processes.wait_until(
         lambda: (
-            [vm.membership_sync.bridge_regions() for vm in group.vm_by_name.values()]
-            and group.agrees("a-1", "a-2", "b-1")
+            [vm.membership_sync.bridge_regions() for vm in cluster.vm_by_name.values()]
+            and cluster.sees_exactly("a-1", "a-2", "b-1")
         )
     )
 
@@ -171,7 +174,7 @@
             if name != "vm-5"
         )
     )
-    five_vms.wait(*five_vms.vm_by_name)
+    five_vms.wait_for_members(*five_vms.vm_by_name)
 
 
 def test_packets_stay_small_and_updates_stop_being_sent(five_vms):
@@ -215,7 +218,7 @@
         sender.sendto(data, address)
         sender.sendto(swim.tag(five_vms.deployment, "vm-1") + data, address)
     five_vms.vm_by_name.pop("vm-2").stop()
-    five_vms.wait("vm-1", "vm-3", "vm-4", "vm-5")
+    five_vms.wait_for_members("vm-1", "vm-3", "vm-4", "vm-5")
     assert vm.kernel.failure is None
 
 
@@ -236,11 +239,11 @@
     assert vm.kernel.failure is None
 
 
-def test_messages_to_an_unconnected_peer_share_one_task(group):
+def test_messages_to_an_unconnected_peer_share_one_task(cluster):
     # A VM that has just started sends messages about hundreds of endpoints to a
     # hundred peers before any connection is open. A task per message took 300 MB.
-    vms = [group.add(name) for name in ("a", "b", "c")]
-    group.wait("a", "b", "c")
+    vms = [cluster.add(name) for name in ("a", "b", "c")]
+    cluster.wait_for_members("a", "b", "c")
     sender = vms[0]
     received = []
     for vm in vms[1:]:
--- a/packages/mothworks/tests/test_slot_moves.py
+++ b/packages/mothworks/tests/test_slot_moves.py
@@ -7,7 +7,7 @@
 import result
 
 import builders
-import groups
+import clusters
 from mothworks import (
     catalogue,
     endpoints,
@@ -19,7 +19,7 @@
 from mothworks_fakes import processes
 
 PARTS = (
-    *groups.MEMBERSHIP,
+    *clusters.MEMBERSHIP_PARTS,
     placement.Placement,
     health.Health,
     slot_owner.SlotOwner,
@@ -29,21 +29,21 @@
 
 
 class Endpoint(endpoints.Adapter):
-    """Reports an endpoint with one model; the group sets whether it drains."""
+    """Reports an endpoint with one model; the cluster sets whether it drains."""
 
-    def __init__(self, group):
-        self.group = group
+    def __init__(self, cluster):
+        self.cluster = cluster
 
     def report(self, endpoint):
         return result.Ok(
             endpoints.Report(
                 (endpoints.Resident("menu", "1", 16_000),),
-                draining=endpoint.name in self.group.draining,
+                draining=endpoint.name in self.cluster.draining,
             )
         )
 
 
-class Group(groups.Group):
+class Cluster(clusters.Cluster):
     """VMs that share two endpoints of :data:`SLOTS` slots each."""
 
     def __init__(self):
@@ -98,12 +98,12 @@
 
 
 @pytest.fixture
-def group():
-    made = Group()
+def cluster():
+    made = Cluster()
     names = [f"vm-{number}" for number in range(1, 5)]
     for name in names:
         made.add(name)
-    made.wait(*names)
+    made.wait_for_members(*names)
     processes.wait_until(
         lambda: all(
             not vm.placement.closed_reason(endpoint.name)
@@ -115,142 +115,142 @@
     made.stop()
 
 
-def wait_for_queue(group, endpoint, number):
-    processes.wait_until(lambda: len(group.batch(endpoint).queue) == number)
+def wait_for_queue(cluster, endpoint, number):
+    processes.wait_until(lambda: len(cluster.batch(endpoint).queue) == number)
 
 
-def test_a_released_slot_is_granted_to_the_next_request(group):
-    endpoint = group.endpoints[0]
-    entry = group.entry(endpoint)
-    grants = group.fill(entry, endpoint)
-    queued = group.acquire(entry, endpoint)
-    wait_for_queue(group, endpoint, 1)
+def test_a_released_slot_is_granted_to_the_next_request(cluster):
+    endpoint = cluster.endpoints[0]
+    entry = cluster.entry(endpoint)
+    grants = cluster.fill(entry, endpoint)
+    queued = cluster.acquire(entry, endpoint)
+    wait_for_queue(cluster, endpoint, 1)
     entry.slots.release(grants[0], slots.RequestEnd())
     assert queued.get(timeout=10).unwrap().endpoint == endpoint
-    assert group.batch(endpoint).running() == SLOTS
+    assert cluster.batch(endpoint).running() == SLOTS
 
 
-def test_a_request_queued_at_one_endpoint_gets_a_slot_of_the_second(group):
-    first, second = group.endpoints
-    entry = group.entry(first, second)
-    group.fill(entry, first)
-    grant = group.acquire(entry, first, second).get(timeout=10).unwrap()
+def test_a_request_queued_at_one_endpoint_gets_a_slot_of_the_second(cluster):
+    first, second = cluster.endpoints
+    entry = cluster.entry(first, second)
+    cluster.fill(entry, first)
+    grant = cluster.acquire(entry, first, second).get(timeout=10).unwrap()
     assert grant.endpoint == second
-    wait_for_queue(group, first, 0)
+    wait_for_queue(cluster, first, 0)
 
 
-def test_a_request_queued_at_two_endpoints_accepts_the_first_slot(group):
-    first, second = group.endpoints
-    entry = group.entry(first, second)
+def test_a_request_queued_at_two_endpoints_accepts_the_first_slot(cluster):
+    first, second = cluster.endpoints
+    entry = cluster.entry(first, second)
     grants_by_endpoint = {
-        item.name: group.fill(entry, item) for item in (first, second)
+        item.name: cluster.fill(entry, item) for item in (first, second)
     }
-    queued = group.acquire(entry, first, second)
-    wait_for_queue(group, first, 1)
-    wait_for_queue(group, second, 1)
+    queued = cluster.acquire(entry, first, second)
+    wait_for_queue(cluster, first, 1)
+    wait_for_queue(cluster, second, 1)
     entry.slots.release(grants_by_endpoint[second.name][0], slots.RequestEnd())
     assert queued.get(timeout=10).unwrap().endpoint == second
-    wait_for_queue(group, first, 0)
-    assert group.batch(first).running() == SLOTS
+    wait_for_queue(cluster, first, 0)
+    assert cluster.batch(first).running() == SLOTS
 
 
-def test_a_cancelled_request_leaves_the_queue(group):
-    endpoint = group.endpoints[0]
-    entry = group.entry(endpoint)
-    group.fill(entry, endpoint)
-    queued = group.acquire(entry, endpoint)
-    wait_for_queue(group, endpoint, 1)
+def test_a_cancelled_request_leaves_the_queue(cluster):
+    endpoint = cluster.endpoints[0]
+    entry = cluster.entry(endpoint)
+    cluster.fill(entry, endpoint)
+    queued = cluster.acquire(entry, endpoint)
+    wait_for_queue(cluster, endpoint, 1)
     queued.kill()
-    wait_for_queue(group, endpoint, 0)
+    wait_for_queue(cluster, endpoint, 0)
 
 
-def test_slots_of_a_dead_entry_are_released(group):
+def test_slots_of_a_dead_entry_are_released(cluster):
     """An entry that holds all slots of an endpoint dies without releasing them."""
-    endpoint = group.endpoints[0]
-    entry = group.entry(endpoint)
-    group.fill(entry, endpoint)
-    other = next(vm for vm in group.vm_by_name.values() if vm is not entry)
-    queued = group.acquire(other, endpoint)
-    group.vm_by_name.pop(entry.name).stop()
+    endpoint = cluster.endpoints[0]
+    entry = cluster.entry(endpoint)
+    cluster.fill(entry, endpoint)
+    other = next(vm for vm in cluster.vm_by_name.values() if vm is not entry)
+    queued = cluster.acquire(other, endpoint)
+    cluster.vm_by_name.pop(entry.name).stop()
     assert queued.get(timeout=10).is_ok()
 
 
-def test_a_lost_release_does_not_leak_its_slot(group):
+def test_a_lost_release_does_not_leak_its_slot(cluster):
     """Guards against a slot leak when a connection breaks.
 
     The release message is lost with its connection. The owner checks with the
     entry which long-held slots are in use, and releases those it does not know.
     """
-    endpoint = group.endpoints[0]
-    entry = group.entry(endpoint)
-    grants = group.fill(entry, endpoint)
+    endpoint = cluster.endpoints[0]
+    entry = cluster.entry(endpoint)
+    grants = cluster.fill(entry, endpoint)
     for grant in grants:
         entry.slots.reservation_by_number.pop(grant.number)
-    batch = group.batch(endpoint)
+    batch = cluster.batch(endpoint)
     for slot in batch.slot_by_key.values():
         slot.since -= slot_owner.CHECK_INTERVAL_S
-    group.vm_by_name[group.owner(endpoint)].slots.owner.check_slots()
+    cluster.vm_by_name[cluster.owner(endpoint)].slots.owner.check_slots()
     processes.wait_until(lambda: batch.running() == 0)
 
 
-def test_requests_of_a_dead_owner_move_to_the_new_owner(group):
+def test_requests_of_a_dead_owner_move_to_the_new_owner(cluster):
     """An owner dies while some requests run and others are queued.
 
     The queued ones get a slot from the new owner. It learns first which requests
     are running, so that it does not overfill the endpoint's batch.
     """
-    endpoint = group.endpoints[0]
-    entry = group.entry(endpoint)
-    grants = group.fill(entry, endpoint)
-    queued = group.acquire(entry, endpoint)
-    wait_for_queue(group, endpoint, 1)
-    former = group.owner(endpoint)
-    group.vm_by_name.pop(former).stop()
-    processes.wait_until(lambda: group.owner(endpoint) not in (None, former))
-    processes.wait_until(lambda: group.batch(endpoint).running() >= SLOTS)
+    endpoint = cluster.endpoints[0]
+    entry = cluster.entry(endpoint)
+    grants = cluster.fill(entry, endpoint)
+    queued = cluster.acquire(entry, endpoint)
+    wait_for_queue(cluster, endpoint, 1)
+    former = cluster.owner(endpoint)
+    cluster.vm_by_name.pop(former).stop()
+    processes.wait_until(lambda: cluster.owner(endpoint) not in (None, former))
+    processes.wait_until(lambda: cluster.batch(endpoint).running() >= SLOTS)
     for grant in grants:
         entry.slots.release(grant, slots.RequestEnd())
     assert queued.get(timeout=10).is_ok()
 
 
-def test_a_leaving_owner_hands_over_its_queue(group):
+def test_a_leaving_owner_hands_over_its_queue(cluster):
     """A VM shuts down gracefully while requests wait in its queue.
 
     None of them is refused; they queue at the new owner instead.
     """
-    endpoint = group.endpoints[0]
-    entry = group.entry(endpoint)
-    grants = group.fill(entry, endpoint)
-    queued = group.acquire(entry, endpoint)
-    wait_for_queue(group, endpoint, 1)
-    former = group.owner(endpoint)
-    leaver = group.vm_by_name[former]
+    endpoint = cluster.endpoints[0]
+    entry = cluster.entry(endpoint)
+    grants = cluster.fill(entry, endpoint)
+    queued = cluster.acquire(entry, endpoint)
+    wait_for_queue(cluster, endpoint, 1)
+    former = cluster.owner(endpoint)
+    leaver = cluster.vm_by_name[former]
     leaver.kernel.draining = True
     for notify in leaver.kernel.on_draining:
         notify()
-    processes.wait_until(lambda: group.owner(endpoint) not in (None, former))
-    wait_for_queue(group, endpoint, 1)
-    assert group.batch(endpoint).running() == SLOTS
+    processes.wait_until(lambda: cluster.owner(endpoint) not in (None, former))
+    wait_for_queue(cluster, endpoint, 1)
+    assert cluster.batch(endpoint).running() == SLOTS
     entry.slots.release(grants[0], slots.RequestEnd())
     assert queued.get(timeout=10).is_ok()
 
 
-def test_an_entry_without_an_owner_limits_itself(group):
+def test_an_entry_without_an_owner_limits_itself(cluster):
     """An entry loses its link to an owner that other VMs still reach.
 
     It continues to send as many requests as its share of the batch allows, and
     queues the rest.
     """
-    endpoint = group.endpoints[0]
-    entry = group.entry(endpoint)
-    owner = group.owner(endpoint)
+    endpoint = cluster.endpoints[0]
+    entry = cluster.entry(endpoint)
+    owner = cluster.owner(endpoint)
     entry.peers.connect = refuse
-    group.vm_by_name[owner].peers.connect = refuse
+    cluster.vm_by_name[owner].peers.connect = refuse
     entry.peers.link_by_vm[owner].close() if owner in entry.peers.link_by_vm else None
     processes.wait_until(lambda: owner not in entry.peers.link_by_vm)
-    first = group.acquire(entry, endpoint).get(timeout=10).unwrap()
+    first = cluster.acquire(entry, endpoint).get(timeout=10).unwrap()
     assert first.owner == ""
-    second = group.acquire(entry, endpoint)
+    second = cluster.acquire(entry, endpoint)
     fallback = entry.slots.owner.fallback_by_endpoint[endpoint.name]
     processes.wait_until(lambda: len(fallback.queue) == 1)
     entry.slots.release(first, slots.RequestEnd())
@@ -261,52 +261,52 @@
     raise ConnectionRefusedError
 
 
-def test_a_paused_owner_does_not_block_requests(group):
+def test_a_paused_owner_does_not_block_requests(cluster):
     """A paused owner keeps its connections but does not reply.
 
     A request must not wait for it until its deadline.
     """
-    endpoint = group.endpoints[0]
-    entry = group.entry(endpoint)
-    owner = group.vm_by_name[group.owner(endpoint)]
+    endpoint = cluster.endpoints[0]
+    entry = cluster.entry(endpoint)
+    owner = cluster.vm_by_name[cluster.owner(endpoint)]
     owner.peers.handler_by_class.clear()
-    assert group.acquire(entry, endpoint).get(timeout=10).unwrap().owner == ""
+    assert cluster.acquire(entry, endpoint).get(timeout=10).unwrap().owner == ""
 
 
-def test_a_draining_endpoint_is_not_granted_to_queued_requests(group):
+def test_a_draining_endpoint_is_not_granted_to_queued_requests(cluster):
     """An endpoint starts to drain while requests are queued for it.
 
     They are refused as not run, or go to another endpoint; a slot that becomes
     free is not granted any more.
     """
-    first, second = group.endpoints
-    entry = group.entry(first, second)
-    grants = group.fill(entry, first)
-    only_here = group.acquire(entry, first)
-    wait_for_queue(group, first, 1)
-    group.draining.add(first.name)
+    first, second = cluster.endpoints
+    entry = cluster.entry(first, second)
+    grants = cluster.fill(entry, first)
+    only_here = cluster.acquire(entry, first)
+    wait_for_queue(cluster, first, 1)
+    cluster.draining.add(first.name)
     refusal = only_here.get(timeout=10).unwrap_err()
     assert refusal.ran == "no"
     entry.slots.release(grants[0], slots.RequestEnd())
-    again = group.acquire(entry, first, second).get(timeout=10).unwrap()
+    again = cluster.acquire(entry, first, second).get(timeout=10).unwrap()
     assert again.endpoint == second
 
 
-def test_the_count_stays_exact_after_a_broken_link(group):
+def test_the_count_stays_exact_after_a_broken_link(cluster):
     """The connection between entry and owner breaks and is restored.
 
     Running requests are still counted once, and later releases reduce the count.
     """
-    endpoint = group.endpoints[0]
-    entry = group.entry(endpoint)
-    grants = group.fill(entry, endpoint)
-    owner = group.owner(endpoint)
+    endpoint = cluster.endpoints[0]
+    entry = cluster.entry(endpoint)
+    grants = cluster.fill(entry, endpoint)
+    owner = cluster.owner(endpoint)
     broken = entry.peers.link_by_vm[owner]
     broken.close()
     processes.wait_until(
         lambda: entry.peers.link_by_vm.get(owner) not in (None, broken)
     )
-    assert group.batch(endpoint).running() == SLOTS
+    assert cluster.batch(endpoint).running() == SLOTS
     for grant in grants:
         entry.slots.release(grant, slots.RequestEnd())
-    processes.wait_until(lambda: group.batch(endpoint).running() == 0)
+    processes.wait_until(lambda: cluster.batch(endpoint).running() == 0)
