--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -62,7 +62,7 @@
         self.decisions = node_kernel.get(decisions.Decisions)
         chosen = node_kernel.settings.routing
         self.policy: routing.Policy = plugins.find(plugins.ROUTING, chosen)()
-        self.retries = retries.RetryBudget()
+        self.retry_budget = retries.RetryBudget()
         self.metrics = path_metrics.PathMetrics(node_kernel.metrics)
         self.resumption = resumption.Resumption(self)
 
@@ -78,7 +78,7 @@
             work that may run only once is sent, so that it is not interrupted.
         :returns: the running request, which must be closed; or the refusal.
         """
-        self.retries.add_request()
+        self.retry_budget.add_request()
         self.demand.count_arrival(request.target)
         trace = self.decisions.open(request)
         claim = self.claims.new_claim(request)
@@ -349,4 +349,4 @@
         :param request: the request.
         :returns: whether the request may be sent again.
         """
-        return time.monotonic() < request.deadline and self.retries.acquire()
+        return time.monotonic() < request.deadline and self.retry_budget.acquire()
--- a/packages/mothworks/src/mothworks/packing.py
+++ b/packages/mothworks/src/mothworks/packing.py
@@ -42,7 +42,7 @@
         self.random = random.Random(0)
 
     def plan(self, planned: fleet.Fleet, loads: int) -> list[move_messages.Move]:
-        """Return the moves to start now; see :meth:`Policy.plan`."""
+        """Return the moves to start now; see :meth:`placement_policy.Policy.plan`."""
         pass_moves = placement_policy.PassMoves(planned, loads)
         all_resident = self._load_missing_models(pass_moves)
         self._add_declared_replicas(pass_moves)
--- a/packages/mothworks/tests/test_answers.py
+++ b/packages/mothworks/tests/test_answers.py
@@ -130,7 +130,7 @@
     # would be sent three times while capacity is already short.
     engines = [streaming_engine(BREAK) for _ in range(3)]
     node = serve(*engines)
-    node.get_part(dispatch.Dispatch).retries.available = 2.0
+    node.get_part(dispatch.Dispatch).retry_budget.available = 2.0
     requests = 5
     for number in range(requests):
         # A repeated request would be quarantined and refused as not run.
