--- a/packages/mothworks/src/mothworks/configuration_parts.py
+++ b/packages/mothworks/src/mothworks/configuration_parts.py
@@ -63,7 +63,7 @@
     :param declared: a checked catalogue.
     """
     parts = []
-    for section, plain in documents.plain(declared).items():
+    for section, plain in documents.to_plain(declared).items():
         items = getattr(declared, section)
         if isinstance(plain, dict):
             parts.append(_make_part(section, [plain], (items,)))
@@ -86,7 +86,7 @@
     """
     source = KEY_PREFIX + name
     try:
-        body = zlib.decompressobj().decompress(packed, objects.MOST_BYTES)
+        body = zlib.decompressobj().decompress(packed, objects.MAX_VALUE_BYTES)
     except zlib.error as error:
         return result.Err(documents.DocumentError(source, (str(error),)))
     if xxhash.xxh3_128_hexdigest(body) != name:
--- a/packages/mothworks/src/mothworks/deferred.py
+++ b/packages/mothworks/src/mothworks/deferred.py
@@ -116,7 +116,9 @@
         if len(body) > deferred_records.MAX_BODY_BYTES:
             return result.Err(_too_long())
         key = deferred_records.key(deferred_records.OPEN_PREFIX, work.id)
-        match objects.put_known(self.api, key, body, None, work.nonce, STORE_TIMEOUT_S):
+        match objects.put_and_confirm(
+            self.api, key, body, None, work.nonce, STORE_TIMEOUT_S
+        ):
             case result.Ok(_):
                 self.tasks.spawn(self._notify_owner, work.id)
                 return result.Ok(work.id)
@@ -287,7 +289,7 @@
                     self.api.delete(key, version)
 
     def _serve_stored(
-        self, _: str, stored: deferred_messages.WorkStored, reply: peers.Answer
+        self, _: str, stored: deferred_messages.WorkStored, reply: peers.Reply
     ) -> None:
         self._schedule(stored.id)
         reply(
@@ -297,7 +299,7 @@
         )
 
     def _serve_running(
-        self, _: str, request: deferred_messages.WorkStateRequest, reply: peers.Answer
+        self, _: str, request: deferred_messages.WorkStateRequest, reply: peers.Reply
     ) -> None:
         reply(deferred_messages.WorkStateReply(request.id in self.running))
 
--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -62,12 +62,14 @@
         self.decisions = node_kernel.get(decisions.Decisions)
         chosen = node_kernel.settings.routing
         self.policy: routing.Policy = plugins.find(plugins.ROUTING, chosen)()
-        self.retries = retries.Budget()
+        self.retry_budget = retries.RetryBudget()
         self.metrics = path_metrics.PathMetrics(node_kernel.metrics)
         self.resumption = resumption.Resumption(self)
 
     def begin(
-        self, request: requests.Request, watch: caller_watch.Watch | None = None
+        self,
+        request: requests.Request,
+        watch: caller_watch.DisconnectWatch | None = None,
     ) -> result.Result[answer_recording.RunningRequest, outcomes.Refusal]:
         """Send a request and wait for the first bytes of its response.
 
@@ -76,7 +78,7 @@
             work that may run only once is sent, so that it is not interrupted.
         :returns: the running request, which must be closed; or the refusal.
         """
-        self.retries.add_request()
+        self.retry_budget.add_request()
         self.demand.count_arrival(request.target)
         trace = self.decisions.open(request)
         claim = self.claims.new_claim(request)
@@ -101,7 +103,7 @@
         self,
         request: requests.Request,
         trace: decisions.Trace,
-        watch: caller_watch.Watch | None,
+        watch: caller_watch.DisconnectWatch | None,
         claim: claiming.Claim,
     ) -> result.Result[answer_recording.RunningRequest, outcomes.Refusal]:
         """Run a request with an idempotency key unless a copy runs or has run."""
@@ -133,7 +135,7 @@
         self,
         request: requests.Request,
         trace: decisions.Trace,
-        watch: caller_watch.Watch | None,
+        watch: caller_watch.DisconnectWatch | None,
         claim: claiming.Claim | None,
     ) -> result.Result[running_request.RunningRequest, outcomes.Refusal]:
         tried: set[str] = set()
@@ -204,7 +206,7 @@
         :param active_request: the request.
         """
         request = active_request.request
-        waited_s = active_request.progress.caller_first_token_at - request.arrived
+        waited_s = active_request.progress.caller_first_token_at - request.received_at
         self.metrics.observe_first_token(request.caller.urgency, waited_s)
         self.attainment.count_answer(
             request, active_request.outcome, active_request.progress
@@ -251,7 +253,7 @@
         self,
         request: requests.Request,
         candidates: list[catalogue.Endpoint],
-        watch: caller_watch.Watch | None,
+        watch: caller_watch.DisconnectWatch | None,
         claim: claiming.Claim | None,
     ) -> result.Result[running_request.RunningRequest, failed_attempts.FailedAttempt]:
         acquired = self.suspects.check(request).and_then(
@@ -314,7 +316,7 @@
             answer.close()
             return result.Err(
                 failed_attempts.from_send_failure(
-                    endpoints.SendFailure(str(error), sent=True)
+                    endpoints.SendFailure(str(error), may_have_arrived=True)
                 )
             )
         except BaseException:
@@ -347,4 +349,4 @@
         :param request: the request.
         :returns: whether the request may be sent again.
         """
-        return time.monotonic() < request.deadline and self.retries.take()
+        return time.monotonic() < request.deadline and self.retry_budget.acquire()
--- a/packages/mothworks/src/mothworks/exchange.py
+++ b/packages/mothworks/src/mothworks/membership_sync.py
@@ -59,7 +59,7 @@
 
 
 @plugins.register(plugins.PART, "exchange")
-class Exchange(kernel.Part):
+class MembershipSync(kernel.Part):
     """Synchronises the membership table with one VM at a time.
 
     :param node_kernel: the node's kernel.
@@ -80,7 +80,7 @@
         self.tasks.spawn(self._poll_vm_list)
         self.tasks.every(SYNC_INTERVAL_S, self.sync_random_peer)
         self.tasks.every(RECONNECT_INTERVAL_S, self.reconnect)
-        self.tasks.every(BRIDGE_INTERVAL_S, self.link_regions)
+        self.tasks.every(BRIDGE_INTERVAL_S, self.bridge_regions)
 
     def refresh_vm_list(self) -> None:
         """Read the platform's list and synchronise with VMs on it that are not live.
@@ -103,7 +103,7 @@
 
     def sync_random_peer(self) -> None:
         """Synchronise with a random VM of the region to recover lost updates."""
-        self._sync_with_some(self.membership.near(), 1)
+        self._sync_with_some(self.membership.region_peers(), 1)
 
     def reconnect(self) -> None:
         """Synchronise with a random dead VM, in case it is reachable again.
@@ -113,13 +113,13 @@
         """
         self._sync_with_some(self.table.dead(), 1)
 
-    def link_regions(self) -> None:
+    def bridge_regions(self) -> None:
         """Synchronise with a random VM of each other region if this is a bridge VM.
 
         Only a few VMs are. The updates that they receive are gossiped in their
         region. VMs of an unreachable region keep their last known state.
         """
-        for member in self.membership.far():
+        for member in self.membership.bridge_peers():
             self.sync_with(member.name)
 
     def broadcast_own_row(self) -> None:
@@ -128,7 +128,7 @@
         Gossip takes several rounds to reach all of them. Until then they would
         send slot requests to a VM that is shutting down.
         """
-        self.peers.send_all(MembersTable((self.table.own.row(),)))
+        self.peers.send_to_region(MembersTable((self.table.own.row(),)))
 
     def sync_with(self, vm: str) -> bool:
         """Synchronise the tables of this VM and another.
@@ -159,11 +159,11 @@
             self.sync_with(member.name)
 
     def _serve_digest(
-        self, _: str, request: MembersDigest, send_reply: peers.Answer
+        self, _: str, request: MembersDigest, send_reply: peers.Reply
     ) -> None:
         same = request.digest == self.table.digest()
         send_reply(MembersTable(() if same else self.table.rows()))
 
-    def _serve_table(self, _: str, table: MembersTable, __: peers.Answer) -> None:
+    def _serve_table(self, _: str, table: MembersTable, __: peers.Reply) -> None:
         for row in table.rows:
             self.table.merge(row)
--- a/packages/mothworks/src/mothworks/objects_http.py
+++ b/packages/mothworks/src/mothworks/objects_http.py
@@ -114,7 +114,7 @@
                 pass
             case error:
                 return error
-        match transport.whole(answer):
+        match transport.read_body(answer):
             case result.Ok(received):
                 pass
             case result.Err(reason):
@@ -146,7 +146,7 @@
         match self._exchange(self.transport, method, _path(key), (condition,), body):
             case result.Ok(reply):
                 pass
-            case result.Err(failure) if failure.sent:
+            case result.Err(failure) if failure.may_have_arrived:
                 return result.Err(objects.Unknown(failure.reason))
             case result.Err(failure):
                 return result.Err(objects.Unavailable(failure.reason))
--- a/packages/mothworks/src/mothworks/placement_repair.py
+++ b/packages/mothworks/src/mothworks/placement_repair.py
@@ -16,7 +16,7 @@
 #: Interval between comparisons with a random VM of the region, seconds.
 REPAIR_INTERVAL_S = 2.0
 #: Interval between comparisons of a linking VM with other regions, seconds.
-LINK_INTERVAL_S = 5.0
+BRIDGE_INTERVAL_S = 5.0
 #: Timeout for a reply, seconds.
 REPLY_TIMEOUT_S = 2.0
 
@@ -91,19 +91,19 @@
     def start(self) -> None:
         """Start the periodic comparisons."""
         self.tasks.every(REPAIR_INTERVAL_S, self.repair)
-        self.tasks.every(LINK_INTERVAL_S, self.link_regions)
+        self.tasks.every(BRIDGE_INTERVAL_S, self.bridge_regions)
 
     def repair(self) -> None:
         """Compare with a random VM of the region."""
-        near = self.membership.near()
+        near = self.membership.region_peers()
         if near:
             self.compare(random.choice(near).name)
 
-    def link_regions(self) -> None:
+    def bridge_regions(self) -> None:
         """Compare with other regions, if this VM links them, and relay updates."""
-        for member in self.membership.far():
+        for member in self.membership.bridge_peers():
             for status in self.compare(member.name):
-                self.peers.send_all(status)
+                self.peers.send_to_region(status)
 
     def compare(self, vm: str) -> list[placement.EndpointStatus]:
         """Update this VM's map and another VM's from each other.
@@ -125,7 +125,7 @@
 
     def _repair_after_join(self) -> None:
         """Fetch the map as soon as the region has another VM."""
-        if not self.joined and self.membership.near():
+        if not self.joined and self.membership.region_peers():
             self.joined = True
             self.tasks.spawn(self.repair)
 
@@ -154,7 +154,7 @@
             if status is not None:
                 self.peers.send(vm, status)
 
-    def _serve_digest(self, _: str, request: MapDigest, respond: peers.Answer) -> None:
+    def _serve_digest(self, _: str, request: MapDigest, respond: peers.Reply) -> None:
         digest = self.placement.digest
         respond(
             MapHashes(
@@ -163,7 +163,7 @@
         )
 
     def _serve_versions(
-        self, _: str, request: MapVersions, respond: peers.Answer
+        self, _: str, request: MapVersions, respond: peers.Reply
     ) -> None:
         pairs = zip(request.endpoints, request.sequences, strict=False)
         sequence_by_endpoint = dict(pairs)
--- a/packages/mothworks/src/mothworks/vllm.py
+++ b/packages/mothworks/src/mothworks/vllm.py
@@ -24,8 +24,8 @@
 class Vllm(endpoints.Adapter):
     """Implements the protocol of vLLM-style engines."""
 
-    resumes = True
-    preempts = True
+    can_resume = True
+    can_preempt = True
 
     def __init__(self):
         self.transport = transport.Transport()
@@ -43,7 +43,7 @@
             request.path,
             headers,
             _with_priority(request) if endpoint.priorities else request.body,
-            transport.Sending(fresh=not request.repeatable),
+            transport.SendOptions(new_connection=not request.repeatable),
         )
         return response.and_then(_check_refusal).and_then(
             lambda answer: _check_resumption(answer, offset)
@@ -107,13 +107,15 @@
         return result.Ok(answer)
     answer.close()
     reason = "the endpoint did not resume the stream"
-    return result.Err(endpoints.SendFailure(reason, sent=True, refused=True))
+    return result.Err(
+        endpoints.SendFailure(reason, may_have_arrived=True, refused=True)
+    )
 
 
 def _parse_report(answer: transport.HttpAnswer) -> result.Result[endpoints.Report, str]:
     try:
         body = b"".join(answer.chunks())
-    except transport.FAILURES as error:
+    except transport.CONNECTION_ERRORS as error:
         return result.Err(str(error))
     if answer.status != 200:
         return result.Err(f"status {answer.status}")
@@ -144,7 +146,7 @@
 ) -> result.Result[None, endpoints.OrderFailure]:
     try:
         body = b"".join(answer.chunks())
-    except transport.FAILURES as error:
+    except transport.CONNECTION_ERRORS as error:
         return result.Err(endpoints.OrderUnknown(str(error)))
     if answer.status != 200:
         return result.Err(endpoints.OrderUnknown(f"status {answer.status}"))
--- a/packages/mothworks/tests/order_execution_world.py
+++ b/packages/mothworks/tests/order_execution_world.py
@@ -9,7 +9,7 @@
 import result
 
 import builders
-import stored
+import memory_objects
 from mothworks import endpoints, ledger, ledger_store, order_execution
 from mothworks_fakes import engine_memory
 
@@ -75,14 +75,14 @@
     def __init__(self, fencing):
         self.now = 1000.0
         self.engine = engine_memory.EngineMemory(CAPACITY_MB, fencing)
-        self.api = stored.MemoryApi()
+        self.api = memory_objects.MemoryApi()
         self.copies = []
         self.adapter = Adapter(self)
         self.endpoint = builders.endpoint(memory_mb=CAPACITY_MB, fencing=fencing)
 
     def new_owner(self):
         clock = order_execution.Clock(lambda: self.now, lambda: self.now)
-        store = ledger_store.LedgerStore(self.api, patience_s=0.0)
+        store = ledger_store.LedgerStore(self.api, confirm_timeout_s=0.0)
         return order_execution.OrderExecutor(
             self.endpoint, store, self.adapter, LATE_ORDER_S, clock
         )
--- a/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/attempts.py
@@ -81,7 +81,7 @@
         self.poison_requests = node_kernel.get(poison_requests.PoisonRequests)
         self.prefill_speed = node_kernel.get(prefill_speed.PrefillSpeed)
         self.residency = node_kernel.get(residency.Residency)
-        self.head_seconds = node_kernel.metrics.seconds(
+        self.head_seconds = node_kernel.metrics.duration_histogram(
             "head_seconds", "Time from a request's arrival to its answer's head."
         )
 
@@ -204,7 +204,7 @@
                 self.running_requests.record_late(request.target)
             body = stream_relay.StreamRelay(self, request, endpoint, answer)
             return self._reply(request, answer, body)
-        whole_body = transport.whole(answer)
+        whole_body = transport.read_body(answer)
         if whole_body.is_err():
             self._handle_broken_answer(
                 request, endpoint, progress, whole_body.err_value
@@ -246,7 +246,7 @@
         failure: endpoints.SendFailure,
     ) -> None:
         progress.reason = failure.reason[:80]
-        if not failure.sent:
+        if not failure.may_have_arrived:
             # Nothing was sent, so the endpoint does not count as tried.
             progress.tried.discard(endpoint.id)
             self.health.record_failure(endpoint, failure.reason, consecutive_failures=2)
--- a/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
@@ -164,7 +164,7 @@
         """
         candidates = self.owners.candidates()
         watchers = list(self.watching.election.healthy_watchers(time.monotonic()))
-        few_vms = collectors.is_full_mesh(self.membership.near())
+        few_vms = collectors.is_full_mesh(self.membership.region_peers())
         if few_vms or self.name in candidates:
             return watchers or [vm for vm in candidates if vm != self.name]
         return candidates
@@ -173,7 +173,7 @@
         self.source, self.avoided_vm = "", vm
         if not vm:
             return
-        if not self.peers.linked(vm):
+        if not self.peers.is_connected(vm):
             self.peers.open(vm)
             return
         sent_at = boot_clock.now()
@@ -193,9 +193,7 @@
             self.peer_as_of = as_of
             self.source, self.avoided_vm = vm, ""
 
-    def _serve_request(
-        self, _: str, __: FreshnessRequest, answer: peers.Answer
-    ) -> None:
+    def _serve_request(self, _: str, __: FreshnessRequest, answer: peers.Reply) -> None:
         answer(FreshnessReply(self.declarations.version, self.age_s()))
 
     def _log_change(self) -> None:
