--- a/packages/mothworks/src/mothworks/fleet.py
+++ b/packages/mothworks/src/mothworks/fleet.py
@@ -22,7 +22,7 @@
     :param version: the required version.
     :param memory_mb: its weights and its working memory, MB.
     :param adapter_reserve_mb: memory that its load leaves free for its adapters, MB.
-    :param replicas: least number of replicas.
+    :param replicas: minimum number of replicas.
     :param base: the model that an adapter belongs to; empty for a model.
     """
 
@@ -185,6 +185,8 @@
     def set_demand(self, name: str, batch_slots: float, service_s: float) -> None:
         """Set the current demand for a model or adapter.
 
+        A change of at most 2 % does not redistribute the demand.
+
         :param name: the model or adapter.
         :param batch_slots: batch slots that the demand uses.
         :param service_s: mean time that a request holds a batch slot, seconds.
--- a/packages/mothworks/src/mothworks/orders.py
+++ b/packages/mothworks/src/mothworks/orders.py
@@ -2,7 +2,7 @@
 
 One task per owned endpoint executes moves step by step; see
 :mod:`mothworks.order_execution`. The planner sends the moves and receives reports of
-    the endpoints' ledgers as :class:`move_messages.Holdings`.
+the endpoints' ledgers as :class:`move_messages.Holdings`.
 """
 
 import gevent
--- a/packages/mothworks/src/mothworks/packing.py
+++ b/packages/mothworks/src/mothworks/packing.py
@@ -22,7 +22,7 @@
 
 #: Endpoints sampled for one load in a large fleet.
 MAX_CANDIDATES = 64
-#: Replicas of a model that hold its adapters even without demand for them.
+#: Replicas of a model that have each of its adapters even without demand for it.
 MIN_ADAPTER_REPLICAS = 2
 #: Demand above which a model gets replicas in free memory, batch slots.
 MIN_DEMAND_SLOTS = 0.05
@@ -65,7 +65,8 @@
             for item in pass_moves.fleet.demand_by_name.values()
             if not item.share_by_view and not item.spec.base
         ]
-        # Among them, large models first: fewest endpoints have enough memory.
+        # Within each group, large models first: the fewest endpoints have enough
+        # memory for them.
         missing.sort(
             key=lambda item: (item.batch_slots > 0, item.spec.required_mb), reverse=True
         )
@@ -299,7 +300,8 @@
                 )
         if candidates:
             return max(
-                candidates, key=lambda option: (option.gain, -len(option.victims))
+                candidates,
+                key=lambda candidate: (candidate.gain, -len(candidate.victims)),
             )
         self._copy_to_free_memory(pass_moves, item)
         return None
@@ -375,4 +377,6 @@
 def _max_free_mb(planned: fleet.Fleet) -> int:
     """Return the largest free memory of an endpoint that can load now, MB."""
     views = planned.view_by_name.values()
-    return max((s.free_mb for s in views if s.open and not s.loading), default=0)
+    return max(
+        (view.free_mb for view in views if view.open and not view.loading), default=0
+    )
--- a/packages/mothworks/src/mothworks/region_plan.py
+++ b/packages/mothworks/src/mothworks/region_plan.py
@@ -153,7 +153,7 @@
         """Return the moves to send to owners now.
 
         :param now: monotonic time, seconds.
-        :param averages: the region's demand.
+        :param demand_averages: the region's demand.
         :param open_endpoints: endpoints that accept new work.
         """
         elapsed_s = max(1e-3, now - self.planned_at)
