--- a/packages/mothworks/src/mothworks/demand.py
+++ b/packages/mothworks/src/mothworks/demand.py
@@ -167,14 +167,14 @@
     def count_arrival(self, name: str) -> None:
         """Count a request's arrival.
 
-        :param name: the model or adapter that it asks for.
+        :param name: the model or adapter that it requests.
         """
         self._count(name).arrivals += 1
 
     def count_end(self, name: str, sent_at: float) -> None:
         """Count a request that held a batch slot and ended.
 
-        :param name: the model or adapter that it asked for.
+        :param name: the model or adapter that it requested.
         :param sent_at: monotonic time at which it was sent, seconds.
         """
         count = self._count(name)
--- a/packages/mothworks/src/mothworks/endpoint_task.py
+++ b/packages/mothworks/src/mothworks/endpoint_task.py
@@ -60,7 +60,7 @@
         self.queue: collections.deque[move_messages.Move] = collections.deque()
         self.wakeup = gevent.event.Event()
         self.reconciled_at = float("-inf")
-        #: Id of the unload order whose model was drained last.
+        #: ID of the unload order whose model was drained last.
         self.drained_order_id = ""
         self.last_report: move_messages.Holdings | None = None
 
--- a/packages/mothworks/src/mothworks/ledger.py
+++ b/packages/mothworks/src/mothworks/ledger.py
@@ -54,7 +54,7 @@
 class Intent:
     """An order that was sent or is about to be sent.
 
-    :param id: the order's id.
+    :param id: the order's ID.
     :param kind: the kind of order.
     :param holding: what it loads or unloads; for a role, its name is the role.
     :param fence: the order's fencing number.
@@ -189,7 +189,7 @@
     :param ledger: the ledger as last read.
     :param kind: the kind of order.
     :param holding: what to load or unload.
-    :param order_id: the new order's id.
+    :param order_id: the new order's ID.
     :param capacity_mb: the endpoint's memory, MB.
     """
     if ledger.intent is not None:
@@ -261,7 +261,7 @@
     late_s: float,
     requested_at: float,
 ) -> Ledger:
-    """Return the ledger corrected by the endpoint's own report.
+    """Return the ledger corrected from the endpoint's own report.
 
     The report must be requested after the ledger was read, and the ledger must
     have no intent. A successful conditional write then proves that no order
--- a/packages/mothworks/src/mothworks/order_execution.py
+++ b/packages/mothworks/src/mothworks/order_execution.py
@@ -135,7 +135,7 @@
     def reconcile(
         self, working_mb_by_name: dict[str, int]
     ) -> result.Result[None, ledger_store.StoreError | str]:
-        """Correct the ledger by the endpoint's own report.
+        """Correct the ledger from the endpoint's own report.
 
         :param working_mb_by_name: memory that models need besides their weights, MB.
         """
--- a/packages/mothworks/src/mothworks/vllm.py
+++ b/packages/mothworks/src/mothworks/vllm.py
@@ -1,7 +1,8 @@
 """Endpoint plug-in ``vllm``: engines with vLLM's HTTP interface.
 
 Requests use ``/v1/chat/completions`` and ``/v1/completions``. Reports of
-residents and load, and orders, use the agent's ``/state`` and ``/orders``.
+residents and load, and orders, use ``/state`` and ``/orders`` of the engine's
+agent, at the same address and port.
 """
 
 import attrs
