--- a/packages/mothworks/src/mothworks/attainment_rows.py
+++ b/packages/mothworks/src/mothworks/attainment_rows.py
@@ -15,7 +15,7 @@
     """Return one row for each class and one for all classes.
 
     :param counts: the counts of all VMs.
-    :param accelerators: accelerators of the endpoints that take work.
+    :param accelerators: accelerators of the endpoints that accept new work.
     """
     counts_by_urgency: dict[str, collections.Counter[str]] = {
         name: collections.Counter() for name in (*catalogue.Urgency, ALL_CLASSES)
--- a/packages/mothworks/src/mothworks/audit.py
+++ b/packages/mothworks/src/mothworks/audit.py
@@ -32,18 +32,19 @@
 #: Size at which a new object is started, bytes. It is far below the platform's
 #: limit of 1 MB, because every batch rewrites the whole object.
 ROTATION_BYTES = 64 << 10
-#: Most entries buffered for writing; further ones are dropped and counted.
+#: Maximum number of entries buffered for writing; further ones are dropped and
+#: counted.
 MAX_BUFFERED_ENTRIES = 2000
-#: Shortest time between the writes of one VM, seconds.
+#: Minimum interval between the writes of one VM, seconds.
 MIN_WRITE_INTERVAL_S = 1.0
-#: Limit on the rate of writes to the object API by the trails of all VMs,
-#: writes/s.
+#: Maximum rate at which the trails of all VMs together write to the object
+#: API, writes/s.
 MAX_WRITES_PER_S = 50.0
 #: Text of the last entry of a VM that shut down gracefully.
 CLOSED = "closed"
-#: Most bytes quoted of a line that can't be parsed.
+#: Maximum number of bytes quoted of a line that can't be parsed.
 MAX_EXCERPT_BYTES = 200
-#: Longest time that a graceful shutdown spends on the last write, seconds.
+#: Maximum time that a graceful shutdown spends on the last write, seconds.
 MAX_CLOSING_S = 5.0
 
 
@@ -68,11 +69,11 @@
     :param vm: the VM that recorded it.
     :param number: number of the entry since the VM's start, from 1.
     :param kind: the kind of change.
-    :param who: the operator, or the VM where it decided by itself.
+    :param who: the operator, or the VM if it decided by itself.
     :param subject: the model, endpoint, caller or request concerned.
     :param what: what was done.
     :param why: the reason.
-    :param before: revision or fencing number before the change; None where
+    :param before: revision or fencing number before the change; None if
         none applies.
     :param after: revision or fencing number after the change.
     """
@@ -149,7 +150,7 @@
         :param subject: the model, endpoint, caller or request concerned.
         :param what: what was done.
         :param why: the reason, with the figures behind the decision.
-        :param who: the operator; empty where this VM decided by itself.
+        :param who: the operator; empty if this VM decided by itself.
         :param before: revision or fencing number before the change.
         :param after: revision or fencing number after the change.
         """
@@ -200,7 +201,7 @@
             gevent.sleep(self.write_interval_s())
 
     def _write_pending(self) -> bool:
-        """Write one batch, if any; returns False where the write failed."""
+        """Write one batch, if any; return False if the write failed."""
         # drain() may write at the same time as the writing task.
         with self.write_lock:
             return not self.pending or self._write_batch()
--- a/packages/mothworks/src/mothworks/audit_reading.py
+++ b/packages/mothworks/src/mothworks/audit_reading.py
@@ -14,9 +14,9 @@
 
 from mothworks import audit, objects
 
-#: Most concurrent reads.
+#: Maximum number of concurrent reads.
 MAX_PARALLEL_READS = 8
-#: Most objects read for one query, the newest first.
+#: Maximum number of objects read for one query, the newest first.
 MAX_OBJECTS = 400
 
 
--- a/packages/mothworks/src/mothworks/audit_retention.py
+++ b/packages/mothworks/src/mothworks/audit_retention.py
@@ -20,13 +20,13 @@
 
 log = logbook.Logger("audit")
 
-#: Seconds between passes.
+#: Interval between passes, seconds.
 PASS_INTERVAL_S = 3600.0
-#: Number of days before the oldest retained day whose objects a pass deletes.
-#: It covers times without any pass, of up to as many days.
+#: A pass deletes the objects of this many days before the oldest retained day,
+#: which covers up to as many days without a pass.
 LOOKBACK_DAYS = 14
-#: Most deletions per pass, so that they stay a small share of the object API's
-#: writes.
+#: Maximum number of deletions per pass, so that they stay a small share of the
+#: object API's writes.
 MAX_DELETIONS = 500
 SECONDS_PER_DAY = 86_400.0
 
--- a/packages/mothworks/src/mothworks/reason_rows.py
+++ b/packages/mothworks/src/mothworks/reason_rows.py
@@ -29,7 +29,7 @@
     :param state: running, or the outcome.
     :param age_ms: time since it arrived, milliseconds.
     :param deadline_ms: time left until the first-token target, milliseconds;
-        below 0 where the target has passed.
+        below 0 if the target has passed.
     """
 
     request: str
@@ -76,13 +76,13 @@
 
 @attrs.frozen
 class ReplicaRow:
-    """An endpoint that serves a model, and whether it takes work.
+    """An endpoint that serves a model, and whether it accepts new work.
 
     :param endpoint: the endpoint.
     :param data_centre: its data centre.
     :param owner: the VM that owns it.
-    :param takes_work: ``yes``, or why it takes no work.
-    :param running: requests in its batch; -1 where its owner did not respond.
+    :param takes_work: ``yes``, or why it accepts no new work.
+    :param running: requests in its batch; -1 if its owner did not respond.
     :param slots: current limit of requests in the batch.
     :param queued: requests queued for it.
     :param longest_ms: longest time in the queue so far, milliseconds.
--- a/packages/mothworks/src/mothworks/row_classes.py
+++ b/packages/mothworks/src/mothworks/row_classes.py
@@ -17,7 +17,7 @@
     :param version: the declared version of its weights.
     :param memory_mb: accelerator memory that it occupies, MB.
     :param replicas: number of endpoints that serve it.
-    :param open: number of these that take new work.
+    :param open: number of these that accept new work.
     :param endpoints: names of the endpoints that serve it.
     """
 
@@ -37,7 +37,7 @@
     :param endpoint: its name.
     :param kind: the plug-in that implements its protocol.
     :param data_centre: its data centre.
-    :param owner: the VM that owns it; empty where its region has none.
+    :param owner: the VM that owns it; empty if its region has none.
     :param state: open, draining, down or unknown.
     :param drain: whether an operator drained it.
     :param leaving: whether the platform lists its VM as leaving.
@@ -189,7 +189,7 @@
     :param refused: requests refused without having run.
     :param cancelled: requests whose caller disconnected.
     :param in_target: share of met among requests not cancelled, 0 to 1.
-    :param accelerators: accelerators of the endpoints that take work.
+    :param accelerators: accelerators of the endpoints that accept new work.
     :param met_a_minute: met requests per minute and accelerator.
     """
 
