--- a/packages/mothworks/src/mothworks/attainment.py
+++ b/packages/mothworks/src/mothworks/attainment.py
@@ -1,7 +1,7 @@
 """Attainment: counts ended requests by whether they met their latency targets.
 
 On the request path only counters are incremented; a task copies them to the
-metrics. Time buckets keep the last minute for ``show attainment``.
+metrics. Time buckets retain the last minute for ``show attainment``.
 """
 
 import collections
@@ -12,7 +12,7 @@
 
 #: Length of one time bucket, seconds.
 BUCKET_S = 10
-#: Number of buckets kept: those of the last minute and the current one.
+#: Number of buckets retained: those of the last minute and the current one.
 BUCKET_COUNT = 7
 #: Interval between updates of the metrics, seconds.
 METRICS_INTERVAL_S = 5.0
--- a/packages/mothworks/src/mothworks/dashboard.py
+++ b/packages/mothworks/src/mothworks/dashboard.py
@@ -32,7 +32,7 @@
     statements,
 )
 
-#: Most rows shown of one table; the others are counted below it.
+#: Maximum number of rows shown of one table; the others are counted below it.
 MAX_ROWS = 60
 #: Cell texts that are highlighted as alarms.
 ALARM_TEXTS = frozenset(("down", "unknown", "no"))
--- a/packages/mothworks/src/mothworks/decisions.py
+++ b/packages/mothworks/src/mothworks/decisions.py
@@ -12,9 +12,9 @@
 
 from mothworks import kernel, requests
 
-#: Most traces kept of ended requests.
+#: Maximum number of traces of ended requests that are stored.
 MAX_ENDED_TRACES = 512
-#: Most steps kept in one trace; later ones are dropped.
+#: Maximum number of steps in one trace; later ones are dropped.
 MAX_STEPS = 32
 
 
@@ -71,7 +71,7 @@
 
 
 class Decisions(kernel.Part):
-    """Keeps the traces of running and recently ended requests.
+    """Stores the traces of running and recently ended requests.
 
     :param node_kernel: the node's kernel.
     """
@@ -115,7 +115,7 @@
             self.recent.append(trace)
 
     def find(self, request_id: str) -> Trace | None:
-        """Return the newest trace of a request; None where none is kept.
+        """Return the newest trace of a request; None if none is stored.
 
         :param request_id: the request's ID.
         """
--- a/packages/mothworks/src/mothworks/node.py
+++ b/packages/mothworks/src/mothworks/node.py
@@ -27,7 +27,7 @@
         self.peers = self.kernel.get(peers.Peers)
         self.server = self.kernel.get(server.Server)
         # From here on the settings contain the ports that the operating system
-        # selected where they are 0.
+        # selected for those set to 0.
         self.kernel.settings = attrs.evolve(
             loaded_settings, port=self.server.port, peer_port=self.peers.port
         )
--- a/packages/mothworks/src/mothworks/openai_calls.py
+++ b/packages/mothworks/src/mothworks/openai_calls.py
@@ -20,7 +20,7 @@
 COMPLETION_PATHS = frozenset(("/v1/chat/completions", "/v1/completions"))
 #: Path prefix of the resource that describes one model.
 MODEL_PATH_PREFIX = "/v1/models/"
-#: Tokens that a request is assumed to generate where it sets no maximum.
+#: Tokens that a request is assumed to generate if it sets no maximum.
 DEFAULT_MAX_TOKENS = 256
 
 
@@ -30,7 +30,7 @@
 
     :param model: name of the requested model or adapter.
     :param stream: whether the response is streamed.
-    :param max_tokens: most tokens to generate.
+    :param max_tokens: maximum number of tokens to generate.
     :param resumable: whether every run generates the same tokens.
     """
 
@@ -159,7 +159,7 @@
 
 
 class _ErrorTerminatedStream:
-    """A stream that ends with an error event where the response is interrupted.
+    """A stream that ends with an error event if the response is interrupted.
 
     A stream that ends without ``[DONE]`` and without an error looks complete
     to a caller that does not check for ``[DONE]``.
--- a/packages/mothworks/src/mothworks/path_metrics.py
+++ b/packages/mothworks/src/mothworks/path_metrics.py
@@ -56,7 +56,7 @@
 
         :param urgency: the caller's urgency class.
         :param waited_s: time from arrival to the first bytes, seconds; below 0
-            where no bytes arrived, which is not recorded.
+            if no bytes arrived, which is not recorded.
         """
         if waited_s > 0:
             self.first_token_seconds.observe({"urgency": urgency.value}, waited_s)
--- a/packages/mothworks/src/mothworks/server.py
+++ b/packages/mothworks/src/mothworks/server.py
@@ -45,7 +45,7 @@
             node_settings.limits,
         )
         self.listener.init_socket()
-        #: The bound port; the operating system selects one where the setting is 0.
+        #: The bound port; the operating system selects one if the setting is 0.
         self.port = self.listener.socket.getsockname()[1]
         self.metrics = path_metrics.PathMetrics(node_kernel.metrics)
 
--- a/packages/mothworks/tests/test_decisions.py
+++ b/packages/mothworks/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Decision traces: bounded, and kept after a request's end."""
+"""Decision traces: bounded, and available after a request's end."""
 
 import pytest
 
