--- a/packages/mothworks/tests/test_ledger_machine.py
+++ b/packages/mothworks/tests/test_ledger_machine.py
@@ -14,12 +14,13 @@
     order_execution_world.holding("tickets", 60),
     order_execution_world.holding("status", 40),
 )
-#: Maximum transit time of a copy of an order; with a pause, within LATE_ORDER_S.
+#: Maximum transit time of a copy of an order. Together with the longest pause
+#: between a ledger read and a send, it stays below LATE_ORDER_S.
 MAX_TRANSIT_S = (
     order_execution_world.LATE_ORDER_S - order_execution.MAX_LEDGER_AGE_S - 1.0
 )
-
-SECONDS = (1.0, 4.0, 12.0, 31.0)
+#: Times by which one action advances the clock, seconds.
+TIME_ADVANCES_S = (1.0, 4.0, 12.0, 31.0)
 #: Possible actions; an action listed twice is twice as likely.
 ACTIONS = (
     *("move", "move", "swap", "swap", "swap"),
@@ -94,7 +95,7 @@
             case "deliver_copy" | "finish_load":
                 getattr(self, action)(number)
             case "advance_time":
-                self.advance_time(SECONDS[number % len(SECONDS)])
+                self.advance_time(TIME_ADVANCES_S[number % len(TIME_ADVANCES_S)])
             case "restart_engine" | "toggle_load_failure":
                 getattr(self, action)()
             case _:
@@ -199,9 +200,9 @@
         # On an endpoint that ignores fencing, the setting covers only limited
         # delays of copies and limited pauses between a ledger read and a send.
         self.world.copies = [
-            (order, sent)
-            for order, sent in self.world.copies
-            if self.world.now - sent <= MAX_TRANSIT_S
+            (order, sent_at)
+            for order, sent_at in self.world.copies
+            if self.world.now - sent_at <= MAX_TRANSIT_S
         ]
         for owner, executor in enumerate(self.executors):
             paused = (
--- a/packages/mothworks/tests/test_placement_trial.py
+++ b/packages/mothworks/tests/test_placement_trial.py
@@ -21,7 +21,7 @@
     assert run_trial(policy).overcommitted == 0
 
 
-def test_no_model_is_unreachable_when_a_data_centre_is_lost():
+def test_no_model_is_unreachable_and_a_repeated_trial_agrees():
     measured = run_trial("packing")
     assert measured.restore_s == []
     repeated = run_trial("packing")
