--- a/packages/mothctl/src/mothctl/language.py
+++ b/packages/mothctl/src/mothctl/language.py
@@ -152,16 +152,22 @@
 
 @attrs.frozen
 class _Reason:
+    """The clause ``because TEXT``."""
+
     text: str
 
 
 @attrs.frozen
 class _Base:
+    """The clause ``at revision N``: the revision that a change is based on."""
+
     revision: int
 
 
 @attrs.frozen
 class _Field:
+    """One field of an ``add`` statement, ``NAME = VALUE``."""
+
     name: str
     value: typing.Any
 
--- a/packages/mothctl/src/mothctl/request_trace.py
+++ b/packages/mothctl/src/mothctl/request_trace.py
@@ -34,7 +34,7 @@
 
     @property
     def request(self) -> str:
-        """Return the id of the request that the line is about, or an empty string."""
+        """Return the ID of the request that the line is about, or an empty string."""
         return self.fields.get("request") or ""
 
 
@@ -44,8 +44,8 @@
 
     :param messages: the messages.
     :param shared: the field that must be equal in both lines; empty for none.
-    :param before_s: longest time by which they precede the request's line, seconds.
-    :param after_s: longest time by which they follow the request's line, seconds.
+    :param before_s: maximum time by which they precede the request's line, seconds.
+    :param after_s: maximum time by which they follow the request's line, seconds.
     """
 
     messages: frozenset[str]
@@ -114,7 +114,7 @@
 class Trace:
     """A request's lines and those that may explain them, ordered by time.
 
-    :param request: the request's id.
+    :param request: the request's ID.
     :param own: the request's lines.
     :param around: the lines that may explain them.
     """
@@ -148,7 +148,7 @@
     """Collect the lines of a request and those that may explain them.
 
     :param lines: the lines of all VMs, ordered by time.
-    :param request: the request's id.
+    :param request: the request's ID.
     :returns: the trace, or an error message.
     """
     own = tuple(line for line in lines if line.request == request)
