--- a/packages/mothworks/tests/test_order_execution.py
+++ b/packages/mothworks/tests/test_order_execution.py
@@ -17,7 +17,7 @@
 MOVES = {
     "load": ((), ((LOAD, MENU),)),
     "unload": ((MENU,), ((UNLOAD, MENU),)),
-    "relocation": ((MENU,), ((UNLOAD, MENU), (LOAD, TICKETS))),
+    "swap": ((MENU,), ((UNLOAD, MENU), (LOAD, TICKETS))),
 }
 STEPS = ("intend", "send", "settle")
 FAULTS = (
