--- a/packages/mothworks/tests/test_dispatch.py
+++ b/packages/mothworks/tests/test_dispatch.py
@@ -27,7 +27,7 @@
 
 
 class NoTrace:
-    def add(self, *_):
+    def add_step(self, *_):
         pass
 
 
