--- a/packages/mothworks/src/mothworks/batches.py
+++ b/packages/mothworks/src/mothworks/batches.py
@@ -23,8 +23,8 @@
 MIN_RETRY_AFTER_MS = 200
 #: Time without grants after the endpoint refused a request, seconds.
 REFUSAL_PAUSE_S = 0.5
-#: Mean time until the next free slot above which slots are reserved for urgent
-#: work, seconds; a quarter of the default target for the first token.
+#: Mean time until the next free slot above which slots are reserved for work more
+#: urgent than bulk, seconds; a quarter of the default target for the first token.
 MAX_URGENT_WAIT_S = 0.4
 #: Time for which a new owner relies on the engine's own count, seconds.
 TAKEOVER_S = 5.0
@@ -73,6 +73,7 @@
         self.exclusive_queue = exclusive_queue.ExclusiveQueue()
         self.slot_by_key: dict[request_queue.Key, OccupiedSlot] = {}
         self.usage = slot_usage.Usage()
+        #: When the engine may last have preempted a request, monotonic seconds.
         self.preempted_at = 0.0
         self.paused_until = 0.0
         self.created = time.monotonic()
@@ -222,7 +223,7 @@
         reserved only if they become free too rarely.
         """
         now = time.monotonic()
-        peak = self.usage.update_peak(self._urgent_running(), now)
+        peak = self.usage.update_peak(self._non_bulk_running(), now)
         if self.preempts:
             needed = self.limit.value < self.limit.maximum
         else:
@@ -309,7 +310,7 @@
         if len(self.slot_by_key) > self.limit.maximum:
             self.preempted_at = now
         if request.rank < request_queue.BULK:
-            self.usage.update_peak(self._urgent_running(), now)
+            self.usage.update_peak(self._non_bulk_running(), now)
 
     def _refuse(self, queued: request_queue.QueuedRequest, reason: str) -> None:
         # The retry delay is the time by which the expected wait exceeds the
@@ -329,7 +330,7 @@
     def _expected_wait_s(self, rank: int, ahead: int) -> float:
         return (ahead + 1) * self._next_free_s(rank)
 
-    def _urgent_running(self) -> int:
+    def _non_bulk_running(self) -> int:
         return sum(
             slot.request.rank < request_queue.BULK for slot in self.slot_by_key.values()
         )
--- a/packages/mothworks/src/mothworks/concurrency_limit.py
+++ b/packages/mothworks/src/mothworks/concurrency_limit.py
@@ -46,12 +46,12 @@
         self.was_full = False
         self.adjusted_at = -math.inf
 
-    def value_for(self, urgent: bool) -> int:
+    def value_for(self, non_bulk: bool) -> int:
         """Return how many requests may run at once.
 
-        :param urgent: whether the work is more urgent than bulk.
+        :param non_bulk: whether the work is more urgent than bulk.
         """
-        return self.maximum if self.slow_start and urgent else self.value
+        return self.maximum if self.slow_start and non_bulk else self.value
 
     def mark_full(self) -> None:
         """Record that a request found no free slot."""
--- a/packages/mothworks/src/mothworks/slot_usage.py
+++ b/packages/mothworks/src/mothworks/slot_usage.py
@@ -1,7 +1,7 @@
 """Recent use of one endpoint's slots: moving averages and a decaying peak.
 
 From these the endpoint's owner estimates how long a request would wait, and
-how many slots urgent requests are likely to need next.
+how many slots the requests that are not bulk are likely to need next.
 """
 
 import collections.abc
@@ -11,8 +11,8 @@
 
 #: Weight of a new sample in the exponentially weighted moving averages.
 SAMPLE_WEIGHT = 0.1
-#: Time constant of the exponential decay of the peak of urgent requests in
-#: flight, seconds.
+#: Time constant of the exponential decay of the peak of requests in flight that
+#: are not bulk, seconds.
 PEAK_DECAY_S = 20.0
 
 
@@ -25,7 +25,7 @@
         #: Mean time from sending to the first token of requests that are not
         #: bulk, seconds.
         self.first_token_s = 0.0
-        self.urgent_peak = 0.0
+        self.non_bulk_peak = 0.0
         self.peak_updated_at = 0.0
 
     def add_sample(self, rank: int, slot_time_s: float, first_token_s: float) -> None:
@@ -51,16 +51,16 @@
         slot_times = [self.slot_time_s_by_rank[rank] for rank in ranks]
         return sum(slot_times) / len(slot_times) if slot_times else 0.0
 
-    def update_peak(self, urgent: int, now: float) -> float:
-        """Update and return the decaying peak of slots used by urgent requests.
+    def update_peak(self, non_bulk: int, now: float) -> float:
+        """Update and return the decaying peak of slots used by work other than bulk.
 
-        :param urgent: number of slots that they use now.
+        :param non_bulk: number of slots that such work uses now.
         :param now: monotonic time, seconds.
         """
         decay = math.exp((self.peak_updated_at - now) / PEAK_DECAY_S)
-        self.urgent_peak = max(self.urgent_peak * decay, float(urgent))
+        self.non_bulk_peak = max(self.non_bulk_peak * decay, float(non_bulk))
         self.peak_updated_at = now
-        return self.urgent_peak
+        return self.non_bulk_peak
 
 
 def _moving_average(average: float, sample: float) -> float:
