--- a/packages/mothworks/src/mothworks/batches.py
+++ b/packages/mothworks/src/mothworks/batches.py
@@ -94,7 +94,8 @@
 
         :param request: the entry's slot request.
         :param entry: the entry's name.
-        :param send_reply: sends a reply, at once and again when a slot is free.
+        :param send_reply: sends each reply: at once, and again when a queued request
+            is granted, refused or redirected.
         """
         now = time.monotonic()
         key = (entry, request.number)
--- a/packages/mothworks/src/mothworks/request_queue.py
+++ b/packages/mothworks/src/mothworks/request_queue.py
@@ -27,7 +27,8 @@
 #: Slots granted to other work before one is granted to aged bulk work.
 GRANTS_PER_AGED_BULK = 7
 
-#: Identifies a slot request at an owner: the entry's name and its number there.
+#: Identifies a slot request at an owner: the entry's name and the entry's number
+#: for the request.
 Key = tuple[str, int]
 
 
--- a/packages/mothworks/src/mothworks/slot_messages.py
+++ b/packages/mothworks/src/mothworks/slot_messages.py
@@ -111,7 +111,7 @@
 @messages.message(13)
 @attrs.frozen
 class CheckSlots:
-    """An owner checks with an entry that long-held slots are still in use.
+    """An owner asks an entry whether slots granted long ago are still in use.
 
     :param numbers: the numbers of the slot requests.
     """
--- a/packages/mothworks/src/mothworks/slot_owner.py
+++ b/packages/mothworks/src/mothworks/slot_owner.py
@@ -32,7 +32,7 @@
 SWEEP_INTERVAL_S = 0.1
 #: Seconds between checks with entries that their slots are still in use.
 CHECK_INTERVAL_S = 5.0
-#: Time for which a former owner redirects slot requests, seconds.
+#: Time for which a former owner redirects slot requests to its successor, seconds.
 REDIRECT_S = 10.0
 
 #: Sends or delivers an owner's reply.
@@ -86,7 +86,8 @@
 
         :param entry: the entry's name.
         :param request: the entry's slot request.
-        :param send_reply: called with each reply, at once and when a slot is free.
+        :param send_reply: called with each reply: at once, and again when a queued
+            request is granted, refused or redirected.
         """
         # An entry that does not know the new owner yet sends its slot request to
         # the former one, which has dropped its count and would fill the batch again.
@@ -185,7 +186,7 @@
         return any(len(batch.queue) for batch in waiting_batches)
 
     def check_slots(self) -> None:
-        """Check with entries that slots in use for long are still needed.
+        """Ask the entries of slots granted long ago whether these are still in use.
 
         A release message is lost if its connection breaks; without the check its
         slot would leak.
@@ -225,8 +226,9 @@
         """
         fallback = self.fallback_by_endpoint.get(endpoint.name)
         if fallback is None:
-            # All VMs may lose the owner at the same time. Each gets an equal part of
-            # the slots, so that together they about fill the endpoint's batch.
+            # All VMs of the region may lose the owner at the same time. Each gets an
+            # equal part of the slots, so that together they about fill the
+            # endpoint's batch.
             vms = len(self.membership.near()) + 1
             slots = max(1, math.ceil(endpoint.slots / vms))
             fallback = batches.Batch(slots, self._closed_reason, self._caller_share)
@@ -246,8 +248,8 @@
                 self.has_queue.set()
 
     def _preempts(self, endpoint: catalogue.Endpoint) -> bool:
-        kind = self.health.adapters.get(endpoint.kind)
-        return kind.preempts and endpoint.priorities
+        adapter = self.health.adapters.get(endpoint.kind)
+        return adapter.preempts and endpoint.priorities
 
     def _reported_running(self, name: str) -> int | None:
         report = self.health.report_by_endpoint.get(name)
--- a/packages/mothworks/src/mothworks/slots.py
+++ b/packages/mothworks/src/mothworks/slots.py
@@ -240,8 +240,9 @@
     def _serve_reply(self, sender: str, reply: slot_messages.SlotReply, _) -> None:
         reservation = self.reservation_by_number.get(reply.number)
         if reservation is None or reservation.owner != sender:
-            # Either the grant crossed with its cancellation, which releases the
-            # slot; or it is from a former owner, which was sent a release already.
+            # Either the slot request was cancelled while the reply was in transit,
+            # and the cancellation releases a slot granted meanwhile; or the reply
+            # is from a former owner, to which a release was already sent.
             return
         self._deliver_reply(reply)
 
--- a/packages/mothworks/tests/test_slot_moves.py
+++ b/packages/mothworks/tests/test_slot_moves.py
@@ -178,8 +178,8 @@
 def test_a_lost_release_does_not_leak_its_slot(group):
     """Guards against a slot leak when a connection breaks.
 
-    The release message is lost with its connection. The owner checks with the
-    entry which long-held slots are in use, and releases those it does not know.
+    The release message is lost with its connection. The owner asks the entry about
+    slots granted long ago, and releases those that the entry does not know.
     """
     endpoint = group.endpoints[0]
     entry = group.entry(endpoint)
--- a/packages/mothworks/tests/test_slots.py
+++ b/packages/mothworks/tests/test_slots.py
@@ -86,7 +86,7 @@
 def test_a_request_that_would_miss_its_deadline_is_refused_on_arrival():
     """Guards against queueing a request until it is too late to go elsewhere.
 
-    A request holds the only slot for 200 s, and an urgent request needs its first
+    A request occupies the only slot for 200 s, and an urgent request needs its first
     token within 160 s. The times are long, so that a pause of the test machine
     does not change the result.
     """
@@ -162,7 +162,7 @@
     assert len(order) == 1 + request_queue.GRANTS_PER_AGED_BULK + 1
 
 
-def test_slots_are_reserved_for_urgent_work_if_bulk_holds_them_long():
+def test_slots_are_reserved_for_urgent_work_if_bulk_occupies_them_long():
     """Guards against urgent requests that wait behind long bulk requests.
 
     Bulk requests run for a minute, so a slot becomes free only every few seconds
@@ -248,9 +248,9 @@
     statuses = [owner.request(f"new-{number}") for number in range(4)]
     assert statuses.count(slot_messages.SlotStatus.GRANTED) == 2
     for number in range(6):
-        owner.request(f"held-{number}", already_running=True)
+        owner.request(f"inherited-{number}", already_running=True)
         assert owner.batch.running() == 8
-    owner.release("held-0")
+    owner.release("inherited-0")
     assert len(owner.granted()) == 2 + 6 + 1
 
 
