--- a/packages/mothworks/src/mothworks/answer_recording.py
+++ b/packages/mothworks/src/mothworks/answer_recording.py
@@ -15,7 +15,7 @@
 
 
 class RunningRequest(typing.Protocol):
-    """A request whose answer has begun, as dispatch returns it."""
+    """Interface of a request whose answer has begun, as dispatch returns it."""
 
     answer: endpoints.Answer
     #: Whether the answer is a stream.
--- a/packages/mothworks/src/mothworks/dispatch.py
+++ b/packages/mothworks/src/mothworks/dispatch.py
@@ -104,7 +104,7 @@
         watch: caller_watch.Watch | None,
         claim: claiming.Claim,
     ) -> result.Result[answer_recording.RunningRequest, outcomes.Refusal]:
-        """Run a request with an idempotency key unless a copy runs or has run."""
+        """Run a request with an Idempotency-Key unless a duplicate runs or has run."""
         previous = claim.find_duplicate()
         if previous is not None:
             self.decisions.close(request.id, "resend")
@@ -225,7 +225,7 @@
             return
         if will_retry:
             # A poison request would crash the next endpoint too, so a retry waits
-            # for the check of the endpoint.
+            # for the verdict of the endpoint's owner.
             self.suspects.report_broken_and_wait(request, endpoint)
         else:
             self.suspects.report_broken(request, endpoint)
--- a/packages/mothworks/src/mothworks/resumption.py
+++ b/packages/mothworks/src/mothworks/resumption.py
@@ -43,8 +43,8 @@
         ]
         if not (candidates and self.dispatch.acquire_retry(request)):
             return False
-        # Wait for the check of the endpoint first: a poison request would crash the
-        # next endpoint too.
+        # Wait for the verdict of the endpoint's owner first: a poison request would
+        # crash the next endpoint too.
         self.dispatch.suspects.report_broken_and_wait(request, broken.grant.endpoint)
         acquired = self.dispatch.suspects.check(request).and_then(
             lambda exclusive: self.dispatch.acquire(request, candidates, exclusive)
--- a/packages/mothworks/src/mothworks/running_request.py
+++ b/packages/mothworks/src/mothworks/running_request.py
@@ -112,7 +112,7 @@
 
         :param grant: the slot there.
         :param answer: the response, which begins after
-            :attr:`AnswerProgress.event_count`.
+            :attr:`progress.AnswerProgress.event_count`.
         :param sent_at: when the request was sent there, monotonic seconds.
         """
         self.grant = grant
