--- a/packages/mothworks/src/mothworks/claim_log.py
+++ b/packages/mothworks/src/mothworks/claim_log.py
@@ -56,7 +56,7 @@
     :param body: the object's body.
     :returns: an error where it is corrupt or of a later version of the
         program. Claims are then refused as in an outage: ignoring the records
-        could run an order twice, and exiting would stop every VM in turn, as
+        could run a request twice, and exiting would stop every VM in turn, as
         each becomes the shard's owner.
     """
     try:
--- a/packages/mothworks/src/mothworks/claiming.py
+++ b/packages/mothworks/src/mothworks/claiming.py
@@ -50,13 +50,14 @@
         self.acquired = False
         #: Whether a duplicate claimed the key first.
         self.lost = False
-        #: Whether the claim may have been written although it failed.
+        #: Whether the claim may have been written although no grant was received.
         self.maybe_written = False
 
     def find_duplicate(self) -> DuplicateResult | None:
         """Look for a duplicate, and wait for its outcome if it is running.
 
-        :returns: None if there is none.
+        :returns: the stored answer of a duplicate that ran, or the refusal of this
+            request; None if this request may run.
         """
         return self._interpret(self._request_decision(claim=False))
 
@@ -199,9 +200,9 @@
 def _unavailable() -> outcomes.Refusal:
     """Return the refusal of a request whose claim can't be read or written.
 
-    This attempt did not run, but an earlier one with the same key may have:
-    if ``ran`` were "no", the caller might send a new order under another key,
-    and both would run.
+    This attempt did not run, but an earlier one with the same key may have: if
+    ``ran`` were "no", the caller might send the request again under another key,
+    and it would run twice.
     """
     message = (
         "the object API, which prevents duplicate runs, is unavailable; "
--- a/packages/mothworks/src/mothworks/claims.py
+++ b/packages/mothworks/src/mothworks/claims.py
@@ -47,7 +47,7 @@
 
 @plugins.register(plugins.PART, "claims")
 class Claims(kernel.Part):
-    """Decides on claims in the shards that this VM owns, and claims for its entry.
+    """Decides on claims in the shards that this VM owns, and claims for its requests.
 
     :param node_kernel: the node's kernel.
     """
@@ -165,6 +165,7 @@
 
     def _drop_unowned_shards(self) -> None:
         for number, shard in list(self.shard_by_number.items()):
+            # The first byte of a key determines its shard.
             owned = self._owner(bytes((number,))) == self.kernel.settings.name
             if not owned and not shard.pending:
                 del self.shard_by_number[number]
@@ -191,7 +192,7 @@
             )
         match lookup:
             case result.Ok(claim_records.CurrentClaim() as current):
-                return self._describe(claim_request, shard, current)
+                return self._reply_if_claimed(claim_request, shard, current)
             case result.Ok(None):
                 # Another claim came first and has been released since.
                 return claim_messages.ClaimReply(claim_messages.Decision.UNAVAILABLE)
@@ -199,7 +200,7 @@
                 log.warning("cannot decide on a claim: {}", problem.reason)
                 return claim_messages.ClaimReply(claim_messages.Decision.UNAVAILABLE)
 
-    def _describe(
+    def _reply_if_claimed(
         self,
         claim_request: claim_messages.ClaimRequest,
         shard: claim_shards.Shard,
