--- a/packages/mothworks/src/mothworks/claim_messages.py
+++ b/packages/mothworks/src/mothworks/claim_messages.py
@@ -1,4 +1,7 @@
-"""Messages between entries and the owners of shards of claims."""
+"""Messages between entries and the owners of shards of claims.
+
+An entry is the VM that received a caller's request.
+"""
 
 import enum
 
--- a/packages/mothworks/src/mothworks/claim_records.py
+++ b/packages/mothworks/src/mothworks/claim_records.py
@@ -49,8 +49,7 @@
     :param timestamp_s: Unix time, whole seconds.
     :param request_hash: hash of the request; a different request with the
         same key is refused.
-    :param holder: the VM whose entry runs the request; empty in records of
-        outcomes.
+    :param holder: the entry that runs the request; empty in records of outcomes.
     :param answer: the answer, if the request is done and it was short enough.
     """
 
--- a/packages/mothworks/src/mothworks/claims.py
+++ b/packages/mothworks/src/mothworks/claims.py
@@ -1,11 +1,12 @@
 """Claims: run each request with an Idempotency-Key at most once.
 
-Right before such a request is sent, its entry claims the caller's key in the
-object API. A resend on any VM finds the claim and gets the stored answer, or
-an error that says that the request may have run; it does not run again. Keys
-are spread over shards; a shard's owner, chosen by rendezvous hashing, writes
-the claims of all entries in batches. Ownership only saves writes: correctness
-rests on the conditional update alone, also while two VMs act as owner.
+Right before such a request is sent, its entry, the VM that received it, claims
+the caller's key in the object API. A resend on any VM finds the claim and gets
+the stored answer, or an error that says that the request may have run; it does
+not run again. Keys are spread over shards; a shard's owner, chosen by
+rendezvous hashing, writes the claims of all entries in batches. Ownership only
+saves writes: correctness rests on the conditional update alone, also while two
+VMs act as owner.
 """
 
 import time
--- a/packages/mothworks/src/mothworks/deferred.py
+++ b/packages/mothworks/src/mothworks/deferred.py
@@ -62,7 +62,7 @@
 class Unfinished:
     """State of work that has no answer yet.
 
-    :param running: whether it is running now, or waits.
+    :param running: whether it is running now; otherwise it waits.
     """
 
     running: bool
--- a/packages/mothworks/src/mothworks/deferred_messages.py
+++ b/packages/mothworks/src/mothworks/deferred_messages.py
@@ -1,4 +1,7 @@
-"""Messages between entries and the owners of shards of deferred work."""
+"""Messages between entries and the owners of shards of deferred work.
+
+An entry is the VM that received a caller's request.
+"""
 
 import attrs
 
--- a/packages/mothworks/src/mothworks/routing.py
+++ b/packages/mothworks/src/mothworks/routing.py
@@ -1,8 +1,8 @@
 """Routing policies, which order the endpoints of a model.
 
 ``owner`` requests a slot from the endpoint's owner. ``random``, ``local_least``
-and ``two_choices`` are baselines for comparison; they use only the counts of
-this VM.
+and ``two_choices`` are baselines for comparison; they use no information of
+other VMs.
 """
 
 import collections
--- a/packages/mothworks/src/mothworks/slot_owner.py
+++ b/packages/mothworks/src/mothworks/slot_owner.py
@@ -2,8 +2,8 @@
 
 The owner of an endpoint counts its requests in flight and queues further ones
 by priority (:mod:`mothworks.batches`). It releases slots whose release message
-was lost or whose entry died, and hands its queue over when the endpoint gets
-another owner.
+was lost or whose entry, the VM that received the request, died. It hands its
+queue over when the endpoint gets another owner.
 """
 
 import collections.abc
--- a/packages/mothworks/src/mothworks/suspect_records.py
+++ b/packages/mothworks/src/mothworks/suspect_records.py
@@ -48,7 +48,7 @@
 @messages.message(62)
 @attrs.frozen
 class SuspectUpdate:
-    """Replicates suspects of the sender.
+    """Replicates the sender's suspects to other VMs.
 
     :param rows: fields of :class:`Suspect`, in order.
     """
--- a/packages/mothworks/src/mothworks/suspects.py
+++ b/packages/mothworks/src/mothworks/suspects.py
@@ -1,14 +1,16 @@
 """Suspects: requests that may crash the endpoint that runs them.
 
-A request can crash every endpoint that runs it, and its caller resends it.
-The requests in flight when an endpoint crashes become suspects. A suspect
-runs alone, so that another crash identifies it and interrupts no other
-request; completing once clears it. With the points of two crashes it is
-quarantined: refused on every VM until the retention ends.
-
-An entry reports a broken connection to the endpoint's owner. Several streams
-that break together, or an endpoint that does not respond to its owner, make a
-crash; one broken connection alone counts half as many points.
+A request can crash every endpoint that runs it, and its caller resends it. The
+requests in flight when an endpoint crashes become suspects. A suspect runs
+alone at its endpoint (see :mod:`mothworks.exclusive_queue`), so that another
+crash identifies it and interrupts no other request; completing once clears it.
+With the points of two crashes it is quarantined: refused on every VM until the
+retention ends.
+
+An entry, the VM that received a request, reports a broken connection to the
+endpoint's owner. Several streams that break together, or an endpoint that does
+not respond to its owner, make a crash; one broken connection alone counts half
+as many points.
 """
 
 import random
@@ -57,7 +59,7 @@
 
 @plugins.register(plugins.PART, "suspects")
 class Suspects(kernel.Part):
-    """Judges crashes of owned endpoints, and replicates suspects over all VMs.
+    """Judges crashes of owned endpoints, and replicates suspects to all VMs.
 
     :param node_kernel: the node's kernel.
     """
--- a/packages/mothworks/tests/test_priorities.py
+++ b/packages/mothworks/tests/test_priorities.py
@@ -11,9 +11,9 @@
 
 @pytest.fixture
 def engine():
-    made = served.ScriptedEngine(lambda _: web.json_reply({})).start()
-    yield made
-    made.stop()
+    new_engine = served.ScriptedEngine(lambda _: web.json_reply({})).start()
+    yield new_engine
+    new_engine.stop()
 
 
 def send(engine, urgency, **declared):
--- a/packages/mothworks/tests/test_slot_moves.py
+++ b/packages/mothworks/tests/test_slot_moves.py
@@ -99,20 +99,20 @@
 
 @pytest.fixture
 def group():
-    made = Group()
+    new_group = Group()
     names = [f"vm-{number}" for number in range(1, 5)]
     for name in names:
-        made.add(name)
-    made.wait(*names)
+        new_group.add(name)
+    new_group.wait(*names)
     processes.wait_until(
         lambda: all(
             not vm.placement.closed_reason(endpoint.name)
-            for vm in made.vm_by_name.values()
-            for endpoint in made.endpoints
+            for vm in new_group.vm_by_name.values()
+            for endpoint in new_group.endpoints
         )
     )
-    yield made
-    made.stop()
+    yield new_group
+    new_group.stop()
 
 
 def wait_for_queue(group, endpoint, number):
