--- a/packages/mothworks/src/mothworks/claim_shards.py
+++ b/packages/mothworks/src/mothworks/claim_shards.py
@@ -87,6 +87,7 @@
         self.version: str | None = None
         self.loaded = False
         self.pending: list[Pending] = []
+        #: Set to write pending records without waiting for :data:`OUTCOME_DELAY_S`.
         self.flush = gevent.event.Event()
         self.load_lock = gevent.lock.RLock()
         self.writer: gevent.Greenlet | None = None
@@ -158,7 +159,7 @@
             self.flush.wait(OUTCOME_DELAY_S)
             gevent.sleep(BATCH_DELAY_S)
             self.flush.clear()
-            batch = self._take_batch()
+            batch = self._pop_batch()
             next_write = time.monotonic() + WRITE_INTERVAL_S
             write_result = self._write(batch)
             for pending in batch:
@@ -167,7 +168,7 @@
             if self.pending:
                 gevent.sleep(max(0.0, next_write - time.monotonic()))
 
-    def _take_batch(self) -> list[Pending]:
+    def _pop_batch(self) -> list[Pending]:
         batch, size = [], 0
         for pending in self.pending:
             size += claim_records.size(pending.record)
@@ -273,6 +274,7 @@
         ).map(lambda _: claim_log.Segment(name, newest))
 
     def _add_segment(self, sealed: claim_log.Segment) -> None:
+        """Record a sealed segment, and delete the expired ones."""
         self.segments.append(sealed)
         expired_before = time.time() - self.retention_s()
         while self.segments and self.segments[0].timestamp_s < expired_before:
--- a/packages/mothworks/src/mothworks/concurrency_limit.py
+++ b/packages/mothworks/src/mothworks/concurrency_limit.py
@@ -7,9 +7,9 @@
 engine's slots. It is not persisted: a new owner starts anew.
 
 A new limit is in slow start: bulk work gets a quarter of the slots, doubled by
-each adjustment that finds the batch fast, so that a batch full of bulk does not
-delay the first urgent requests. Work more urgent than bulk may use all slots of
-the engine.
+each adjustment that finds the batch full and fast, so that a batch full of bulk
+does not delay the first urgent requests. Work more urgent than bulk may use all
+slots of the engine.
 """
 
 import math
--- a/packages/mothworks/src/mothworks/memory_packing.py
+++ b/packages/mothworks/src/mothworks/memory_packing.py
@@ -25,8 +25,8 @@
 ) -> list[Item]:
     """Return the items that do not fit when all are packed into endpoints.
 
-    Packs by best fit, largest item first. This finds a packing unless all but a few
-    per cent of the memory are needed.
+    Packs by best fit, largest item first. This finds a packing if a few per cent of
+    the memory can remain free.
 
     :param items: the items that must be resident.
     :param memories_mb: memory of each endpoint, MB.
--- a/packages/mothworks/src/mothworks/request_queue.py
+++ b/packages/mothworks/src/mothworks/request_queue.py
@@ -98,7 +98,8 @@
         """Queue a request.
 
         :param queued: the request, for which :meth:`refusal_reason` is empty.
-        :returns: the less urgent request that was evicted from a full queue.
+        :returns: the less urgent request that was evicted from a full queue; None if
+            the queue was not full.
         """
         evicted = None
         if len(self) >= MAX_LENGTH:
