--- a/packages/mothworks/src/mothworks/claims.py
+++ b/packages/mothworks/src/mothworks/claims.py
@@ -1,11 +1,12 @@
 """Claims: run each request with an Idempotency-Key at most once.
 
-Right before such a request is sent, its entry claims the caller's key in the
-object API. A resend on any VM finds the claim and gets the stored answer, or
-an error that says that the request may have run; it does not run again. Keys
-are spread over shards; a shard's owner, chosen by rendezvous hashing, writes
-the claims of all entries in batches. Ownership only saves writes: correctness
-rests on the conditional update alone, also while two VMs act as owner.
+Right before such a request is sent, its entry, the VM that received it, claims
+the caller's key in the object API. A resend on any VM finds the claim and gets
+the stored answer, or an error that says that the request may have run; it does
+not run again. Keys are spread over shards; a shard's owner, chosen by
+rendezvous hashing, writes the claims of all entries in batches. Ownership only
+saves writes: correctness rests on the conditional update alone, also while two
+VMs act as owner.
 """
 
 import time
@@ -47,7 +48,7 @@
 
 @plugins.register(plugins.PART, "claims")
 class Claims(kernel.Part):
-    """Decides on claims in the shards that this VM owns, and claims for its entry.
+    """Decides on claims in the shards that this VM owns, and claims for its requests.
 
     :param node_kernel: the node's kernel.
     """
@@ -165,6 +166,7 @@
 
     def _drop_unowned_shards(self) -> None:
         for number, shard in list(self.shard_by_number.items()):
+            # The first byte of a key determines its shard.
             owned = self._owner(bytes((number,))) == self.kernel.settings.name
             if not owned and not shard.pending:
                 del self.shard_by_number[number]
@@ -191,7 +193,7 @@
             )
         match lookup:
             case result.Ok(claim_records.CurrentClaim() as current):
-                return self._describe(claim_request, shard, current)
+                return self._reply_if_claimed(claim_request, shard, current)
             case result.Ok(None):
                 # Another claim came first and has been released since.
                 return claim_messages.ClaimReply(claim_messages.Decision.UNAVAILABLE)
@@ -199,7 +201,7 @@
                 log.warning("cannot decide on a claim: {}", problem.reason)
                 return claim_messages.ClaimReply(claim_messages.Decision.UNAVAILABLE)
 
-    def _describe(
+    def _reply_if_claimed(
         self,
         claim_request: claim_messages.ClaimRequest,
         shard: claim_shards.Shard,
--- a/packages/mothworks/src/mothworks/concurrency_limit.py
+++ b/packages/mothworks/src/mothworks/concurrency_limit.py
@@ -7,9 +7,9 @@
 engine's slots. It is not persisted: a new owner starts anew.
 
 A new limit is in slow start: bulk work gets a quarter of the slots, doubled by
-each adjustment that finds the batch fast, so that a batch full of bulk does not
-delay the first urgent requests. Work more urgent than bulk may use all slots of
-the engine.
+each adjustment that finds the batch full and fast, so that a batch full of bulk
+does not delay the first urgent requests. Work more urgent than bulk may use all
+slots of the engine.
 """
 
 import math
@@ -46,12 +46,12 @@
         self.was_full = False
         self.adjusted_at = -math.inf
 
-    def value_for(self, urgent: bool) -> int:
+    def value_for(self, non_bulk: bool) -> int:
         """Return how many requests may run at once.
 
-        :param urgent: whether the work is more urgent than bulk.
+        :param non_bulk: whether the work is more urgent than bulk.
         """
-        return self.maximum if self.slow_start and urgent else self.value
+        return self.maximum if self.slow_start and non_bulk else self.value
 
     def mark_full(self) -> None:
         """Record that a request found no free slot."""
--- a/packages/mothworks/src/mothworks/request_queue.py
+++ b/packages/mothworks/src/mothworks/request_queue.py
@@ -27,7 +27,8 @@
 #: Slots granted to other work before one is granted to aged bulk work.
 GRANTS_PER_AGED_BULK = 7
 
-#: Identifies a slot request at an owner: the entry's name and its number there.
+#: Identifies a slot request at an owner: the entry's name and the entry's number
+#: for the request.
 Key = tuple[str, int]
 
 
@@ -97,7 +98,8 @@
         """Queue a request.
 
         :param queued: the request, for which :meth:`refusal_reason` is empty.
-        :returns: the less urgent request that was evicted from a full queue.
+        :returns: the less urgent request that was evicted from a full queue; None if
+            the queue was not full.
         """
         evicted = None
         if len(self) >= MAX_LENGTH:
--- a/packages/mothworks/tests/test_slot_moves.py
+++ b/packages/mothworks/tests/test_slot_moves.py
@@ -99,20 +99,20 @@
 
 @pytest.fixture
 def cluster():
-    made = Cluster()
+    new_cluster = Cluster()
     names = [f"vm-{number}" for number in range(1, 5)]
     for name in names:
-        made.add(name)
-    made.wait_for_members(*names)
+        new_cluster.add(name)
+    new_cluster.wait_for_members(*names)
     processes.wait_until(
         lambda: all(
             not vm.placement.closed_reason(endpoint.name)
-            for vm in made.vm_by_name.values()
-            for endpoint in made.endpoints
+            for vm in new_cluster.vm_by_name.values()
+            for endpoint in new_cluster.endpoints
         )
     )
-    yield made
-    made.stop()
+    yield new_cluster
+    new_cluster.stop()
 
 
 def wait_for_queue(cluster, endpoint, number):
@@ -178,8 +178,8 @@
 def test_a_lost_release_does_not_leak_its_slot(cluster):
     """Guards against a slot leak when a connection breaks.
 
-    The release message is lost with its connection. The owner checks with the
-    entry which long-held slots are in use, and releases those it does not know.
+    The release message is lost with its connection. The owner asks the entry about
+    slots granted long ago, and releases those that the entry does not know.
     """
     endpoint = cluster.endpoints[0]
     entry = cluster.entry(endpoint)
