--- a/packages/mothworks_gateway/src/mothworks_gateway/settings.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/settings.py
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class Platform:
-    """Where the platform's metadata store answers.
+    """The platform's metadata store.
 
     :param address: its IP number and port.
     """
@@ -55,28 +55,27 @@
 
 @attrs.frozen
 class Bounds:
-    """What the deployment promises or asks for, in its own units.
+    """Limits that the deployment guarantees or requires, in its own units.
 
-    :param retry_share: requests sent again, as a share of all requests of a
+    :param retry_share: maximum number of retries as a share of all requests of a
         service, over all VMs.
-    :param retry_window_s: time over which that share is counted, seconds.
-    :param retry_slack: requests sent again that are allowed beside the share.
-    :param lease_ms: time for which two VMs must not take turns in ordering
-        endpoints, milliseconds.
-    :param fenced: whether endpoints refuse orders with an old fencing token.
-    :param leave_ms: time after which an endpoint that said that it leaves must get
-        no more requests, milliseconds.
-    :param load_window_s: time over which loads from the weight store count,
+    :param retry_window_s: window over which that share is counted, seconds.
+    :param retry_slack: retries that are allowed in addition to the share.
+    :param lease_ms: time within which at most one VM may order endpoints, milliseconds.
+    :param fenced: whether endpoints reject orders with an old fencing token.
+    :param leave_ms: time after which an endpoint that reported that it is leaving must
+        get no more requests, milliseconds.
+    :param load_window_s: window over which loads from the weight store are counted,
         seconds.
-    :param load_factor: loads in that time, as a multiple of the store's rate.
-    :param stop_s: time from the signal to stop until the process is killed,
-        seconds.
-    :param revoke_ms: time after which a key that was taken away must not work on
-        any VM, in touch with the platform or not, milliseconds; 0 for no such bound.
-    :param cap_window_s: time over which usage caps are checked, seconds.
-    :param cap_over: part of what a cap allows in that time by which all VMs together
-        may exceed it.
-    :param cap_slack: units by which they may exceed it beside that.
+    :param load_factor: maximum number of loads in that window, as a multiple of the
+        store's rate.
+    :param stop_s: time from the stop signal until the process is killed, seconds.
+    :param revoke_ms: time after which a revoked key must not work on any VM, even if
+        the VM can't reach the platform, milliseconds; 0 for no limit.
+    :param cap_window_s: window over which usage caps are checked, seconds.
+    :param cap_over: share of a cap by which all VMs together may exceed it in that
+        window.
+    :param cap_slack: units by which they may exceed it in addition to that share.
     """
 
     retry_share: float = 0.1
@@ -124,22 +123,23 @@
 
     :param name: the VM's name, unique among all VMs.
     :param address: its IP number, as peers reach it.
-    :param front: where callers connect.
-    :param ready: where the balancer asks whether the VM is ready.
-    :param peer_port: port for peers, TCP and UDP alike, the same on all VMs.
+    :param front: IP number and port for callers.
+    :param ready: IP number and port for the balancer's readiness checks.
+    :param peer_port: port for peers, both TCP and UDP, the same on all VMs.
     :param metrics_port: port that serves metrics; 0 for none.
-    :param data_centre: where the VM runs.
+    :param data_centre: the data centre in which the VM runs.
     :param region: the region of that data centre.
-    :param adapter: the platform adapter: a module to import, which registers
-        plug-ins under its own name.
-    :param platform: where the platform's store answers.
-    :param seeds: addresses of VMs that may be peers; they may be stale.
-    :param bounds: what the deployment promises or asks for.
-    :param limits: bounds that protect the VM.
-    :param descriptors: most file descriptors of the process.
-    :param log_lines_per_s: log lines a second; more are left out and counted.
+    :param adapter: the platform adapter: a module to import, which registers plug-ins
+        under its own name.
+    :param platform: the platform's metadata store.
+    :param seeds: addresses of possible peers; they may be outdated.
+    :param bounds: limits that the deployment guarantees or requires.
+    :param limits: limits that protect the VM.
+    :param descriptors: maximum number of file descriptors of the process.
+    :param log_lines_per_s: maximum log lines per second; further lines are dropped and
+        counted.
     :param logs: how it logs.
-    :param deployment: the name of the whole system.
+    :param deployment: the name of the deployment.
     """
 
     name: str
