--- a/packages/mothworks_gateway/src/mothworks_gateway/lease.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease.py
@@ -52,7 +52,8 @@
 #: Delay before the first read, seconds: a VM that just started knows no peers and ranks
 #: itself first; without the delay all VMs of a fleet wrote the lease at once.
 STARTUP_DELAY_S = 0.6
-#: Extra time that each VM leaves to the next higher rank, seconds.
+#: Additional delay per rank before a VM tries to acquire the lease, seconds, so that
+#: VMs of a higher rank try first.
 RANK_DELAY_S = 0.7
 #: Time between checks for a suspension of this VM, seconds, and the longest gap between
 #: two checks for which the lease is still trusted: after a longer gap the VM was
@@ -114,7 +115,7 @@
         return self.record.fence if self.held() else 0
 
     def held(self) -> bool:
-        """Return whether this VM holds the lease and may order endpoints now."""
+        """Return whether this VM holds the lease and may send orders now."""
         return (
             self.record is not None
             and self.record.holder == self.name
--- a/packages/mothworks_gateway/src/mothworks_gateway/lease_record.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease_record.py
@@ -25,9 +25,9 @@
 
 
 def read_record(body: bytes) -> Record:
-    """Return the record that a stored body encodes.
+    """Decode a record.
 
-    :param body: what :meth:`Record.body` made.
+    :param body: the stored body, as :meth:`Record.body` returns it.
     :raises ValueError: the body does not encode a record.
     """
     try:
--- a/packages/mothworks_gateway/src/mothworks_gateway/relayed_objects.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/relayed_objects.py
@@ -1,10 +1,10 @@
 """Relayed objects: access to the platform's store through a peer that reaches it.
 
 A VM may be cut off from the platform's store while its peers reach it. If it holds the
-lease, nobody would order endpoints until another VM may take over, after six seconds or
-more. A conditional write has the same effect whichever VM sends it: it is applied at
-most once, and only to the version that it names. So a call that the store does not
-answer in time is repeated through peers.
+lease and loses it for that reason, no endpoint gets orders until another VM may take
+over, after six seconds or more. A conditional write has the same effect whichever VM
+sends it: it is applied at most once, and only to the version that it names. So a call
+that the store does not answer in time is repeated through peers.
 """
 
 import enum
@@ -71,12 +71,12 @@
 class RelayedReply:
     """A peer's reply with the outcome of its call to the store.
 
-    :param answer: value of a :class:`StoreOutcome`.
+    :param outcome: value of a :class:`StoreOutcome`.
     :param version: the object's version after the call, where it exists.
     :param body: its content, where it was read.
     """
 
-    answer: str
+    outcome: str
     version: str = ""
     body: bytes = b""
 
@@ -110,7 +110,7 @@
         if outcome is not None and not _is_unanswered(outcome):
             return outcome
         for reply in self._call_peers(RelayedRead(key)):
-            match StoreOutcome(reply.answer):
+            match StoreOutcome(reply.outcome):
                 case StoreOutcome.DONE:
                     return result.Ok(objects.Stored(key, reply.version, reply.body))
                 case StoreOutcome.MISSING:
@@ -131,7 +131,7 @@
             return outcome
         may_have_applied = outcome is None or isinstance(outcome.err(), objects.Unknown)
         for reply in self._call_peers(RelayedWrite(key, body, version or "")):
-            match StoreOutcome(reply.answer):
+            match StoreOutcome(reply.outcome):
                 case StoreOutcome.DONE:
                     return result.Ok(reply.version)
                 case StoreOutcome.CONFLICT if not may_have_applied:
@@ -175,7 +175,7 @@
         for name in random.sample(linked, min(MAX_PEERS, len(linked))):
             match self.peers.call(name, message, PEER_TIMEOUT_S):
                 case result.Ok(RelayedReply() as reply):
-                    logs.event(log, "relayed", peer=name, outcome=reply.answer)
+                    logs.event(log, "relayed", peer=name, outcome=reply.outcome)
                     yield reply
                 case result.Err(failure) if failure.sent:
                     yield RelayedReply(StoreOutcome.UNKNOWN.value)
@@ -196,7 +196,7 @@
 
 
 def _reply_of(outcome: result.Result) -> RelayedReply:
-    """Return the reply that describes an outcome of the store to a peer."""
+    """Return the reply to a peer for the outcome of a call to the store."""
     match outcome:
         case result.Ok(objects.Stored() as stored):
             return RelayedReply(StoreOutcome.DONE.value, stored.version, stored.body)
