--- a/packages/mothworks_gateway/src/mothworks_gateway/credit.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/credit.py
@@ -4,9 +4,10 @@
 share of the cap for ten seconds. So each cap is a shared budget
 (:mod:`shared_budgets`), whose owner every VM calls before each request that counts.
 
-An owner grants only while its declaration is fresh. A VM that reaches no owner falls
-back to its reserve: a share of its own usage in the last window, chosen so that all
-reserves together stay within the excess that the deployment tolerates.
+An owner grants only while its declaration is fresh, or while those of all VMs seem to
+be stale. A VM that reaches no owner falls back to its reserve: a share of its own usage
+in the last window, chosen so that all reserves together stay within the excess that the
+deployment tolerates.
 """
 
 import collections
@@ -26,12 +27,13 @@
     token_bucket,
 )
 
-#: Oldest declaration on which an owner grants, seconds: more than the usual age of one
-#: that peers relay, less than membership takes to remove VMs that are cut off.
+#: Maximum age of the declaration with which an owner grants, seconds: more than the
+#: usual age of one that peers relay, less than the time that membership takes to remove
+#: VMs that are cut off.
 MAX_DECLARATION_AGE_S = 2.5
-#: Least share of a budget with which an owner grants: two equal halves of a fleet grant
-#: half each; in an uneven split, what the smaller side would grant on top is more than
-#: the tolerated excess.
+#: Minimum share of a budget with which an owner grants: two equal halves of a fleet
+#: grant half each; in an uneven split, what the smaller side would grant in addition is
+#: more than the tolerated excess.
 MIN_SHARE = 0.5
 #: Shares of the tolerated excess: what an owner grants beyond the available credit, so
 #: that bursts of requests run, and what the reserves use. The rest covers changes of
@@ -81,10 +83,10 @@
 @messages.message(131)
 @attrs.frozen
 class CreditRefund:
-    """Refunds the credit of a request that did not run to its owner.
+    """Refunds the credit of a request that did not run, to the VM that granted it.
 
     :param account: the account's name.
-    :param units: what the request costs.
+    :param units: the units to refund.
     """
 
     account: str
--- a/packages/mothworks_gateway/src/mothworks_gateway/owners.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/owners.py
@@ -67,7 +67,7 @@
         return time.monotonic() < self._backoff_until_by_vm.get(owner, 0.0)
 
     def call(
-        self, owner: str, message: typing.Any, reply_s: float, thing: str
+        self, owner: str, message: typing.Any, timeout_s: float, thing: str
     ) -> typing.Any:
         """Call an owner and return its reply; None where it is unresponsive.
 
@@ -76,7 +76,7 @@
 
         :param owner: the VM.
         :param message: the request.
-        :param reply_s: timeout for the reply, seconds.
+        :param timeout_s: timeout for the reply, seconds.
         :param thing: what the request is about, for the log.
         """
         if self.is_unresponsive(owner):
@@ -84,7 +84,7 @@
         if not self.peers.linked(owner):
             self.peers.open(owner)
             return None
-        match self.peers.call(owner, message, reply_s):
+        match self.peers.call(owner, message, timeout_s):
             case result.Ok(reply):
                 return reply
             case result.Err(failure):
--- a/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/shared_budgets.py
@@ -143,7 +143,7 @@
         return {"spent": tuple((*key, units) for key, units in spent.items())}
 
     def _on_heartbeat(self, vm: str, received: heartbeat.Heartbeat) -> None:
-        """Report what others granted, in case this VM becomes the next owner."""
+        """Pass on what other VMs granted, in case this VM becomes the next owner."""
         if received.relayed:
             return
         self.received_at_by_vm[vm] = boot_clock.now()
