--- a/packages/mothworks_gateway/src/mothworks_gateway/aggregation.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/aggregation.py
@@ -58,8 +58,10 @@
 
 
 class HeartbeatAggregate:
-    """Aggregates heartbeats: running requests from the last one of each VM, and what
-    arrived, was answered or was spent from all since the last aggregate.
+    """Aggregates the heartbeats of several VMs.
+
+    Running requests are those of each VM's last heartbeat. All other counts are summed
+    over the heartbeats since the last aggregate.
     """
 
     def __init__(self):
@@ -100,7 +102,7 @@
                 del self.member_by_vm[vm]
 
     def drain(self, own: heartbeat.Heartbeat, now: float) -> heartbeat.Heartbeat:
-        """Return the aggregate as a heartbeat, and reset the counts of what arrived.
+        """Return the aggregate as a heartbeat, and reset all but the running requests.
 
         :param own: this VM's heartbeat, for the fields that are not aggregated.
         :param now: monotonic time.
--- a/packages/mothworks_gateway/src/mothworks_gateway/collectors.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/collectors.py
@@ -12,17 +12,17 @@
 from mothworks import ownership
 
 #: Most peers that a VM sends its heartbeats to directly, so that their cost is bounded.
-#: In a larger fleet some VMs do for all what each could do for itself.
+#: In a larger fleet a few VMs aggregate, own resources and forward messages for all.
 MAX_DIRECT_PEERS = 16
 #: Key of the ranking of VMs whose first ones are the collectors.
 RANKING_KEY = "lease"
 #: VMs per collector: it receives four heartbeats a second from each, which takes a few
 #: hundredths of a small VM's processor.
 VMS_PER_COLLECTOR = 24
-#: Fewest collectors, so that the remaining ones are a majority when one fails.
+#: Minimum number of collectors, so that the others are a majority if one fails.
 MIN_COLLECTORS = 3
-#: Time without totals after which a collector counts as silent, seconds: four of their
-#: intervals, including the round trip.
+#: Time without totals after which a collector counts as silent, seconds: four intervals
+#: between totals plus a round trip.
 TOTALS_TIMEOUT_S = 1.2
 #: Time for which a silent collector is not chosen again, seconds: membership takes some
 #: seconds to notice that a VM is gone.
--- a/packages/mothworks_gateway/src/mothworks_gateway/fleet_size.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/fleet_size.py
@@ -1,7 +1,7 @@
 """Fleet size: how many VMs are live, and the recent peak of that number.
 
-Each side of a partition sees the VMs of the other side die. What a VM uses on behalf of
-the fleet must still leave the other side its share.
+Each side of a partition considers the VMs of the other side dead. What it uses of the
+fleet's budgets must still leave the other side its share.
 """
 
 from mothworks import kernel, membership
--- a/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/heartbeat.py
@@ -34,7 +34,8 @@
 STATE_TIMEOUT_S = 1.0
 
 
-#: An endpoint's id, its number of answers that were not errors, and of its errors.
+#: An endpoint's id, the number of its answers that were not errors, and the number of
+#: its errors.
 AnswerRow = tuple[str, int, int]
 #: An endpoint's id, the limit that it reported in requests per second or None, and the
 #: ages of the request and of its answer, seconds.
