--- a/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
@@ -37,7 +37,8 @@
 #: its view, and each poll is a billed call.
 MAX_LONE_VM_POLL_S = 4.0
 #: Longest time until a poll that is never answered ends, seconds. Changes may take
-#: effect late for some time after an outage; the next one after that must be in time.
+#: effect late for some time after an outage; a poll that was sent during it must have
+#: ended by then, so that it does not delay later changes.
 MAX_UNANSWERED_POLL_S = 4.5
 #: Delay between attempts while the platform is unreachable: the first and the longest,
 #: in seconds, and the factor by which it grows.
@@ -45,7 +46,7 @@
 MAX_RETRY_DELAY_S = 0.5
 RETRY_BACKOFF_FACTOR = 1.6
 #: Time between the first snapshot and the first poll, seconds. Within it, a VM that
-#: starts learns from statuses whether other VMs follow the feeds for it.
+#: starts learns from watchers' statuses whether other VMs follow the feeds for it.
 FIRST_POLL_DELAY_S = 1.0
 #: Longest wait of a poll for changes that already exist, seconds.
 CATCH_UP_WAIT_S = 0.01
@@ -61,7 +62,7 @@
 
 
 def _ignore() -> None:
-    """Serve as the default callback."""
+    """Do nothing; the default callback."""
 
 
 def _make_set_event() -> gevent.event.Event:
--- a/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/freshness.py
@@ -41,8 +41,8 @@
 MAX_WATCHER_AGE_S = 1.2
 #: Timeout for a reply, seconds.
 REPLY_TIMEOUT_S = 0.3
-#: Safety margin as a share of the bound: the platform's watches may return nothing for
-#: 1 s before it drops its history.
+#: Safety margin as a share of the bound: the platform's watches may return no changes
+#: for 1 s before it drops its history, so that a view may be older than it seems.
 MARGIN_SHARE = 0.2
 #: Time for which a reply proves that peers are reachable, seconds.
 REACHABLE_S = 2.0
@@ -87,7 +87,7 @@
         #: The VM that the next request goes to, since its last reply advanced the time;
         #: empty if the last request did not.
         self.source = ""
-        #: The VM whose last request did not advance the time.
+        #: The VM that the last request went to, unless its reply advanced the time.
         self.avoided_vm = ""
         self.peer_reached_at = -math.inf
         self.fleet = node_kernel.get(fleet_size.FleetSize)
@@ -148,7 +148,7 @@
     def _choose_peer(self) -> str:
         """Return the VM to send the next request to; empty if there is none.
 
-        A VM that answered is used again; one that did not is avoided.
+        A VM whose reply advanced the time is used again; otherwise it is avoided.
         """
         sources = self._peer_candidates()
         if self.source in sources:
--- a/packages/mothworks_gateway/src/mothworks_gateway/watching.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/watching.py
@@ -287,9 +287,9 @@
     def _start_read(self, read: collections.abc.Callable[[], bool], vm: str) -> None:
         if read not in self._reads_in_progress:
             self._reads_in_progress.add(read)
-            self.tasks.spawn(self._read_or_ask_peer, read, vm)
+            self.tasks.spawn(self._read_or_fetch_from_peer, read, vm)
 
-    def _read_or_ask_peer(
+    def _read_or_fetch_from_peer(
         self, read: collections.abc.Callable[[], bool], vm: str
     ) -> None:
         """Read from the platform, or from a peer if the platform does not answer.
