--- a/packages/mothworks_gateway/tests/gateway_builders.py
+++ b/packages/mothworks_gateway/tests/gateway_builders.py
@@ -64,7 +64,7 @@
 
 
 def endpoint(endpoint_id, service="s", batch_slots=10, models=(), data_centre="a"):
-    """Return an endpoint that holds some models."""
+    """Return an endpoint that has some models loaded."""
     adapters_by_model = {name: frozenset() for name in models}
     entry = registry.Entry(
         endpoint_id,
--- a/packages/mothworks_gateway/tests/test_broadcast.py
+++ b/packages/mothworks_gateway/tests/test_broadcast.py
@@ -27,8 +27,8 @@
         kernel = fleet_builders.make_kernel(name, self.names, self.network)
         part = broadcast.Broadcast(kernel)
 
-        def receive(vm, update, _):
-            self.received_by_vm[name].append((vm, update.fingerprint))
+        def receive(vm, report, _):
+            self.received_by_vm[name].append((vm, report.fingerprint))
 
         part.peers.handle(poison_requests.CrashReport, receive)
         return part
--- a/packages/mothworks_gateway/tests/test_credit.py
+++ b/packages/mothworks_gateway/tests/test_credit.py
@@ -176,7 +176,11 @@
         self.run(2.0, {})
 
     def age_s(self, name):
-        """Return the age of a VM's declaration: half of 1.4 s, plus that of its cut."""
+        """Return the age of a VM's declaration.
+
+        It is 0.7 s, half of the usual maximum of 1.4 s, and grows while the VM is cut
+        off.
+        """
         return 0.7 + self.clock.now - self.cut_at_by_vm.get(name, self.clock.now)
 
     def cut(self, names):
@@ -185,7 +189,7 @@
             self.network.group_by_vm[name] = 1
             self.cut_at_by_vm[name] = self.clock.now
 
-    def notice(self):
+    def update_memberships(self):
         """Update every VM's membership to the VMs that it reaches."""
         for name, vm in self.vm_by_name.items():
             fleet_builders.update_membership(
@@ -321,7 +325,7 @@
 @pytest.mark.parametrize("count", [6, 60])
 @pytest.mark.parametrize("share", [0.35, 0.6])
 @pytest.mark.parametrize("seed", range(3))
-def test_an_account_that_rises_as_vms_are_cut_off_keeps_its_cap(
+def test_an_account_whose_usage_rises_as_vms_are_cut_off_stays_within_its_cap(
     monkeypatch, count, share, seed
 ):
     # The VMs that are cut off keep granting briefly, since the account was far from its
@@ -455,7 +459,7 @@
     fleet.cut(fleet.random.sample(fleet.names, int(share * count)))
     fleet.cut_at_by_vm.clear()
     fleet.run(3.0, rates)
-    fleet.notice()
+    fleet.update_memberships()
     fleet.run(10.0, rates)
     for name in rates:
         assert fleet.worst_window(name) <= 1.0
--- a/packages/mothworks_gateway/tests/test_gateway_settings.py
+++ b/packages/mothworks_gateway/tests/test_gateway_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the gateway: an invalid field stops the start with its name."""
+"""Settings of the gateway: the error for an invalid file names the field."""
 
 import orjson
 import pytest
--- a/packages/mothworks_gateway/tests/test_published_changes.py
+++ b/packages/mothworks_gateway/tests/test_published_changes.py
@@ -147,14 +147,14 @@
     """A feed that counts its polls and answers each at once."""
 
     def __init__(self):
-        self.waits = 0
+        self.polls = 0
         self.revisions = itertools.count(2)
 
     def read(self):
         return result.Ok(adapters.Snapshot(1, {}))
 
     def poll(self, cursor, wait_s):
-        self.waits += 1
+        self.polls += 1
         feeding.gevent.sleep(0.001)
         return result.Ok(adapters.Changes(next(self.revisions), ()))
 
@@ -165,15 +165,15 @@
     follower = feeding.Follower("endpoints", feed, lambda _: None, lambda _: None)
     task = feeding.gevent.spawn(follower.run)
     try:
-        _until(lambda: feed.waits > 3)
+        _until(lambda: feed.polls > 3)
         follower.set_followed(False)
         _until(lambda: not follower.is_polling)
-        waits = feed.waits
+        polls = feed.polls
         feeding.gevent.sleep(0.05)
-        assert feed.waits <= waits + 1
+        assert feed.polls <= polls + 1
         assert follower.catch_up()
         follower.set_followed(True)
-        _until(lambda: feed.waits > waits + 5)
+        _until(lambda: feed.polls > polls + 5)
     finally:
         task.kill()
 
--- a/packages/mothworks_gateway/tests/test_silent_polls.py
+++ b/packages/mothworks_gateway/tests/test_silent_polls.py
@@ -1,4 +1,4 @@
-"""Polls that the platform does not answer: no answer never counts as healthy."""
+"""Polls that the platform does not answer: a missing answer is never healthy."""
 
 import types
 
@@ -37,7 +37,7 @@
         return result.Ok(adapters.Snapshot(5, {}))
 
     def poll(self, cursor, wait_s):
-        self.calls.append(("wait", cursor))
+        self.calls.append(("poll", cursor))
         self.answers.wait()
         gevent.sleep(0.01)
         return result.Ok(adapters.Changes(cursor, ()))
