--- a/packages/mothworks_gateway/src/mothworks_gateway/aggregation.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/aggregation.py
@@ -60,12 +60,12 @@
 class HeartbeatAggregate:
     """Aggregates the heartbeats of several VMs.
 
-    Running requests are those of each VM's last heartbeat. All other counts are summed
-    over the heartbeats since the last aggregate.
+    Running requests are those of each VM's last heartbeat. Everything else comes from
+    all heartbeats since the last aggregate.
     """
 
     def __init__(self):
-        self.member_by_vm: dict[str, heartbeat.Received] = {}
+        self.received_by_vm: dict[str, heartbeat.Received] = {}
         self.arrived: collections.Counter[tuple[str, str, str]] = collections.Counter()
         self.tokens: collections.Counter[tuple[str, str, str]] = collections.Counter()
         self.late: collections.Counter[tuple[str, str]] = collections.Counter()
@@ -80,7 +80,7 @@
         :param received: its heartbeat.
         :param now: monotonic time.
         """
-        self.member_by_vm[vm] = heartbeat.Received(received, now)
+        self.received_by_vm[vm] = heartbeat.Received(received, now)
         for service, model, adapter, count, tokens in received.arrived:
             self.arrived[service, model, adapter] += count
             self.tokens[service, model, adapter] += tokens
@@ -97,9 +97,9 @@
         :param now: monotonic time.
         """
         oldest_at = now - heartbeat.STALE_S
-        for vm, member in list(self.member_by_vm.items()):
-            if member.at < oldest_at:
-                del self.member_by_vm[vm]
+        for vm, last_received in list(self.received_by_vm.items()):
+            if last_received.at < oldest_at:
+                del self.received_by_vm[vm]
 
     def drain(self, own: heartbeat.Heartbeat, now: float) -> heartbeat.Heartbeat:
         """Return the aggregate as a heartbeat, and reset all but the running requests.
@@ -108,8 +108,8 @@
         :param now: monotonic time.
         """
         running: collections.Counter[tuple[str, str, str]] = collections.Counter()
-        for member in self.member_by_vm.values():
-            for endpoint, model, adapter, count in member.heartbeat.running:
+        for last_received in self.received_by_vm.values():
+            for endpoint, model, adapter, count in last_received.heartbeat.running:
                 running[endpoint, model, adapter] += count
         arrived = tuple(
             (*key, count, self.tokens[key]) for key, count in self.arrived.items()
@@ -174,16 +174,24 @@
         now = time.monotonic()
         collector_vms = collectors.select(self.ranking.vms)
         self.aggregate.evict_stale(now)
-        members = [vm for vm in self.aggregate.member_by_vm if vm != self.name]
-        if self.name in collector_vms or members or own.fence:
-            self._publish_aggregate(own, collector_vms, members)
+        reporting_vms = [vm for vm in self.aggregate.received_by_vm if vm != self.name]
+        if self.name in collector_vms or reporting_vms or own.fence:
+            self._publish_aggregate(own, collector_vms, reporting_vms)
         else:
             self.peers.post(self.own_collector.choose(collector_vms, now), own)
 
     def _publish_aggregate(
-        self, own: heartbeat.Heartbeat, collector_vms: list[str], members: list[str]
+        self,
+        own: heartbeat.Heartbeat,
+        collector_vms: list[str],
+        reporting_vms: list[str],
     ) -> None:
-        """Send the aggregate to collectors and holder, and the totals to members."""
+        """Send the aggregate to collectors and holder, and totals to reporting VMs.
+
+        :param own: this VM's heartbeat.
+        :param collector_vms: all collectors.
+        :param reporting_vms: the VMs that report to this one.
+        """
         self.shared_health.merge(own.answers)
         now = time.monotonic()
         self.aggregate.add(self.name, own, now)
@@ -191,8 +199,8 @@
         self.newest_limits.add(own.limits, now)
         recipients = {*collector_vms, self.lease.holder()} - {self.name, ""}
         self.peers.post_all(recipients, self.aggregate.drain(own, now))
-        if members:
-            self.peers.post_all(members, self._make_totals(own))
+        if reporting_vms:
+            self.peers.post_all(reporting_vms, self._make_totals(own))
 
     def _make_totals(self, own: heartbeat.Heartbeat) -> Totals:
         if own.fence:
