--- a/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/declarations.py
@@ -18,7 +18,7 @@
 
 
 class Declarations(kernel.Part):
-    """Holds the newest declaration that this VM has received.
+    """Stores the newest declaration that this VM has received.
 
     :param node_kernel: the node's kernel.
     """
--- a/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/feeding.py
@@ -113,9 +113,13 @@
     latency_s: float = 0.0
     as_of: float = -math.inf
     poll_started_at: float = 0.0
+    #: Whether a snapshot was read, so that polls can continue from the cursor.
     _listed: bool = False
+    #: Ends the pause before the next poll.
     _wake: gevent.event.Event = attrs.field(factory=gevent.event.Event)
+    #: Set while this VM itself follows the feed.
     _followed: gevent.event.Event = attrs.field(factory=_make_set_event)
+    #: The task of the call in flight.
     _poll: gevent.Greenlet | None = None
     #: Whether the next poll only fetches changes that already exist.
     _catch_up_next: bool = False
--- a/packages/mothworks_gateway/src/mothworks_gateway/lease.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease.py
@@ -74,6 +74,7 @@
         super().__init__(node_kernel)
         settings = node_kernel.settings
         self.name = settings.name
+        #: Random id of this process, which the stored lease contains.
         self.life = f"{random.getrandbits(64):016x}"
         lease_s = settings.bounds.lease_ms / 1000
         fenced = settings.bounds.fenced
@@ -93,8 +94,12 @@
         self.heartbeats.on_received.append(self._on_heartbeat)
         node_kernel.on_draining.append(lambda: self.tasks.spawn(self._release_on_drain))
         self.started_at = time.monotonic()
+        #: The lease as this VM last wrote it, and the version of the stored object; None
+        #: if this VM does not hold the lease.
         self.record: lease_record.Record | None = None
         self.version: str | None = None
+        #: Times until and from which this VM may send orders, on the clock of
+        #: :func:`boot_clock.now`.
         self.valid_until = 0.0
         self.orders_from = 0.0
         self.observed_renewal: lease_record.ObservedRenewal | None = None
