--- a/packages/mothworks_gateway/tests/test_cap_strategies.py
+++ b/packages/mothworks_gateway/tests/test_cap_strategies.py
@@ -1,4 +1,4 @@
-"""Usage caps: grants of an owner, compared with shares that each VM grants by itself."""
+"""Usage caps: grants of an owner, compared with shares that each VM grants alone."""
 
 import pytest
 
