--- a/packages/mothworks_gateway/src/mothworks_gateway/owners.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/owners.py
@@ -67,7 +67,7 @@
         return time.monotonic() < self._backoff_until_by_vm.get(owner, 0.0)
 
     def call(
-        self, owner: str, message: typing.Any, timeout_s: float, subject: str
+        self, owner: str, message: typing.Any, timeout_s: float, thing: str
     ) -> typing.Any:
         """Call an owner and return its reply; None where it is unresponsive.
 
@@ -77,7 +77,7 @@
         :param owner: the VM.
         :param message: the request.
         :param timeout_s: timeout for the reply, seconds.
-        :param subject: what the request is about, for the log.
+        :param thing: what the request is about, for the log.
         """
         if self.is_unresponsive(owner):
             return None
@@ -92,7 +92,7 @@
                 logs.event(
                     log,
                     "owner silent",
-                    thing=subject,
+                    thing=thing,
                     owner=owner,
                     reason=failure.reason,
                     outcome=f"not asked for {BACKOFF_S:g} s",
