--- a/packages/mothworks_gateway/src/mothworks_gateway/lease.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease.py
@@ -94,8 +94,8 @@
         self.heartbeats.on_received.append(self._on_heartbeat)
         node_kernel.on_draining.append(lambda: self.tasks.spawn(self._release_on_drain))
         self.started_at = time.monotonic()
-        #: The lease as this VM last wrote it, and the version of the stored object; None
-        #: if this VM does not hold the lease.
+        #: The lease as this VM last wrote it, and the stored object's version; None if
+        #: this VM does not hold the lease.
         self.record: lease_record.Record | None = None
         self.version: str | None = None
         #: Times until and from which this VM may send orders, on the clock of
