--- a/packages/mothworks_gateway/src/mothworks_gateway/credit.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/credit.py
@@ -42,7 +42,7 @@
 RESERVE_SHARE = 0.3
 #: Fill level, as a share of the burst, above which an account is far from its cap.
 CALM_SHARE = 0.5
-#: Time for which a VM without an owner goes on at the previous rate where the account
+#: Time for which a VM without an owner continues at the previous rate where the account
 #: was far from its cap, seconds. If it were longer, VMs that are cut off could use up
 #: the tolerated excess.
 CALM_S = 0.6
--- a/packages/mothworks_gateway/src/mothworks_gateway/lease.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease.py
@@ -8,7 +8,7 @@
 
 Where endpoints ignore fencing tokens, another VM acquires the lease only after it
 stayed unchanged for its whole duration. Where endpoints reject old tokens, the
-duration only bounds how long a holder goes on without the store: a VM that receives no
+duration only bounds how long a holder continues without the store: a VM that receives no
 heartbeat of the holder and observes no renewal takes over earlier, and endpoints reject
 the former holder's late orders.
 
@@ -163,7 +163,7 @@
         """Release the lease while the node drains, so that the next holder can start.
 
         While the store is unreachable no other VM can acquire the lease, and models
-        must still be loaded: the holder goes on until the store answers again.
+        must still be loaded: the holder continues until the store answers again.
         """
         while self.record is not None and boot_clock.now() < self.valid_until:
             if self._read() is not None:
