--- a/packages/mothworks_gateway/src/mothworks_gateway/lease.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease.py
@@ -8,9 +8,9 @@
 
 Where endpoints ignore fencing tokens, another VM acquires the lease only after it
 stayed unchanged for its whole duration. Where endpoints reject old tokens, the
-duration only bounds how long a holder continues without the store: a VM that receives no
-heartbeat of the holder and observes no renewal takes over earlier, and endpoints reject
-the former holder's late orders.
+duration only bounds how long a holder continues without the store: a VM that receives
+no heartbeat of the holder and observes no renewal takes over earlier, and endpoints
+reject the former holder's late orders.
 
 Each heartbeat of the holder carries the version of its last renewal. A VM that first
 observes a version at some moment knows that it was written before then. If it acquires
