--- a/packages/mothworks_gateway/src/mothworks_gateway/lease.py
+++ b/packages/mothworks_gateway/src/mothworks_gateway/lease.py
@@ -8,9 +8,9 @@
 
 Where endpoints ignore fencing tokens, another VM acquires the lease only after it
 stayed unchanged for its whole duration. Where endpoints reject old tokens, the
-duration only bounds how long a holder goes on without the store: a VM that receives no
-heartbeat of the holder and observes no renewal takes over earlier, and endpoints reject
-the former holder's late orders.
+duration only bounds how long a holder continues without the store: a VM that receives
+no heartbeat of the holder and observes no renewal takes over earlier, and endpoints
+reject the former holder's late orders.
 
 Each heartbeat of the holder carries the version of its last renewal. A VM that first
 observes a version at some moment knows that it was written before then. If it acquires
@@ -52,7 +52,8 @@
 #: Delay before the first read, seconds: a VM that just started knows no peers and ranks
 #: itself first; without the delay all VMs of a fleet wrote the lease at once.
 STARTUP_DELAY_S = 0.6
-#: Extra time that each VM leaves to the next higher rank, seconds.
+#: Additional delay per rank before a VM tries to acquire the lease, seconds, so that
+#: VMs of a higher rank try first.
 RANK_DELAY_S = 0.7
 #: Time between checks for a suspension of this VM, seconds, and the longest gap between
 #: two checks for which the lease is still trusted: after a longer gap the VM was
@@ -73,6 +74,7 @@
         super().__init__(node_kernel)
         settings = node_kernel.settings
         self.name = settings.name
+        #: Random id of this process, which the stored lease contains.
         self.life = f"{random.getrandbits(64):016x}"
         lease_s = settings.bounds.lease_ms / 1000
         fenced = settings.bounds.fenced
@@ -92,8 +94,12 @@
         self.heartbeats.on_received.append(self._on_heartbeat)
         node_kernel.on_draining.append(lambda: self.tasks.spawn(self._release_on_drain))
         self.started_at = time.monotonic()
+        #: The lease as this VM last wrote it, and the stored object's version; None if
+        #: this VM does not hold the lease.
         self.record: lease_record.Record | None = None
         self.version: str | None = None
+        #: Times until and from which this VM may send orders, on the clock of
+        #: :func:`boot_clock.now`.
         self.valid_until = 0.0
         self.orders_from = 0.0
         self.observed_renewal: lease_record.ObservedRenewal | None = None
@@ -114,7 +120,7 @@
         return self.record.fence if self.held() else 0
 
     def held(self) -> bool:
-        """Return whether this VM holds the lease and may order endpoints now."""
+        """Return whether this VM holds the lease and may send orders now."""
         return (
             self.record is not None
             and self.record.holder == self.name
@@ -157,7 +163,7 @@
         """Release the lease while the node drains, so that the next holder can start.
 
         While the store is unreachable no other VM can acquire the lease, and models
-        must still be loaded: the holder goes on until the store answers again.
+        must still be loaded: the holder continues until the store answers again.
         """
         while self.record is not None and boot_clock.now() < self.valid_until:
             if self._read() is not None:
