--- a/packages/mothworks/src/mothworks/links.py
+++ b/packages/mothworks/src/mothworks/links.py
@@ -70,7 +70,7 @@
         self._decompressor = zlib.decompressobj(-WINDOW_BITS)
 
     def send(self, frame: bytes) -> bool:
-        """Write a frame to the socket at once if it accepts it, else queue it.
+        """Write a frame immediately if the socket accepts it, else queue it.
 
         :param frame: a packed message.
         :returns: False if the queue is full; the frame is then dropped.
@@ -90,7 +90,7 @@
         return True
 
     def write_all(self) -> None:
-        """Write queued frames, all of them at once, until the connection fails."""
+        """Write the queued frames, joined into one send, until the connection fails."""
         while True:
             self.queue.peek()
             self.writing = True
--- a/packages/mothworks/src/mothworks/peers.py
+++ b/packages/mothworks/src/mothworks/peers.py
@@ -278,8 +278,8 @@
         self.closed_link_bytes += link.sent_bytes + link.received_bytes
         if self.link_by_vm.get(link.vm) is link:
             del self.link_by_vm[link.vm]
-        # Callers that wait for a reply on this connection would otherwise
-        # block until their timeout.
+        # Tasks that wait for a reply on this connection would otherwise block
+        # until their timeout.
         for pending_link, pending_reply in list(self.pending_by_call.values()):
             if pending_link is link:
                 pending_reply.set(None)
--- a/packages/mothworks/src/mothworks/transport.py
+++ b/packages/mothworks/src/mothworks/transport.py
@@ -250,8 +250,8 @@
         """Return a connection to the pool once its answer is read completely."""
         if sock.single_use:
             # Requests that must not run twice never take a connection from the
-            # pool. If theirs were pooled, they would fill it until returning
-            # one blocks for ever.
+            # pool. If their connections were returned to it, they would fill it
+            # until the next return blocks for ever.
             self.release_socket(sock)
             return
         sock.idle_since = time.monotonic()
