--- a/packages/mothworks/src/mothworks/members.py
+++ b/packages/mothworks/src/mothworks/members.py
@@ -170,7 +170,10 @@
         return [item.row() for item in records]
 
     def digest(self) -> int:
-        """Return a hash that is equal if two VMs hold the same live VMs."""
+        """Return a hash that is equal if two tables have the same live VMs.
+
+        The incarnations must be equal too; whether a VM is a suspect is ignored.
+        """
         live = [
             f"{item.member.name}\0{item.incarnation}"
             for item in (self.own, *self.record_by_name.values())
@@ -225,7 +228,8 @@
             return self._refute(row)
         current = self.record_by_name.get(row.name)
         if current is None:
-            # Ignores a suspicion of an unknown VM: there is no known address to check.
+            # Ignores the suspicion, death or leave of an unknown VM: there is no
+            # known address at which to check it.
             if row.state != State.ALIVE:
                 return False
         elif (row.incarnation, row.state) <= (current.incarnation, current.state):
--- a/packages/mothworks/src/mothworks/membership.py
+++ b/packages/mothworks/src/mothworks/membership.py
@@ -121,7 +121,7 @@
         return record.member if record else self.listed_by_name.get(vm)
 
     def is_live(self, vm: str) -> bool:
-        """Return whether a VM is live and not a suspect.
+        """Return whether a VM is alive; unlike :meth:`live`, this excludes suspects.
 
         :param vm: the VM's name.
         """
--- a/packages/mothworks/src/mothworks/vm_list.py
+++ b/packages/mothworks/src/mothworks/vm_list.py
@@ -1,7 +1,7 @@
 """The platform's list of live and leaving VMs, which may be stale.
 
-It provides the addresses to join through and announces early which endpoints' VMs
-are leaving.
+It provides addresses through which to join, and early notice of the endpoints whose
+VMs are leaving.
 """
 
 import enum
--- a/packages/mothworks/tests/test_membership.py
+++ b/packages/mothworks/tests/test_membership.py
@@ -50,7 +50,7 @@
 
 
 def test_a_vm_that_leaves_is_not_suspected(five_vms):
-    """A VM shuts down gracefully, and its peers remove it because it announces it."""
+    """A VM announces its graceful shutdown; its peers remove it without a probe."""
     leaving_vm = five_vms.vm_by_name.pop("vm-3")
     leaving_vm.kernel.draining = True
     leaving_vm.stop()
@@ -141,7 +141,8 @@
     """Two regions lose their connection for minutes, several times a year.
 
     No VM of the other region may be removed for that. Each removal would change
-    owners and gossip updates, and again when the connection is restored.
+    owners and cause gossip, and so would its reversal once the connection is
+    restored.
     """
     for name, region in (("a-1", "a"), ("a-2", "a"), ("b-1", "b"), ("b-2", "b")):
         cluster.add(name, region)
