--- a/packages/mothworks/src/mothworks/metrics.py
+++ b/packages/mothworks/src/mothworks/metrics.py
@@ -3,7 +3,8 @@
 import aioprometheus
 import aioprometheus.collectors
 
-#: Upper bounds of the buckets, seconds; among them are the targets 35 ms and 1.6 s.
+#: Upper bounds of the buckets, seconds. Among them are the default targets between
+#: tokens (35 ms) and to the first token (1.6 s).
 DURATION_BUCKETS_S = (0.001, 0.0025, 0.005, 0.01, 0.02, 0.035, 0.07, 0.15, 0.3, 0.6)
 DURATION_BUCKETS_S += (1.0, 1.6, 3.0, 6.0, 15.0, 60.0)
 
