--- a/packages/mothworks/tests/test_callers.py
+++ b/packages/mothworks/tests/test_callers.py
@@ -74,7 +74,7 @@
     ),
     "wrong method": (served.head("GET", served.CHAT), 405, "method_not_allowed"),
     "unknown path": (served.head("GET", "/v1/absent"), 404, "not_found"),
-    "unknown tree": (served.head("GET", "/absent"), 404, "not_found"),
+    "path outside the API": (served.head("GET", "/absent"), 404, "not_found"),
     "unknown service": (
         served.head("GET", "/services/absent/x"),
         404,
--- a/packages/mothworks/tests/test_links.py
+++ b/packages/mothworks/tests/test_links.py
@@ -67,7 +67,7 @@
 
 
 def make_totals(rng, names):
-    """Return totals such as a collector publishes four times a second."""
+    """Return totals by endpoint, such as collectors send four times a second."""
     total_by_name = {name: rng.randrange(12) for name in names}
     return SampleMessage(repr(total_by_name), 0)
 
--- a/packages/mothworks/tests/test_logs.py
+++ b/packages/mothworks/tests/test_logs.py
@@ -84,7 +84,9 @@
     assert log_handler.dropped_lines == 1
 
 
-def test_a_long_line_is_truncated_to_one_atomic_write(pipe):
+# Guards against a write that blocks for ever because the line exceeds the capacity of
+# the pipe, 64 KiB.
+def test_a_line_longer_than_the_pipe_does_not_block(pipe):
     _, write_end = pipe
     with make_handler(write_end).applicationbound():
         logs.event(logbook.Logger("x"), "sent", request="q" * 100_000)
--- a/packages/mothworks/tests/test_transport.py
+++ b/packages/mothworks/tests/test_transport.py
@@ -121,8 +121,9 @@
     running.get(timeout=5)
 
 
-# Guards against reusing the oldest idle connection first.
-def test_the_most_recently_used_connection_is_reused_first(client, endpoints):
+# Guards against a check for idle connections that reorders the pool, which would then
+# reuse the oldest connection first.
+def test_the_idle_check_keeps_the_order_of_connections(client, endpoints):
     first, _ = endpoints
     first.may_answer.clear()
     running = [gevent.spawn(exchange, client, first) for _ in range(3)]
