--- a/packages/mothworks/src/mothworks/audit.py
+++ b/packages/mothworks/src/mothworks/audit.py
@@ -73,9 +73,9 @@
     :param subject: the model, endpoint, caller or request concerned.
     :param what: what was done.
     :param why: the reason.
-    :param before: revision or fencing number before the change; None if
+    :param before: revision or fencing token before the change; None if
         none applies.
-    :param after: revision or fencing number after the change.
+    :param after: revision or fencing token after the change.
     """
 
     at: str
@@ -151,8 +151,8 @@
         :param what: what was done.
         :param why: the reason, with the figures behind the decision.
         :param who: the operator; empty if this VM decided by itself.
-        :param before: revision or fencing number before the change.
-        :param after: revision or fencing number after the change.
+        :param before: revision or fencing token before the change.
+        :param after: revision or fencing token after the change.
         """
         if len(self.pending) >= MAX_BUFFERED_ENTRIES:
             self.dropped += 1
--- a/packages/mothworks/src/mothworks/catalogue.py
+++ b/packages/mothworks/src/mothworks/catalogue.py
@@ -122,7 +122,7 @@
     :param data_centre: the data centre in which it runs.
     :param memory_mb: accelerator memory for models, MB; 0 for services.
     :param accelerators: number of its accelerators.
-    :param fencing: whether it refuses orders with an outdated fencing number.
+    :param fencing: whether it refuses orders with an outdated fencing token.
     :param service: the plain service of which it is an instance; None for a model
         engine.
     :param slots: initial limit on concurrent requests, which then adapts.
--- a/packages/mothworks/src/mothworks/endpoints.py
+++ b/packages/mothworks/src/mothworks/endpoints.py
@@ -81,7 +81,7 @@
     :param name: the model or adapter; for a change of role, the new role.
     :param version: the model's version.
     :param memory_mb: accelerator memory for a load, MB.
-    :param fence: the fencing number; later orders have higher ones.
+    :param fence: the fencing token; later orders have higher ones.
     :param base: the base model of an adapter; empty for a model.
     """
 
@@ -99,7 +99,7 @@
     """The endpoint refused an order and did not execute it.
 
     :param reason: why.
-    :param highest_fence: the endpoint's fencing number if the order's was too
+    :param highest_fence: the endpoint's fencing token if the order's was too
         old; otherwise 0.
     """
 
--- a/packages/mothworks/src/mothworks/ledger.py
+++ b/packages/mothworks/src/mothworks/ledger.py
@@ -1,7 +1,7 @@
 """The ledger: the durable record of one endpoint's accelerator memory.
 
 An order is sent only after its intent, which reserves its memory, was written
-by a conditional update. The order carries the fencing number of that write.
+by a conditional update. The order carries the fencing token of that write.
 Memory is released only when nothing can use it any more: no resident, no order
 with an unknown outcome, and no delayed copy of an order.
 
@@ -57,7 +57,7 @@
     :param id: the order's ID.
     :param kind: the kind of order.
     :param holding: what it loads or unloads; for a role, its name is the role.
-    :param fence: the order's fencing number.
+    :param fence: the order's fencing token.
     """
 
     id: str
@@ -84,7 +84,7 @@
     """Memory that a delayed copy of an earlier load may still occupy.
 
     It stays reserved until a report requested after ``until`` shows whether a
-    copy arrived. On an endpoint that honours fencing numbers no time limit is
+    copy arrived. On an endpoint that honours fencing tokens no time limit is
     needed: an unload with a new number makes it reject every copy.
 
     :param holding: what the copy would load.
@@ -101,7 +101,7 @@
     """The memory record of one endpoint.
 
     :param endpoint: its name.
-    :param fence: the highest fencing number issued.
+    :param fence: the highest fencing token issued.
     :param nonce: identifies this write.
     :param holdings: the residents.
     :param intent: the order whose outcome is unknown, if any.
@@ -224,7 +224,7 @@
 
     :param ledger: a ledger with an intent.
     :param outcome: the endpoint's reply.
-    :param fencing: whether the endpoint rejects orders with an old fencing number.
+    :param fencing: whether the endpoint rejects orders with an old fencing token.
     :param late_s: maximum delay of a copy of an order, seconds.
     :param now: wall time, seconds.
     """
@@ -269,7 +269,7 @@
 
     :param ledger: a ledger without an intent.
     :param residents: what the endpoint reports as resident or being loaded.
-    :param fencing: whether the endpoint rejects orders with an old fencing number.
+    :param fencing: whether the endpoint rejects orders with an old fencing token.
     :param late_s: maximum delay of a copy of an order, seconds.
     :param requested_at: wall time at which the report was requested, seconds.
     """
--- a/packages/mothworks/src/mothworks/move_messages.py
+++ b/packages/mothworks/src/mothworks/move_messages.py
@@ -30,7 +30,7 @@
     """An owner reports a summary of an endpoint's ledger to the planner.
 
     :param endpoint: the endpoint's name.
-    :param fence: the ledger's fencing number; larger is newer.
+    :param fence: the ledger's fencing token; larger is newer.
     :param names: the residents.
     :param versions: their versions, in the same order.
     :param reserved_mb: memory reserved for each of them, in the same order, MB.
--- a/packages/mothworks/src/mothworks/row_classes.py
+++ b/packages/mothworks/src/mothworks/row_classes.py
@@ -117,7 +117,7 @@
     :param model: the model or adapter.
     :param order: load, unload or role.
     :param state: sent, or waiting behind another order.
-    :param number: the order's fencing number; 0 while it waits.
+    :param number: the order's fencing token; 0 while it waits.
     :param owner: the VM that sends the order.
     :param reserved_mb: memory reserved for it, MB; 0 while it waits.
     :param why: the planner's reason; only while it waits.
--- a/packages/mothworks/tests/test_order_execution.py
+++ b/packages/mothworks/tests/test_order_execution.py
@@ -293,8 +293,8 @@
 
 
 def test_a_ledger_with_an_old_fence_catches_up():
-    """The object API lost the newest ledger, so that fencing numbers restart. The
-    engine refuses the first order and reports its number; the next succeeds.
+    """The object API lost the newest ledger, so that fencing tokens restart. The
+    engine refuses the first order and reports its token; the next succeeds.
     """
     world = order_execution_world.World(fencing=True)
     world.engine.highest_fence = 40
