--- a/packages/mothworks/src/mothworks/membership.py
+++ b/packages/mothworks/src/mothworks/membership.py
@@ -120,7 +120,7 @@
         record = self.table.find(vm)
         return record.member if record else self.listed_by_name.get(vm)
 
-    def is_live(self, vm: str) -> bool:
+    def is_alive(self, vm: str) -> bool:
         """Return whether a VM is alive; unlike :meth:`live`, this excludes suspects.
 
         :param vm: the VM's name.
