--- a/packages/mothworks/src/mothworks/logs.py
+++ b/packages/mothworks/src/mothworks/logs.py
@@ -40,7 +40,8 @@
 
     If lines exceed the rate, or nothing reads the other end of a pipe, lines
     are dropped. The next line that is written contains their number in the
-    field ``left_out``.
+    field ``left_out``. A line is truncated to what a pipe accepts without blocking,
+    ``PIPE_BUF`` bytes; it is then not valid JSON.
 
     :param descriptor: the descriptor of a pipe or a file.
     :param level: lowest level that is written.
