--- a/packages/mothworks/src/mothworks/configuration_gossip.py
+++ b/packages/mothworks/src/mothworks/configuration_gossip.py
@@ -131,6 +131,7 @@
 
         If VMs were picked from all regions, every VM would in time open a
         connection to every other one, also over the slow links between regions.
+        Only a VM without peers in its region picks from all.
         """
         near = self.membership.region_peers() or self.membership.peers()
         chosen = random.sample(near, min(count, len(near)))
--- a/packages/mothworks/src/mothworks/configuration_head.py
+++ b/packages/mothworks/src/mothworks/configuration_head.py
@@ -7,7 +7,7 @@
 from mothworks import documents
 
 KEY = "configuration/head"
-#: Number of earlier heads whose nonces a head repeats.
+#: Maximum number of earlier heads whose nonces a head lists.
 MAX_EARLIER_NONCES = 8
 
 
@@ -20,7 +20,7 @@
     :param who: the operator.
     :param when: ISO time of acceptance.
     :param why: the operator's reason.
-    :param nonce: random id by which a writer whose reply was lost recognises
+    :param nonce: random ID by which a writer whose reply was lost recognises
         its own head.
     :param earlier_nonces: nonces of the preceding heads, newest first, by which
         a writer recognises that its change was accepted before later ones.
--- a/packages/mothworks/src/mothworks/configuration_writing.py
+++ b/packages/mothworks/src/mothworks/configuration_writing.py
@@ -97,7 +97,8 @@
             case result.Ok(stored_head) if (
                 0 <= stored_head.revision - head.revision < max_later
             ):
-                # Another writer's head has the revision that ours would have.
+                # A head this recent would list our nonce, so the revision that
+                # ours would have is another writer's.
                 return result.Err(objects.Conflict(configuration_head.KEY))
             case _:
                 return result.Err(objects.Unknown(reason))
--- a/packages/mothworks/tests/test_configuration.py
+++ b/packages/mothworks/tests/test_configuration.py
@@ -42,6 +42,7 @@
 
 
 def make_vm(api, name="vm-1"):
+    """Return the configuration of a new VM."""
     kernel = builders.kernel_with_objects(api, name)
     return kernel.get(configuration.Configuration)
 
