--- a/packages/mothworks/src/mothworks/answers.py
+++ b/packages/mothworks/src/mothworks/answers.py
@@ -1,4 +1,4 @@
-"""Answers to operators' statements: tables, and which VMs they lack."""
+"""Answers to operators' statements: tables, notes and the VMs that did not reply."""
 
 import collections.abc
 import typing
@@ -61,19 +61,20 @@
 def merge_results(
     revision: int,
     tables: collections.abc.Iterable[Table],
-    parts: collections.abc.Iterable[fan_out.QueryResult],
+    query_results: collections.abc.Iterable[fan_out.QueryResult],
     notes: tuple[str, ...] = (),
 ) -> Answer:
     """Return an answer that names unresponsive VMs and counts omitted items.
 
     :param revision: revision of the configuration on the VM that answers.
     :param tables: the requested rows.
-    :param parts: results of the queries to other VMs.
+    :param query_results: the results whose unanswered VMs and omitted items
+        the answer reports.
     :param notes: remarks for the operator, in sentences.
     """
-    parts = list(parts)
-    unanswered = sorted({vm for part in parts for vm in part.unanswered})
-    left_out = sum(part.left_out for part in parts)
+    query_results = list(query_results)
+    unanswered = sorted({vm for item in query_results for vm in item.unanswered})
+    left_out = sum(item.left_out for item in query_results)
     if left_out:
         notes = (*notes, f"{left_out} more were left out; narrow the query")
     return Answer(revision, tuple(tables), notes, tuple(unanswered))
--- a/packages/mothworks/src/mothworks/explanations.py
+++ b/packages/mothworks/src/mothworks/explanations.py
@@ -20,9 +20,10 @@
     row_classes,
 )
 
-#: Most queued requests that ``why model`` lists.
+#: Maximum number of queued requests that ``why model`` lists.
 MAX_WAITING_LISTED = 10
-#: Most endpoints that ``why model`` lists as load targets, by free memory.
+#: Maximum number of endpoints that ``why model`` lists as load targets; each
+#: planner sends those with the most free memory first.
 MAX_LOAD_TARGETS_LISTED = 20
 #: Batch of an endpoint whose owner responded without a row for it.
 IDLE_BATCH = row_classes.BatchRow("", "", 0, 0, 0, 0, 0, 0, 0)
@@ -44,7 +45,7 @@
         self.placement = node_kernel.get(placement.Placement)
 
     def explain_model(self, name: str) -> answers.Outcome:
-        """Return where a model is resident, whether it takes work, and its queue.
+        """Return a model's replicas, whether they accept work, and their queues.
 
         :param name: the model, adapter or service.
         """
--- a/packages/mothworks/src/mothworks/fan_out.py
+++ b/packages/mothworks/src/mothworks/fan_out.py
@@ -81,11 +81,12 @@
 
 @attrs.frozen
 class QueryResult:
-    """The rows of all queried VMs.
+    """Rows that answer a query, and what they lack.
 
     :param rows: typed rows.
     :param unanswered: VMs that did not send a valid reply in time.
-    :param left_out: number of rows beyond the maximum per VM.
+    :param left_out: number of rows beyond the maximum per VM; for the audit
+        trail, number of older objects that were not read.
     """
 
     rows: tuple[typing.Any, ...]
@@ -196,7 +197,7 @@
 
 
 def _rows(row_class: type, reply: RowsReply) -> list | None:
-    """Return typed rows, or None if the fields of another version do not match."""
+    """Return typed rows, or None if a peer's program version lacks some fields."""
     field_count = len(attrs.fields(row_class))
     try:
         return [row_class(*row[:field_count]) for row in reply.rows]
--- a/packages/mothworks/src/mothworks/local_facts.py
+++ b/packages/mothworks/src/mothworks/local_facts.py
@@ -1,7 +1,7 @@
 """Rows that this VM contributes to fan-out queries, by topic.
 
-Rows of queues and orders cover the endpoints that the VM owns, traces the
-requests that it received from callers.
+Rows of queues and orders cover the endpoints that the VM owns. Traces cover
+the requests that it received from callers.
 """
 
 import time
@@ -51,7 +51,7 @@
         register(topics.STEPS, reason_rows.StepRow, self._step_rows)
 
     def _waiting_rows(self, argument: str) -> list[row_classes.WaitingRow]:
-        """Return queued requests of a request ID or model; of all where empty."""
+        """Return queued requests with a request ID or model; all if none is given."""
         return [
             row
             for row in slot_rows.queued_rows(self.slots)
@@ -59,7 +59,7 @@
         ]
 
     def _batch_rows(self, target: str) -> list[row_classes.BatchRow]:
-        """Return batches and queues of a model's endpoints; all where empty."""
+        """Return the batch rows of a model's endpoints; all if none is given."""
         rows = slot_rows.batch_rows(self.slots)
         if not target:
             return rows
@@ -74,7 +74,7 @@
         ]
 
     def _order_rows(self, target: str) -> list[row_classes.MoveRow]:
-        """Return unfinished orders of a model; all where empty."""
+        """Return unfinished orders of a model; all if none is given."""
         return [
             row for row in self.orders.unfinished_moves() if target in ("", row.model)
         ]
