--- a/packages/mothworks/src/mothworks/operator_calls.py
+++ b/packages/mothworks/src/mothworks/operator_calls.py
@@ -188,11 +188,11 @@
 
 def _change_reply(
     outcome: operator_commands.Outcome,
-    body: collections.abc.Callable[[int], dict],
+    make_body: collections.abc.Callable[[int], dict],
 ) -> calls.Reply:
     match outcome:
         case result.Ok(revision):
-            return calls.json_reply(body(revision))
+            return calls.json_reply(make_body(revision))
         case result.Err(operator_commands.Rejected(refusal, difference)):
             body = orjson.loads(refusal.body())
             body["difference"] = [documents.to_plain(item) for item in difference]
--- a/packages/mothworks/src/mothworks/operator_commands.py
+++ b/packages/mothworks/src/mothworks/operator_commands.py
@@ -1,9 +1,9 @@
 """Commands: statements that change the catalogue, by conditional updates.
 
 Two operators never overwrite each other silently. A command is recomputed on a
-newer revision only if that revision left the command's item as the operator
-could have seen it. Otherwise the later operator gets the difference, and
-nothing is changed.
+newer revision only if the command's item is still as the operator could have
+seen it. Otherwise the later operator gets the difference, and nothing is
+changed.
 """
 
 import attrs
--- a/packages/mothworks/src/mothworks/operator_moves.py
+++ b/packages/mothworks/src/mothworks/operator_moves.py
@@ -28,7 +28,7 @@
 @messages.message(82)
 @attrs.frozen
 class MoveRequest:
-    """Requests a region's planner to relocate a model.
+    """Requests that a region's planner relocate a model.
 
     :param model: the model.
     :param source: the endpoint that unloads it.
@@ -73,7 +73,7 @@
     def request_move(
         self, statement: statements.Move, who: str
     ) -> result.Result[str, outcomes.Refusal]:
-        """Request a move from the target's planner.
+        """Request a move from the planner of the target's region.
 
         :param statement: the operator's statement.
         :param who: the operator.
--- a/packages/mothworks/src/mothworks/statements.py
+++ b/packages/mothworks/src/mothworks/statements.py
@@ -97,7 +97,7 @@
 class WhyRequest:
     """``why request R``: explain where a request is and how it was routed.
 
-    :param request: the request's id.
+    :param request: the request's ID.
     """
 
     request: str
@@ -166,10 +166,10 @@
 
 @attrs.frozen
 class Reprioritise:
-    """``reprioritise caller C to URGENCY``: change a caller's priority class.
+    """``reprioritise caller C to URGENCY``: change a caller's urgency class.
 
     :param caller: the caller's name.
-    :param urgency: the new class of all its requests.
+    :param urgency: the new urgency class of all its requests.
     :param why: see :class:`Add`.
     :param revision: see :class:`Add`.
     """
--- a/packages/mothworks/tests/test_operator_calls.py
+++ b/packages/mothworks/tests/test_operator_calls.py
@@ -47,7 +47,7 @@
 
 
 def chat(bed, vm, tokens):
-    """Send a chat request and return its id, status and text."""
+    """Send a chat request and return its ID, status and text."""
     http = geventhttpclient.HTTPClient.from_url(bed.node_by_name[vm].url)
     body = orjson.dumps({"model": "menu", "messages": [], "max_tokens": tokens})
     headers = {"Authorization": f"Bearer {builders.CALLER_KEY}"}
@@ -155,7 +155,7 @@
 
 
 def test_quarantine_is_listed_and_lifted(deployment):
-    """A request that was wrongly blamed for a crash would stay refused.
+    """Otherwise a request wrongly blamed for a crash would stay refused.
 
     The request is in flight when its endpoint crashes, and becomes a suspect.
     An operator lifts the quarantine through another VM.
@@ -176,7 +176,7 @@
     processes.wait_until(lambda: not rows(deployment, "show quarantine"))
 
 
-def test_why_model_lists_the_endpoints_verdicts(deployment):
+def test_why_model_lists_load_targets_with_verdicts(deployment):
     def verdicts():
         answer = ask(deployment, "why model menu", "vm-3").unwrap()
         tables = {table["title"]: table["rows"] for table in answer["tables"]}
--- a/packages/mothworks/tests/test_operator_commands.py
+++ b/packages/mothworks/tests/test_operator_commands.py
@@ -60,10 +60,10 @@
 
 
 def test_the_later_of_two_operators_on_one_item_is_refused(vms):
-    """The later command would silently overwrite the earlier one's class.
+    """Otherwise the later command would silently overwrite the earlier one.
 
-    Both operators see the class bulk. Ana's command is accepted by one VM. Ben's
-    reaches another VM, which has not received Ana's change yet.
+    Both operators see the urgency class bulk. Ana's command is accepted by one
+    VM. Ben's reaches another VM, which has not received Ana's change yet.
     """
     first, second = vms
     urgent = statements.Reprioritise("batch", catalogue.Urgency.URGENT)
@@ -90,7 +90,7 @@
 
 
 def test_replacing_the_catalogue_at_an_older_revision_is_refused(vms):
-    """A file written before a drain would end the drain when it is applied."""
+    """Otherwise a file written before a drain would end it when applied."""
     first, second = vms
     first.commands.run(statements.Drain("engine-1"), "ana").unwrap()
     rejected = second.commands.replace(
@@ -160,7 +160,7 @@
 
 
 def test_a_difference_covers_every_section():
-    """An operator would not see that a file changes the weights of the planner."""
+    """Otherwise a change of the planner's weights would be hidden from operators."""
     before = builders.make_catalogue()
     for field in catalogue.Catalogue.__attrs_attrs__:
         value = getattr(before, field.name)
