--- a/packages/mothworks/src/mothworks/objects_http.py
+++ b/packages/mothworks/src/mothworks/objects_http.py
@@ -1,4 +1,4 @@
-"""Object API plug-in ``http``: ETag holds versions, If-Match conditions.
+"""Object API plug-in ``http``: versions in ETag, conditions in If-Match.
 
 ``GET /objects/KEY``, ``PUT`` and ``DELETE`` with ``If-Match`` (or
 ``If-None-Match: *`` to create), ``GET /objects?prefix=`` for a list and
@@ -15,7 +15,7 @@
 
 #: Maximum number of connections to the object API.
 MAX_CONNECTIONS = 64
-#: Timeout of a long poll's reply beyond its wait, seconds.
+#: Time that a long poll's reply may take beyond its wait, seconds.
 WATCH_GRACE_S = 2.0
 #: Port of a URL without one.
 DEFAULT_PORT = 80
--- a/packages/mothworks/tests/builders.py
+++ b/packages/mothworks/tests/builders.py
@@ -128,6 +128,6 @@
     :param api: the object API.
     :param name: the VM's name.
     """
-    made = kernel.Kernel(settings(name))
-    made.get(objects.Objects).api = api
-    return made
+    node_kernel = kernel.Kernel(settings(name))
+    node_kernel.get(objects.Objects).api = api
+    return node_kernel
--- a/packages/mothworks/tests/clusters.py
+++ b/packages/mothworks/tests/clusters.py
@@ -100,7 +100,7 @@
         processes.wait_until(lambda: self.sees_exactly(*names))
 
     def split(self, *names):
-        """Partition these VMs from all others and close connections across."""
+        """Partition these VMs from the others and close connections between both."""
         for name in names:
             self.network.group_by_vm[name] = "cut off"
         for vm in self.vm_by_name.values():
--- a/packages/mothworks/tests/served.py
+++ b/packages/mothworks/tests/served.py
@@ -37,7 +37,7 @@
 
     :param engines: the model's engines; by default one without a script.
     :param slots: batch slots of each engine.
-    :param repeatable: whether calls of the service may be repeated.
+    :param repeatable: whether calls to the service may be repeated.
     :param limits: fields of the node's :class:`settings.Limits`.
     """
 
@@ -179,7 +179,7 @@
 
 
 def stream_reply(*pieces: bytes | Exception) -> web.Reply:
-    """Return a streamed reply, broken off at an exception among the pieces."""
+    """Return a streamed reply, interrupted by an exception among the pieces."""
     return web.Reply(
         "200 OK", [("Content-Type", "text/event-stream")], yield_pieces(pieces)
     )
