--- a/packages/mothworks/tests/test_faults.py
+++ b/packages/mothworks/tests/test_faults.py
@@ -8,9 +8,9 @@
 
 import pytest
 
-from mothworks_fakes import callers, gates, processes, testbed, trial
+from mothworks_fakes import callers, fault_matrix, gates, processes, testbed
 
-Fault = trial.Fault
+Fault = fault_matrix.Fault
 Step = gates.Step
 
 ORDER_STEPS = (Step.BEFORE_CLAIM, Step.AFTER_CLAIM, Step.SENT, Step.MID_ANSWER)
@@ -40,7 +40,7 @@
 @pytest.fixture(scope="module")
 def deployment(tmp_path_factory):
     bed = testbed.Testbed(tmp_path_factory.mktemp("nodes"))
-    yield trial.Trial(bed)
+    yield fault_matrix.Trial(bed)
     bed.stop()
 
 
@@ -58,17 +58,21 @@
     # The others must remove it from their membership, and let it rejoin when the
     # network is repaired.
     nodes = deployment.bed.node_by_name
-    others = [trial.ENTRY, trial.OTHER]
-    nodes[trial.OWNER].cut(others)
+    others = [fault_matrix.ENTRY, fault_matrix.OTHER]
+    nodes[fault_matrix.OWNER].cut(others)
     for name in others:
-        nodes[name].cut([trial.OWNER])
+        nodes[name].cut([fault_matrix.OWNER])
 
     def is_member(name, to):
         rows = deployment.bed.operator(nodes[to]).get("show/peers").unwrap()
         return name in {row["vm"] for row in rows}
 
-    processes.wait_until(lambda: not is_member(trial.OWNER, to=trial.ENTRY), 60.0)
-    processes.wait_until(lambda: not is_member(trial.ENTRY, to=trial.OWNER), 60.0)
+    processes.wait_until(
+        lambda: not is_member(fault_matrix.OWNER, to=fault_matrix.ENTRY), 60.0
+    )
+    processes.wait_until(
+        lambda: not is_member(fault_matrix.ENTRY, to=fault_matrix.OWNER), 60.0
+    )
     for node in nodes.values():
         node.cut([])
     deployment.settle()
