--- a/packages/mothworks/tests/test_faults.py
+++ b/packages/mothworks/tests/test_faults.py
@@ -50,7 +50,7 @@
     ids=lambda value: "+".join(value) if isinstance(value, tuple) else value,
 )
 def test_fault_at_step(deployment, kind, step, faults):
-    assert deployment.play(kind, step, faults).check() == []
+    assert deployment.run_case(kind, step, faults).check() == []
 
 
 def test_isolated_vm_is_removed_and_rejoins(deployment):
--- a/packages/mothworks_fakes/src/mothworks_fakes/fault_matrix.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/fault_matrix.py
@@ -102,7 +102,7 @@
             timeout_s=RECOVERY_TIMEOUT_S,
         )
 
-    def play(
+    def run_case(
         self, kind: callers.Kind, step: gates.Step, faults: tuple[Fault, ...]
     ) -> callers.RequestHistory:
         """Run one case and repair the deployment afterwards.
