--- a/packages/mothworks_fakes/src/mothworks_fakes/__init__.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for engines, services and the platform, for tests and measurements."""
+"""Fakes of engines, services and the platform, for tests and measurements."""
--- a/packages/mothworks_fakes/src/mothworks_fakes/__main__.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one stand-in: ``python -m mothworks_fakes engine --memory-mb 1000``."""
+"""Starts one fake: ``python -m mothworks_fakes engine --memory-mb 1000``."""
 
 import defopt
 import gevent.event
--- a/packages/mothworks_fakes/src/mothworks_fakes/application.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/application.py
@@ -1,4 +1,4 @@
-"""Stand-in for an application service that echoes and counts each call."""
+"""Fake application service that echoes and counts each call."""
 
 import collections
 
--- a/packages/mothworks_fakes/src/mothworks_fakes/demo.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/demo.py
@@ -1,7 +1,7 @@
 """Demo: two deployments on this machine that serve requests through real nodes.
 
 ``make demo`` runs it. For a Siamcrest-like and a Bandeja-like deployment it
-starts the stand-ins and three nodes, applies the catalogue from
+starts the fakes and three nodes, applies the catalogue from
 ``examples/``, streams chat completions through each node, calls a service,
 runs operator statements, and shuts everything down.
 """
--- a/packages/mothworks_fakes/src/mothworks_fakes/engine.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a vLLM-style engine with continuous batching.
+"""Fake vLLM-style engine with continuous batching.
 
 The duration of a step grows with the batch, prompts are prefilled one at a
 time, and accelerator memory is accounted for, so that tests detect
--- a/packages/mothworks_fakes/src/mothworks_fakes/engine_batch.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/engine_batch.py
@@ -1,4 +1,4 @@
-"""The batch of a stand-in engine, with priorities and preemption.
+"""The batch of a fake engine, with priorities and preemption.
 
 A waiting request of higher priority preempts the latest running request of
 the lowest priority. The preempted request waits, and its context is
--- a/packages/mothworks_fakes/src/mothworks_fakes/fault_matrix.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/fault_matrix.py
@@ -1,6 +1,6 @@
 """One case of the fault matrix: a request, a step, and the faults injected there.
 
-A gate in a stand-in blocks the request at the step, the faults are injected,
+A gate in a fake blocks the request at the step, the faults are injected,
 the gate opens, and the caller retries the request through other VMs until it
 has a final answer.
 """
@@ -60,7 +60,7 @@
 class Trial:
     """A small deployment that runs the cases of the fault matrix in turn.
 
-    :param bed: the stand-ins; the nodes are added to it.
+    :param bed: an unused testbed; the nodes and endpoints are added to it.
     """
 
     __test__ = False
--- a/packages/mothworks_fakes/src/mothworks_fakes/gates.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/gates.py
@@ -1,6 +1,6 @@
-"""Gates: a test blocks a stand-in at a step, injects a fault, and unblocks it.
+"""Gates: a test blocks a fake at a step, injects a fault, and unblocks it.
 
-A stand-in reports each of its steps. If a test has closed the gate of that
+A fake reports each of its steps. If a test has closed the gate of that
 step, the first task that reaches it blocks until the test opens the gate; all
 other tasks continue.
 """
@@ -11,7 +11,7 @@
 
 
 class Step(enum.StrEnum):
-    """Steps of a request that stand-ins observe."""
+    """Steps of a request at which a test can block a fake."""
 
     #: The object API received a claim and has not yet written it.
     BEFORE_CLAIM = "before claim"
@@ -19,9 +19,10 @@
     AFTER_CLAIM = "after claim"
     #: The endpoint received the request and has not yet run it.
     SENT = "sent"
-    #: The endpoint has generated half of the answer.
+    #: An engine has generated half of the answer, or a service has run the request and
+    #: not yet replied.
     MID_ANSWER = "mid-answer"
-    #: The endpoint has sent the whole answer but its end marker.
+    #: The engine has sent the whole stream except its end marker.
     BEFORE_END = "before end"
 
 
@@ -41,7 +42,7 @@
 
 
 class Gates:
-    """The closed gates of one stand-in."""
+    """The closed gates of one fake."""
 
     def __init__(self):
         self.gate_by_step: dict[Step, Gate] = {}
--- a/packages/mothworks_fakes/src/mothworks_fakes/object_api.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/object_api.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's object API.
+"""Fake of the platform's object API.
 
 It supports versions, conditional writes and watches.
 """
--- a/packages/mothworks_fakes/src/mothworks_fakes/platform.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/platform.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the platform's VM list and its weight store."""
+"""Fakes of the platform's VM list and weight store."""
 
 import attrs
 import gevent
--- a/packages/mothworks_fakes/src/mothworks_fakes/soak.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/soak.py
@@ -49,7 +49,7 @@
 class Soak:
     """One run of the soak test.
 
-    :param bed: the stand-ins; the nodes are added to it.
+    :param bed: an unused testbed; the nodes and endpoints are added to it.
     :param seed: seed of faults and requests.
     """
 
--- a/packages/mothworks_fakes/src/mothworks_fakes/testbed.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/testbed.py
@@ -1,6 +1,6 @@
 """A whole deployment on one machine.
 
-The stand-ins run in this process, each node in its own.
+The fakes run in this process, each node in a process of its own.
 """
 
 import collections.abc
@@ -89,7 +89,7 @@
         self.node_by_name: dict[str, processes.NodeProcess] = {}
 
     def add(self, declared: catalogue.Endpoint) -> catalogue.Endpoint:
-        """Start the stand-in of an endpoint; see :meth:`add_engine`.
+        """Start the fake of an endpoint; see :meth:`add_engine`.
 
         :param declared: the endpoint; its port is replaced.
         """
@@ -198,7 +198,7 @@
         return self.operator(node).put("catalogue", change)
 
     def engines(self) -> collections.abc.Iterator[engine.Engine]:
-        """Yield the engines among the stand-ins."""
+        """Yield the engines among the fakes."""
         for fake in self.fake_by_endpoint.values():
             if isinstance(fake, engine.Engine):
                 yield fake
--- a/packages/mothworks_fakes/src/mothworks_fakes/web.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/web.py
@@ -1,4 +1,4 @@
-"""Base of the stand-ins: a small WSGI server with fault injection."""
+"""Base of the fakes: a small WSGI server with fault injection."""
 
 import collections.abc
 import random
@@ -18,7 +18,7 @@
 
 @attrs.define
 class Faults:
-    """Faults to inject into a stand-in; set in code or by ``PUT /faults``.
+    """Faults to inject into a fake; set in code or by ``PUT /faults``.
 
     :param outage: every call fails with 503.
     :param delay_s: delay before a call is handled, seconds.
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class Reply:
-    """A stand-in's reply.
+    """A fake's reply.
 
     :param status: status code and reason phrase.
     :param headers: the headers.
@@ -80,7 +80,7 @@
 
 
 class Fake:
-    """Base of the stand-ins.
+    """A server that injects faults; each subclass implements :meth:`serve`.
 
     :param port: TCP port; 0 lets the kernel choose.
     :param seed: seed of the random faults.
@@ -103,7 +103,7 @@
         self.url = f"http://127.0.0.1:{self.port}"
 
     def start(self) -> "Fake":
-        """Start serving, until :meth:`stop`; return the stand-in itself."""
+        """Start serving, until :meth:`stop`; return the fake itself."""
         self.server.start()
         return self
 
@@ -117,7 +117,7 @@
         self.pool.kill(block=False)
 
     def serve(self, method: str, path: str, environ: dict) -> Reply:
-        """Handle one call; each stand-in implements this.
+        """Handle one call; each fake implements this.
 
         :param method: the HTTP method.
         :param path: the path.
