--- a/packages/mothworks_fakes/src/mothworks_fakes/callers.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/callers.py
@@ -159,7 +159,7 @@
             wanted_tokens=self.request.tokens,
             status=attempt.status,
         )
-        record.take_stream(attempt.body)
+        record.parse_stream(attempt.body)
         return history.check_answers([record])
 
 
--- a/packages/mothworks_fakes/src/mothworks_fakes/history.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/history.py
@@ -61,7 +61,7 @@
             return None
         return (self.last_token_s - self.first_token_s) / (len(self.tokens) - 1)
 
-    def take_stream(self, text: bytes) -> None:
+    def parse_stream(self, text: bytes) -> None:
         """Parse a whole stream of server-sent events.
 
         :param text: the received body.
--- a/packages/mothworks_fakes/src/mothworks_fakes/load.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/load.py
@@ -103,7 +103,7 @@
                 record.first_token_s = now - scheduled
             record.last_token_s = now - scheduled
             text += event
-        record.take_stream(text)
+        record.parse_stream(text)
 
 
 def request_body(arrival: arrivals.Arrival, seed: int) -> bytes:
--- a/packages/mothworks_fakes/tests/test_history.py
+++ b/packages/mothworks_fakes/tests/test_history.py
@@ -73,7 +73,7 @@
 
 def test_stream_is_parsed_as_a_caller_would():
     parsed = record(tokens=[], done=False)
-    parsed.take_stream(
+    parsed.parse_stream(
         b'data: {"choices": [{"delta": {"content": "abc-0 "}}]}\n\n'
         b'data: {"error": {"message": "broke off", "ran": "unknown"}}\n\n'
     )
