--- a/packages/mothworks_fakes/src/mothworks_fakes/callers.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/callers.py
@@ -84,7 +84,7 @@
     :param ran: what a refusal states about whether the request ran.
     :param retry: whether the response has a ``Retry-After`` header.
     :param request_id: the request id that the node assigned to this attempt.
-    :param body: the received body; may be incomplete if the connection broke.
+    :param body: the received body; empty if the connection broke.
     :param runs: runs that the endpoints have started by then: for an order, of
         all attempts; for a stream, which has no idempotency key, of this attempt.
     """
@@ -110,7 +110,11 @@
     attempts: list[Attempt] = attrs.field(factory=list)
 
     def is_final(self) -> bool:
-        """Return whether the last attempt is final."""
+        """Return whether the last attempt is final.
+
+        A complete answer is, and so is the refusal of an order that may have run and
+        that the caller must not retry.
+        """
         if not self.attempts:
             return False
         last = self.attempts[-1]
@@ -214,8 +218,8 @@
             attempt.body = bytes(response.read())
             attempt.status = response.status_code
         except _CONNECTION_ERRORS:
-            # A broken connection leaves status 0; a caller cannot use an incomplete
-            # body, because it does not know the rest.
+            # Status 0 marks a broken connection. What was received of the body is
+            # discarded: a caller cannot use an incomplete answer.
             pass
         finally:
             http.close()
