--- a/packages/mothworks_fakes/src/mothworks_fakes/arrivals.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/arrivals.py
@@ -95,13 +95,13 @@
     """
     drawn = []
     for index, traffic in enumerate(traffics):
-        source = random.Random(f"{seed}/{index}")
+        rng = random.Random(f"{seed}/{index}")
         max_rate = traffic.max_rate()
-        time_s = source.expovariate(max_rate)
+        time_s = rng.expovariate(max_rate)
         while time_s < seconds:
-            if source.random() * max_rate < traffic.rate_at(time_s):
+            if rng.random() * max_rate < traffic.rate_at(time_s):
                 drawn.append((time_s, traffic))
-            time_s += source.expovariate(max_rate)
+            time_s += rng.expovariate(max_rate)
     drawn.sort(key=lambda item: item[0])
     return [
         Arrival(number, time_s, traffic)
--- a/packages/mothworks_fakes/src/mothworks_fakes/demand_traces.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/demand_traces.py
@@ -65,19 +65,19 @@
     :param size: its size.
     :param seed: seed of the sizes of models and adapters, and of the base models.
     """
-    source = random.Random(seed)
+    rng = random.Random(seed)
     centres = [f"dc-{number}" for number in range(size.data_centres)]
     models = [
         catalogue.Model(
             f"model-{number}",
-            source.choices(MODEL_SIZES_MB, MODEL_SIZE_WEIGHTS)[0],
+            rng.choices(MODEL_SIZES_MB, MODEL_SIZE_WEIGHTS)[0],
             working_mb=8_000,
         )
         for number in range(size.models)
     ]
     adapters = [
         catalogue.Adapter(
-            f"adapter-{number}", source.choice(models).name, source.randint(50, 200)
+            f"adapter-{number}", rng.choice(models).name, rng.randint(50, 200)
         )
         for number in range(size.adapters)
     ]
@@ -122,9 +122,9 @@
 
     def __attrs_post_init__(self):
         """Draw the models' base rates and the models whose demand surges."""
-        source = random.Random(self.seed + 1)
+        rng = random.Random(self.seed + 1)
         ranks = list(range(self.size.models))
-        source.shuffle(ranks)
+        rng.shuffle(ranks)
         weights = [1 / (rank + 1) for rank in ranks]
         capacity = self.size.engines * SLOTS / SERVICE_S
         total = self.load * capacity
@@ -132,7 +132,7 @@
         middle = sorted(range(self.size.models), key=lambda n: ranks[n])
         third = self.size.models // 3
         count = max(2, self.size.models // 8)
-        self.surging = source.sample(middle[2 : 2 + 2 * third], count)
+        self.surging = rng.sample(middle[2 : 2 + 2 * third], count)
 
     def rates(self, second: float) -> collections.abc.Iterator[float]:
         """Yield each model's rate, requests per second.
--- a/packages/mothworks_fakes/src/mothworks_fakes/fault_matrix.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/fault_matrix.py
@@ -19,7 +19,7 @@
 MODEL = "menu"
 SERVICE = "orders"
 REGION = "region-1"
-MODULE = "mothworks_fakes.cut_node"
+NODE_MODULE = "mothworks_fakes.cut_node"
 ENTRY = "vm-entry"
 OWNER = "vm-owner"
 OTHER = "vm-other"
@@ -204,7 +204,7 @@
                 self._start(name)
 
     def _start(self, name: str) -> None:
-        self.bed.add_node(name, DATA_CENTRE_BY_VM[name], REGION, module=MODULE)
+        self.bed.add_node(name, DATA_CENTRE_BY_VM[name], REGION, module=NODE_MODULE)
 
     def _engine(self, name: str) -> catalogue.Endpoint:
         declared = testbed.engine_endpoint(name, DATA_CENTRE_BY_VM[OWNER])
--- a/packages/mothworks_fakes/src/mothworks_fakes/measure_durable.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/measure_durable.py
@@ -91,14 +91,14 @@
 
 
 def _deploy(
-    bed: testbed.Testbed, orders: catalogue.Endpoint, nodes: int, object_api: str
+    bed: testbed.Testbed, orders: catalogue.Endpoint, nodes: int, object_api_url: str
 ) -> None:
     for number in range(nodes):
         bed.add_node(
             f"vm-{number}",
             "dc-1",
             "region-1",
-            object_api=settings.ObjectApi(object_api),
+            object_api=settings.ObjectApi(object_api_url),
         )
     bed.apply(_catalogue(orders, 0))
     processes.wait_until(lambda: bed.all_open(["orders-1"]), 60)
--- a/packages/mothworks_fakes/src/mothworks_fakes/processes.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/processes.py
@@ -26,21 +26,21 @@
 class NodeProcess:
     """A node that runs in its own process.
 
-    :param checked: its validated settings; the kernel chooses ports that are 0.
+    :param node_settings: its validated settings; the kernel chooses ports that are 0.
     :param folder: folder of its settings file and log.
     :param module: module to run: ``mothworks``, or one that adds plug-ins to it.
     """
 
     def __init__(
         self,
-        checked: settings.Settings,
+        node_settings: settings.Settings,
         folder: pathlib.Path,
         module: str = "mothworks",
     ):
-        self.settings = checked
-        path = folder / f"{checked.name}.json"
-        path.write_bytes(orjson.dumps(documents.to_plain(checked)))
-        self.log_path = folder / f"{checked.name}.log"
+        self.settings = node_settings
+        path = folder / f"{node_settings.name}.json"
+        path.write_bytes(orjson.dumps(documents.to_plain(node_settings)))
+        self.log_path = folder / f"{node_settings.name}.log"
         self.log = self.log_path.open("ab")
         command = [sys.executable, "-m", module, "--settings", str(path)]
         # The node must import the same sources as this process, even if another
@@ -54,11 +54,13 @@
         )
         line = self.process.stdout.readline()
         if not line:
-            raise RuntimeError(f"{checked.name} did not start; see {self.log_path}")
+            raise RuntimeError(
+                f"{node_settings.name} did not start; see {self.log_path}"
+            )
         ports = orjson.loads(line)
         self.port = ports["port"]
         self.peer_port = ports["peer_port"]
-        self.url = f"http://{checked.address}:{self.port}"
+        self.url = f"http://{node_settings.address}:{self.port}"
 
     def is_ready(self) -> bool:
         """Return whether the node reports that it is ready."""
--- a/packages/mothworks_fakes/src/mothworks_fakes/testbed.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/testbed.py
@@ -131,7 +131,7 @@
         :param module: the module to run, see :class:`processes.NodeProcess`.
         :param changes: further fields of :class:`settings.Settings`.
         """
-        checked = settings.Settings(
+        node_settings = settings.Settings(
             name=name,
             address="127.0.0.1",
             port=0,
@@ -148,8 +148,8 @@
                 ),
             ),
         )
-        checked = attrs.evolve(checked, **changes)
-        node = processes.NodeProcess(checked, self.folder, module)
+        node_settings = attrs.evolve(node_settings, **changes)
+        node = processes.NodeProcess(node_settings, self.folder, module)
         self.node_by_name[name] = node
         self.vm_list.put(
             vm_list.Vm(
