--- a/packages/mothworks_fakes/src/mothworks_fakes/capacity.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/capacity.py
@@ -18,7 +18,7 @@
 SLOPES_FOLDER = pathlib.Path("docs/slopes")
 PAGE = pathlib.Path("docs/CAPACITY.md")
 NOT_MEASURED = "not measured"
-#: Number of VMs of the target, and the highest power with which a sweep is
+#: Number of VMs of the target, and the maximum exponent with which a sweep is
 #: extrapolated.
 TARGET_VMS = 330
 MAX_POWER = 2.0
--- a/packages/mothworks_fakes/src/mothworks_fakes/measure_placement.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/measure_placement.py
@@ -42,11 +42,11 @@
 
     :param policy: the policy.
     :param trace: the trace, or ``all``.
-    :param attainment: share of requests that met their first-token target.
+    :param attainment: fraction of requests that met their first-token target.
     :param attained_per_accelerator: requests that met their target, per accelerator.
     :param moves: model loads and unloads.
     :param adapter_loads: adapter loads.
-    :param restores: times that a model which no engine held was resident again.
+    :param restores: times that a model became resident again after it was on no engine.
     :param longest_restore_s: the longest of these restores, seconds.
     :param planner_s: processor time of all planning passes, seconds.
     :param overcommitted: engines whose peak memory use exceeded their memory.
@@ -76,7 +76,7 @@
 
     :param size: deployments: siamcrest, bandeja, bandeja-x10.
     :param seeds: number of traces of each shape.
-    :param load: share of all batch slots that demand fills before it rises.
+    :param load: fraction of all batch slots that the base demand occupies.
     :param growth: also time planning passes for growing deployments.
     :param slopes: file for the planner's figures as JSON.
     """
--- a/packages/mothworks_fakes/src/mothworks_fakes/measure_state.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/measure_state.py
@@ -2,7 +2,7 @@
 
 ``python -m mothworks_fakes.measure_state --out docs/slopes/operators.json``
 measures one node process with an empty catalogue and with a catalogue of the
-target's size; it measures traces and audit entries in its own process.
+target's size; it measures request traces and audit entries in its own process.
 """
 
 import datetime
@@ -24,7 +24,7 @@
 TARGET_ENDPOINTS = 4700
 #: Wait before a node's memory is read, seconds.
 SETTLE_S = 5.0
-#: Number of traces and of audit entries that are timed.
+#: Number of request traces and of audit entries that are timed.
 REPETITIONS = 20_000
 COMMAND = "python -m mothworks_fakes.measure_state"
 
--- a/packages/mothworks_fakes/src/mothworks_fakes/slopes.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/slopes.py
@@ -1,4 +1,4 @@
-"""Measures the cost of control between nodes as their number grows.
+"""Measures control traffic, processor time and failure detection per cluster size.
 
 ``python -m mothworks_fakes.slopes --nodes 4 8 16 32`` starts the nodes as
 processes with one engine each. For each routing policy it measures them idle and
