--- a/packages/mothworks_fakes/tests/test_history.py
+++ b/packages/mothworks_fakes/tests/test_history.py
@@ -1,4 +1,4 @@
-"""The history checks detect the violations that they exist for."""
+"""Each history check detects violations of its invariant."""
 
 import collections
 
@@ -22,11 +22,11 @@
     return history.Record(**{**fields, **changes})
 
 
-def test_complete_response_is_accepted():
+def test_complete_answer_is_accepted():
     assert history.check_answers([record()]) == []
 
 
-def test_tokens_of_another_response_are_detected():
+def test_tokens_of_another_answer_are_detected():
     assert history.check_answers([record(tokens=["abc-0", "xyz-1"])])
 
 
