--- a/packages/mothworks_fakes/src/mothworks_fakes/engine.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/engine.py
@@ -49,11 +49,11 @@
     """A request that the engine started to run.
 
     :param request_id: the request id that the node sent.
-    :param body_hash: hash of the caller's body, without the node's priority.
+    :param digest: hash of the caller's body, without the node's priority.
     """
 
     request_id: str
-    body_hash: str
+    digest: str
 
 
 class Engine(web.Fake):
--- a/packages/mothworks_fakes/src/mothworks_fakes/history.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/history.py
@@ -113,7 +113,7 @@
     :param records: the callers' observations.
     :param runs: the runs that all engines started.
     """
-    run_digests = {run.body_hash for run in runs}
+    run_digests = {run.digest for run in runs}
     return [
         f"request {record.number}: refused with ran: no, but it ran"
         for record in records
