--- a/packages/mothworks_fakes/src/mothworks_fakes/platform.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/platform.py
@@ -61,16 +61,17 @@
         self.mb_per_s = mb_per_s
         self.load_slots = gevent.lock.BoundedSemaphore(parallel)
         self.loads = 0
-        self.running = 0
-        self.peak_running = 0
+        #: Calls in progress, including those that wait for a load slot, and their peak.
+        self.current_calls = 0
+        self.peak_calls = 0
 
     def serve(self, method: str, path: str, environ: dict) -> web.Reply:
         """Handle one call; see :meth:`web.Fake.serve`."""
         size_mb = float(environ.get("QUERY_STRING", "mb=0").partition("=")[2])
         self.loads += 1
-        self.running += 1
-        self.peak_running = max(self.peak_running, self.running)
+        self.current_calls += 1
+        self.peak_calls = max(self.peak_calls, self.current_calls)
         with self.load_slots:
             gevent.sleep(size_mb / self.mb_per_s)
-        self.running -= 1
+        self.current_calls -= 1
         return web.json_reply({})
