--- a/packages/mothworks_fakes/src/mothworks_fakes/cut_node.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/cut_node.py
@@ -76,7 +76,7 @@
         )
 
     def connect(self, address: tuple, timeout_s: float):
-        """Open a connection to a peer; time out if the peer is cut off.
+        """Open a connection to a peer; fail immediately if the peer is cut off.
 
         :param address: IP address and port.
         :param timeout_s: maximum wait, seconds.
--- a/packages/mothworks_fakes/src/mothworks_fakes/fault_matrix.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/fault_matrix.py
@@ -110,6 +110,7 @@
         :param kind: the kind of the request.
         :param step: the step at which the faults are injected.
         :param faults: the faults, all injected at this step.
+        :returns: the history of the request.
         """
         target = SERVICE if kind is callers.Kind.ORDER else MODEL
         request_history = callers.RequestHistory(
