--- a/packages/mothworks_fakes/src/mothworks_fakes/engine.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in for a vLLM-style engine with continuous batching.
+"""Fake vLLM-style engine with continuous batching.
 
 The duration of a step grows with the batch, prompts are prefilled one at a
 time, and accelerator memory is accounted for, so that tests detect
@@ -49,11 +49,11 @@
     """A request that the engine started to run.
 
     :param request_id: the request id that the node sent.
-    :param body_hash: hash of the caller's body, without the node's priority.
+    :param digest: hash of the caller's body, without the node's priority.
     """
 
     request_id: str
-    body_hash: str
+    digest: str
 
 
 class Engine(web.Fake):
--- a/packages/mothworks_fakes/src/mothworks_fakes/trial.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/fault_matrix.py
@@ -1,6 +1,6 @@
 """One case of the fault matrix: a request, a step, and the faults injected there.
 
-A gate in a stand-in blocks the request at the step, the faults are injected,
+A gate in a fake blocks the request at the step, the faults are injected,
 the gate opens, and the caller retries the request through other VMs until it
 has a final answer.
 """
@@ -19,7 +19,7 @@
 MODEL = "menu"
 SERVICE = "orders"
 REGION = "region-1"
-MODULE = "mothworks_fakes.cut_node"
+NODE_MODULE = "mothworks_fakes.cut_node"
 ENTRY = "vm-entry"
 OWNER = "vm-owner"
 OTHER = "vm-other"
@@ -60,7 +60,7 @@
 class Trial:
     """A small deployment that runs the cases of the fault matrix in turn.
 
-    :param bed: the stand-ins; the nodes are added to it.
+    :param bed: an unused testbed; the nodes and endpoints are added to it.
     """
 
     __test__ = False
@@ -102,7 +102,7 @@
             timeout_s=RECOVERY_TIMEOUT_S,
         )
 
-    def play(
+    def run_case(
         self, kind: callers.Kind, step: gates.Step, faults: tuple[Fault, ...]
     ) -> callers.RequestHistory:
         """Run one case and repair the deployment afterwards.
@@ -110,6 +110,7 @@
         :param kind: the kind of the request.
         :param step: the step at which the faults are injected.
         :param faults: the faults, all injected at this step.
+        :returns: the history of the request.
         """
         target = SERVICE if kind is callers.Kind.ORDER else MODEL
         request_history = callers.RequestHistory(
@@ -204,7 +205,7 @@
                 self._start(name)
 
     def _start(self, name: str) -> None:
-        self.bed.add_node(name, DATA_CENTRE_BY_VM[name], REGION, module=MODULE)
+        self.bed.add_node(name, DATA_CENTRE_BY_VM[name], REGION, module=NODE_MODULE)
 
     def _engine(self, name: str) -> catalogue.Endpoint:
         declared = testbed.engine_endpoint(name, DATA_CENTRE_BY_VM[OWNER])
--- a/packages/mothworks_fakes/src/mothworks_fakes/history.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/history.py
@@ -61,7 +61,7 @@
             return None
         return (self.last_token_s - self.first_token_s) / (len(self.tokens) - 1)
 
-    def take_stream(self, text: bytes) -> None:
+    def parse_stream(self, text: bytes) -> None:
         """Parse a whole stream of server-sent events.
 
         :param text: the received body.
@@ -113,7 +113,7 @@
     :param records: the callers' observations.
     :param runs: the runs that all engines started.
     """
-    run_digests = {run.body_hash for run in runs}
+    run_digests = {run.digest for run in runs}
     return [
         f"request {record.number}: refused with ran: no, but it ran"
         for record in records
--- a/packages/mothworks_fakes/src/mothworks_fakes/testbed.py
+++ b/packages/mothworks_fakes/src/mothworks_fakes/testbed.py
@@ -1,6 +1,6 @@
 """A whole deployment on one machine.
 
-The stand-ins run in this process, each node in its own.
+The fakes run in this process, each node in a process of its own.
 """
 
 import collections.abc
@@ -89,7 +89,7 @@
         self.node_by_name: dict[str, processes.NodeProcess] = {}
 
     def add(self, declared: catalogue.Endpoint) -> catalogue.Endpoint:
-        """Start the stand-in of an endpoint; see :meth:`add_engine`.
+        """Start the fake of an endpoint; see :meth:`add_engine`.
 
         :param declared: the endpoint; its port is replaced.
         """
@@ -131,7 +131,7 @@
         :param module: the module to run, see :class:`processes.NodeProcess`.
         :param changes: further fields of :class:`settings.Settings`.
         """
-        checked = settings.Settings(
+        node_settings = settings.Settings(
             name=name,
             address="127.0.0.1",
             port=0,
@@ -148,8 +148,8 @@
                 ),
             ),
         )
-        checked = attrs.evolve(checked, **changes)
-        node = processes.NodeProcess(checked, self.folder, module)
+        node_settings = attrs.evolve(node_settings, **changes)
+        node = processes.NodeProcess(node_settings, self.folder, module)
         self.node_by_name[name] = node
         self.vm_list.put(
             vm_list.Vm(
@@ -198,7 +198,7 @@
         return self.operator(node).put("catalogue", change)
 
     def engines(self) -> collections.abc.Iterator[engine.Engine]:
-        """Yield the engines among the stand-ins."""
+        """Yield the engines among the fakes."""
         for fake in self.fake_by_endpoint.values():
             if isinstance(fake, engine.Engine):
                 yield fake
